--- a/cli/backup.go
+++ b/cli/backup.go
@@ -114,7 +114,7 @@
 	f.StringVar(&c.instance, "instance", "", "name of the instance, as in its settings")
 	f.StringVar(&c.address, "address", "", "listen.instances address of the instance, as in its settings")
 	f.Uint64Var(&c.revisionAtLeast, "revision-at-least", 0, "highest revision that any instance has in force")
-	f.DurationVar(&c.holdClaims, "hold-claims", state.DefaultLimits().Retention,
+	f.DurationVar(&c.holdClaims, "hold-claims", state.DefaultLimits().ClaimRetention,
 		"how long keys that the backup does not know are refused; they may have run")
 }
 
--- a/control/client/claims.go
+++ b/control/client/claims.go
@@ -155,7 +155,7 @@
 		Answer:       decodeAnswer(answer.GetAnswer()),
 	}
 	if grant.State == tables.GrantNew {
-		grant.Until = sent + safe(state.DefaultLimits().ClaimedFor)
+		grant.Until = sent + safe(state.DefaultLimits().ClaimedTTL)
 		c.opened(grant)
 	}
 	return grant, nil
--- a/control/measure_test.go
+++ b/control/measure_test.go
@@ -157,7 +157,7 @@
 		index++
 		return s.Execute(index, command)
 	}
-	for n := range limits.Claims {
+	for n := range limits.MaxClaims {
 		command := claimRow(n)
 		grant := run(command).GetClaim()
 		claim := command.GetClaim()
@@ -171,14 +171,14 @@
 			}}})
 		}
 	}
-	assert.Equal(b, s.Claims(), limits.Claims)
+	assert.Equal(b, s.ClaimCount(), limits.MaxClaims)
 	var encoded []byte
 	var err error
 	b.ResetTimer()
 	var held time.Duration
 	for b.Loop() {
 		start := time.Now()
-		snapshot := s.Save()
+		snapshot := s.TakeSnapshot()
 		held += time.Since(start)
 		encoded, err = state.EncodeSnapshot(snapshot)
 		assert.NilError(b, err)
--- a/control/server/backup.go
+++ b/control/server/backup.go
@@ -89,12 +89,12 @@
 		Instance: string(options.Self.Name),
 		Address:  options.Self.Address,
 	}
-	recovered, err := state.Recover(backup.GetSnapshot(), state.Recovery{
-		Group:           group,
-		Founders:        []*rpc.Founder{founder},
-		RevisionAtLeast: options.RevisionAtLeast,
-		HoldClaims:      options.HoldClaims,
-		Wall:            time.Now().UnixNano(),
+	recovered, err := state.Recover(backup.GetSnapshot(), state.RecoveryOptions{
+		Group:          group,
+		Founders:       []*rpc.Founder{founder},
+		MinRevision:    options.RevisionAtLeast,
+		UnknownKeyHold: options.HoldClaims,
+		Wall:           time.Now().UnixNano(),
 	})
 	if err != nil {
 		return trace.Wrap(err)
@@ -118,7 +118,7 @@
 func DecodeBackup(encoded []byte) (*rpc.Backup, error) {
 	backup := &rpc.Backup{}
 	if err := proto.Unmarshal(encoded, backup); err != nil {
-		return nil, trace.Wrap(&state.BadSnapshot{Cause: err})
+		return nil, trace.Wrap(&state.InvalidSnapshotError{Cause: err})
 	}
 	return backup, nil
 }
--- a/control/server/form.go
+++ b/control/server/form.go
@@ -128,7 +128,7 @@
 // create makes the log of a founder. All founders make the same state.
 func (s *Server) create(group uint64, founders []*rpc.Founder) (Log, error) {
 	first := state.New(s.options.Limits)
-	first.Found(group, founders)
+	first.Bootstrap(group, founders)
 	data, err := first.Snapshot()
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/control/server/loop.go
+++ b/control/server/loop.go
@@ -304,7 +304,7 @@
 	s.appliedBytes = 0
 	s.mu.RLock()
 	index := s.applied
-	snapshot := s.state.Save()
+	snapshot := s.state.TakeSnapshot()
 	s.mu.RUnlock()
 	encoded := s.encoded
 	s.running.Go(func() {
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -356,7 +356,7 @@
 		Applied: s.applied,
 		Current: s.view.current,
 		Lag:     s.lag(),
-		Claims:  s.state.Claims(),
+		Claims:  s.state.ClaimCount(),
 		Members: s.view.members,
 	}
 }
--- a/control/state/claims.go
+++ b/control/state/claims.go
@@ -142,7 +142,7 @@
 	row.token = token
 	row.fence = index
 	row.changed = index
-	row.expires = now + c.limits.ClaimedFor
+	row.expires = now + c.limits.ClaimedTTL
 	c.short = append(c.short, due{id, index, row.expires})
 	return granted(row)
 }
@@ -189,7 +189,7 @@
 	if row.answer == nil {
 		row.answer = &rpc.StoredAnswer{Dropped: true}
 	}
-	if len(row.answer.GetBody()) > c.limits.AnswerBytes {
+	if len(row.answer.GetBody()) > c.limits.MaxAnswerBytes {
 		row.answer = withoutBody(row.answer)
 	}
 	c.keep(index, now, id, row)
@@ -226,7 +226,7 @@
 // keep lets the row live for the retention from now on.
 func (c *claims) keep(index uint64, now time.Duration, id claimID, row *claim) {
 	row.changed = index
-	row.expires = now + c.limits.Retention
+	row.expires = now + c.limits.ClaimRetention
 	c.long = append(c.long, due{id, index, row.expires})
 }
 
@@ -238,7 +238,7 @@
 	}
 	c.answerBytes += len(row.answer.GetBody())
 	c.answers = append(c.answers, due{id: id, changed: row.changed})
-	for c.answerBytes > c.limits.AllAnswerBytes {
+	for c.answerBytes > c.limits.MaxTotalAnswerBytes {
 		oldest := c.answers[0]
 		c.answers = c.answers[1:]
 		if c.stale(oldest) {
@@ -251,7 +251,7 @@
 }
 
 func (c *claims) full(organisation string) bool {
-	return len(c.rows) >= c.limits.Claims || c.organisations[organisation] >= c.limits.ClaimsPerOrganisation
+	return len(c.rows) >= c.limits.MaxClaims || c.organisations[organisation] >= c.limits.MaxClaimsPerOrganisation
 }
 
 func (c *claims) remove(id claimID, row *claim) {
--- a/control/state/claims_test.go
+++ b/control/state/claims_test.go
@@ -20,8 +20,8 @@
 
 func newWorld() *world {
 	limits := DefaultLimits()
-	limits.Claims, limits.ClaimsPerOrganisation = 6, 4
-	limits.AnswerBytes, limits.AllAnswerBytes = 10, 25
+	limits.MaxClaims, limits.MaxClaimsPerOrganisation = 6, 4
+	limits.MaxAnswerBytes, limits.MaxTotalAnswerBytes = 10, 25
 	return &world{State: New(limits)}
 }
 
@@ -76,7 +76,7 @@
 	assert.Equal(t, first.GetState(), rpc.ClaimState_CLAIM_NEW)
 	early := w.claim("k", "b", "i2", 1, "t2").GetClaim()
 	assert.Equal(t, early.GetState(), rpc.ClaimState_CLAIM_IN_PROGRESS)
-	w.time += w.limits.SessionFor
+	w.time += w.limits.SessionTimeout
 	second := w.claim("k", "b", "i2", 1, "t3").GetClaim()
 	assert.Equal(t, second.GetState(), rpc.ClaimState_CLAIM_NEW)
 	assert.Assert(t, second.GetFence() > first.GetFence())
@@ -114,7 +114,7 @@
 	assert.Equal(t, w.claim("k", "b", "i1", 1, "t1").GetClaim().GetState(), rpc.ClaimState_CLAIM_UNKNOWN)
 	assert.Assert(t, w.finish("k", grant.GetFence(), "a").GetDone() != nil)
 	assert.Equal(t, reason(w.release("k", grant.GetFence())), rpc.RefusalReason_REFUSED_CLAIM_LOST)
-	w.time += w.limits.Retention - 1
+	w.time += w.limits.ClaimRetention - 1
 	assert.Equal(t, w.claim("k", "b", "i1", 1, "t5").GetClaim().GetState(), rpc.ClaimState_CLAIM_DONE)
 	w.time++
 	assert.Equal(t, w.claim("k", "b", "i1", 1, "t6").GetClaim().GetState(), rpc.ClaimState_CLAIM_NEW)
@@ -127,7 +127,7 @@
 	w := newWorld()
 	grant := w.claim("k", "b", "i1", 1, "t1").GetClaim()
 	for range 100 {
-		w.time += w.limits.SessionFor - 1
+		w.time += w.limits.SessionTimeout - 1
 		w.run(&rpc.Command{Action: &rpc.Command_KeepAlive{KeepAlive: &rpc.KeepAlive{
 			Owner: &rpc.ClaimOwner{Instance: "i1", Boot: 1},
 		}}})
@@ -148,12 +148,12 @@
 		assert.Assert(t, w.finish(key, grant.GetFence(), "123456789"[:6+i]).GetDone() != nil)
 	}
 	assert.Equal(t, reason(w.claim("k4", "b", "i1", 1, "t")), rpc.RefusalReason_REFUSED_CLAIMS_FULL)
-	assert.Assert(t, w.claims.answerBytes <= w.limits.AllAnswerBytes)
+	assert.Assert(t, w.claims.answerBytes <= w.limits.MaxTotalAnswerBytes)
 	first := w.claim("k0", "b", "i2", 1, "t").GetClaim()
 	assert.Equal(t, first.GetState(), rpc.ClaimState_CLAIM_DONE)
 	assert.Assert(t, first.GetAnswer().GetDropped())
 	assert.Equal(t, string(w.claim("k3", "b", "i2", 1, "t").GetClaim().GetAnswer().GetBody()), "123456789")
-	w.time += w.limits.Retention
+	w.time += w.limits.ClaimRetention
 	assert.Equal(t, w.claim("k4", "b", "i1", 1, "t").GetClaim().GetState(), rpc.ClaimState_CLAIM_NEW)
 	assert.Equal(t, w.claims.answerBytes, 0)
 	assert.Equal(t, len(w.claims.answers), 0)
--- a/control/state/configurations.go
+++ b/control/state/configurations.go
@@ -131,7 +131,7 @@
 	}
 	c.history = append(c.history, revision)
 	c.historyBytes += proto.Size(revision)
-	for len(c.history) > 1 && (len(c.history) > c.limits.Revisions || c.historyBytes > c.limits.RevisionBytes) {
+	for len(c.history) > 1 && (len(c.history) > c.limits.MaxRevisions || c.historyBytes > c.limits.MaxHistoryBytes) {
 		c.historyBytes -= proto.Size(c.history[0])
 		c.history = c.history[1:]
 	}
@@ -191,7 +191,7 @@
 func (c *configurations) remember(id requestID, known *rpc.RememberedRequest) {
 	c.requests[id] = known
 	c.order = append(c.order, id)
-	for len(c.order) > c.limits.Requests {
+	for len(c.order) > c.limits.MaxRememberedRequests {
 		delete(c.requests, c.order[0])
 		c.order = c.order[1:]
 	}
--- a/control/state/configurations_test.go
+++ b/control/state/configurations_test.go
@@ -118,8 +118,8 @@
 func TestRevisionsHaveOneWinnerAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, replica := newWorld(), newWorld()
-		w.limits.Revisions = 5
-		w.configuration.limits.Revisions = 5
+		w.limits.MaxRevisions = 5
+		w.configuration.limits.MaxRevisions = 5
 		var sent []*rpc.Command
 		winners := map[uint64]string{}
 		firstAnswers := map[string]uint64{}
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -6,45 +6,45 @@
 // version: replicas with different limits would drift apart, so it is not a
 // setting.
 type Limits struct {
-	// Revisions and RevisionBytes bound the history of configurations; the
+	// MaxRevisions and RevisionBytes bound the history of configurations; the
 	// oldest revisions go first.
-	Revisions     int
-	RevisionBytes int
-	// Requests is how many operators' requests are remembered with their first
+	MaxRevisions    int
+	MaxHistoryBytes int
+	// MaxRememberedRequests is how many operators' requests are remembered with their first
 	// answer.
-	Requests int
-	// ClaimedFor is how long a claim that was never dispatched is kept. It is
+	MaxRememberedRequests int
+	// ClaimedTTL is how long a claim that was never dispatched is kept. It is
 	// above the longest time that work may be held back.
-	ClaimedFor time.Duration
-	// SessionFor is how long an owner that is not heard of counts as alive.
+	ClaimedTTL time.Duration
+	// SessionTimeout is how long an owner that is not heard of counts as alive.
 	// Then its claims that were not dispatched can be taken over.
-	SessionFor time.Duration
-	// Retention is how long a claim is kept after its dispatch or its answer.
-	Retention time.Duration
-	// Claims bounds the claims kept, ClaimsPerOrganisation those of one
+	SessionTimeout time.Duration
+	// ClaimRetention is how long a claim is kept after its dispatch or its answer.
+	ClaimRetention time.Duration
+	// MaxClaims bounds the claims kept, ClaimsPerOrganisation those of one
 	// organisation. New claims above are refused: forgetting an old key early
 	// could run its work twice.
-	Claims                int
-	ClaimsPerOrganisation int
-	// AnswerBytes bounds one stored answer, AllAnswerBytes all together. An
+	MaxClaims                int
+	MaxClaimsPerOrganisation int
+	// MaxAnswerBytes bounds one stored answer, AllAnswerBytes all together. An
 	// answer that does not fit is forgotten, its claim is not.
-	AnswerBytes    int
-	AllAnswerBytes int
+	MaxAnswerBytes      int
+	MaxTotalAnswerBytes int
 }
 
 // DefaultLimits returns the limits of this version.
 func DefaultLimits() Limits {
 	return Limits{
-		Revisions:             4096,
-		RevisionBytes:         16 << 20,
-		Requests:              16384,
-		ClaimedFor:            2 * time.Hour,
-		SessionFor:            6 * time.Second,
-		Retention:             24 * time.Hour,
-		Claims:                200_000,
-		ClaimsPerOrganisation: 50_000,
-		AnswerBytes:           64 << 10,
-		AllAnswerBytes:        64 << 20,
+		MaxRevisions:             4096,
+		MaxHistoryBytes:          16 << 20,
+		MaxRememberedRequests:    16384,
+		ClaimedTTL:               2 * time.Hour,
+		SessionTimeout:           6 * time.Second,
+		ClaimRetention:           24 * time.Hour,
+		MaxClaims:                200_000,
+		MaxClaimsPerOrganisation: 50_000,
+		MaxAnswerBytes:           64 << 10,
+		MaxTotalAnswerBytes:      64 << 20,
 	}
 }
 
--- a/control/state/naive_test.go
+++ b/control/state/reference_model_test.go
@@ -32,9 +32,9 @@
 	var found *naiveRow
 	var kept []*naiveRow
 	for _, row := range n.rows {
-		lives := n.limits.Retention
+		lives := n.limits.ClaimRetention
 		if row.stage == "claimed" {
-			lives = n.limits.ClaimedFor
+			lives = n.limits.ClaimedTTL
 		}
 		if now-row.since >= lives {
 			continue
@@ -49,7 +49,7 @@
 }
 
 func (n *naiveClaims) lost(now time.Duration, row *naiveRow) bool {
-	return n.boots[row.owner] > row.boot || now-n.heard[row.owner] >= n.limits.SessionFor
+	return n.boots[row.owner] > row.boot || now-n.heard[row.owner] >= n.limits.SessionTimeout
 }
 
 // claim returns what a Claim is answered with, in words.
@@ -60,7 +60,7 @@
 	}
 	row := n.find(now, c.GetKey())
 	switch {
-	case row == nil && len(n.rows) >= n.limits.ClaimsPerOrganisation:
+	case row == nil && len(n.rows) >= n.limits.MaxClaimsPerOrganisation:
 		return "REFUSED_CLAIMS_FULL"
 	case row == nil:
 		row = &naiveRow{key: c.GetKey(), body: string(c.GetBody())}
--- a/control/state/sessions.go
+++ b/control/state/sessions.go
@@ -34,7 +34,7 @@
 	}
 	if !known && len(s.rows) >= manySessions {
 		maps.DeleteFunc(s.rows, func(_ string, old session) bool {
-			return now-old.seen >= s.limits.Retention
+			return now-old.seen >= s.limits.ClaimRetention
 		})
 	}
 	s.rows[from.instance] = session{boot: from.boot, seen: now}
@@ -47,7 +47,7 @@
 	if !known || row.boot > o.boot {
 		return 0
 	}
-	return max(0, row.seen+s.limits.SessionFor-now)
+	return max(0, row.seen+s.limits.SessionTimeout-now)
 }
 
 // keepAlive answers a KeepAlive.
--- a/control/state/state.go
+++ b/control/state/state.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// Found names the group and the replicas it starts with. It is called once, on
+// Bootstrap names the group and the replicas it starts with. It is called once, on
 // an empty state, before the first snapshot is taken of it.
-func (s *State) Found(group uint64, founders []*rpc.Founder) {
+func (s *State) Bootstrap(group uint64, founders []*rpc.Founder) {
 	s.group, s.founders = group, founders
 }
 
@@ -133,11 +133,11 @@
 // Loads returns the weight loads that may be running, by endpoint.
 func (s *State) Loads() []*rpc.Load { return s.leases.sortedLoads() }
 
-// Claims returns the number of claims kept.
-func (s *State) Claims() int { return len(s.claims.rows) }
+// ClaimCount returns the number of claims kept.
+func (s *State) ClaimCount() int { return len(s.claims.rows) }
 
 // Snapshot encodes the state. Equal states give equal bytes.
-func (s *State) Snapshot() ([]byte, error) { return EncodeSnapshot(s.Save()) }
+func (s *State) Snapshot() ([]byte, error) { return EncodeSnapshot(s.TakeSnapshot()) }
 
 // EncodeSnapshot encodes what Save returned.
 func EncodeSnapshot(snapshot *rpc.Snapshot) ([]byte, error) {
@@ -145,9 +145,9 @@
 	return encoded, trace.Wrap(err)
 }
 
-// Save returns a copy of the state. It shares only what is never modified with
+// TakeSnapshot returns a copy of the state. It shares only what is never modified with
 // the state, so it may be encoded while the state goes on.
-func (s *State) Save() *rpc.Snapshot {
+func (s *State) TakeSnapshot() *rpc.Snapshot {
 	snapshot := &rpc.Snapshot{
 		Version:  snapshotVersion,
 		Now:      int64(s.now),
@@ -183,36 +183,36 @@
 func decodeSnapshot(encoded []byte) (*rpc.Snapshot, error) {
 	snapshot := &rpc.Snapshot{}
 	if err := proto.Unmarshal(encoded, snapshot); err != nil {
-		return nil, &BadSnapshot{Cause: err}
+		return nil, &InvalidSnapshotError{Cause: err}
 	}
 	if snapshot.GetVersion() != snapshotVersion {
-		return nil, &BadSnapshot{Version: snapshot.GetVersion()}
+		return nil, &InvalidSnapshotError{Version: snapshot.GetVersion()}
 	}
 	last := snapshot.GetRevision()
 	for i, revision := range snapshot.GetHistory() {
 		if revision.GetNumber() != last-uint64(len(snapshot.GetHistory())-1-i) {
-			return nil, &BadSnapshot{Version: snapshotVersion, Cause: &HistoryGap{Revision: revision.GetNumber()}}
+			return nil, &InvalidSnapshotError{Version: snapshotVersion, Cause: &HistoryGapError{Revision: revision.GetNumber()}}
 		}
 	}
 	return snapshot, nil
 }
 
-// HistoryGap means that the revisions of a history do not follow each other.
-type HistoryGap struct{ Revision uint64 }
+// HistoryGapError means that the revisions of a history do not follow each other.
+type HistoryGapError struct{ Revision uint64 }
 
 // Error names the first revision out of place.
-func (e *HistoryGap) Error() string {
+func (e *HistoryGapError) Error() string {
 	return fmt.Sprintf("revision %d is out of place in the history", e.Revision)
 }
 
-// BadSnapshot means that a snapshot cannot be read by this version.
-type BadSnapshot struct {
+// InvalidSnapshotError means that a snapshot cannot be read by this version.
+type InvalidSnapshotError struct {
 	Version uint32
 	Cause   error
 }
 
 // Error gives the cause.
-func (e *BadSnapshot) Error() string {
+func (e *InvalidSnapshotError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("snapshot cannot be read: %v", e.Cause)
 	}
@@ -220,7 +220,7 @@
 }
 
 // Unwrap gives the cause.
-func (e *BadSnapshot) Unwrap() error { return e.Cause }
+func (e *InvalidSnapshotError) Unwrap() error { return e.Cause }
 
 func done() *rpc.Result {
 	return &rpc.Result{Answer: &rpc.Result_Done{Done: &rpc.Done{}}}
