--- a/control/rollout/bench_test.go
+++ b/control/rollout/bench_test.go
@@ -12,8 +12,8 @@
 func BenchmarkNextOfASettledFleet(b *testing.B) {
 	for _, engines := range []int{100, 1_000, 3_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			p := NewPlan()
-			p.Want("m", 2)
+			p := NewPlanner()
+			p.SetTarget("m", 2)
 			var all []fleet.Endpoint
 			for i := range engines {
 				all = append(all, fleet.Endpoint{
@@ -21,9 +21,9 @@
 					Born: 1, Weights: map[string]uint64{"m": 2},
 				})
 			}
-			p.Endpoints(all)
+			p.UpdateEndpoints(all)
 			for b.Loop() {
-				if actions := p.Next(1); len(actions) > 0 {
+				if actions := p.NextActions(1); len(actions) > 0 {
 					b.Fatal(actions)
 				}
 			}
--- a/control/rollout/runner.go
+++ b/control/rollout/controller.go
@@ -40,43 +40,43 @@
 	renewPart = 3
 )
 
-// Engines speaks with engines.
-type Engines interface {
+// EngineClient speaks with engines.
+type EngineClient interface {
 	Report(ctx context.Context, to fleet.Endpoint) (Report, error)
-	Order(ctx context.Context, to fleet.Endpoint, order Order) (Taken, error)
+	Order(ctx context.Context, to fleet.Endpoint, order Order) (OrderResult, error)
 }
 
 // Options set a Runner up.
 type Options struct {
-	Engines Engines
+	Engines EngineClient
 	// Executor has the control group agree on the lease.
 	Executor client.Executor
-	// Leads says whether this instance leads the control group. Only the leader
+	// IsLeader says whether this instance leads the control group. Only the leader
 	// asks for the lease, so that instances do not contend for it.
-	Leads    func() bool
-	Fleet    *fleet.Table
-	Wanted   func() map[string]uint64
-	Instance tables.InstanceID
-	Boot     uint64
-	// LeaseFor is the length of the lease.
-	LeaseFor time.Duration
-	// TurnFor is the least time between two holders' orders to one engine. Engines
+	IsLeader       func() bool
+	Fleet          *fleet.Table
+	TargetVersions func() map[string]uint64
+	Instance       tables.InstanceID
+	Boot           uint64
+	// LeaseDuration is the length of the lease.
+	LeaseDuration time.Duration
+	// HandoverDelay is the least time between two holders' orders to one engine. Engines
 	// that check fencing numbers stop an earlier holder by themselves; where Fenced
 	// is not set each order is announced to the group before it leaves, and a new
 	// holder lets the engines rest that an earlier one may just have given one.
-	TurnFor  time.Duration
-	Fenced   bool
-	Strategy Strategy
+	HandoverDelay     time.Duration
+	EnginesCheckFence bool
+	Strategy          Strategy
 	// Now must go on while the machine is suspended.
 	Now func() tables.Instant
 	Log *zap.Logger
 }
 
-// Runner carries a Plan out while it holds the lease.
-type Runner struct {
+// Controller carries a Plan out while it holds the lease.
+type Controller struct {
 	options Options
 	lease   *client.Lease
-	plan    *Plan
+	plan    *Planner
 	// planned is the version of the table of endpoints that the plan has.
 	planned uint64
 	results chan func()
@@ -87,25 +87,25 @@
 	askAgain tables.Instant
 }
 
-// NewRunner returns a runner that holds nothing.
-func NewRunner(options Options) *Runner {
-	return &Runner{
+// NewController returns a runner that holds nothing.
+func NewController(options Options) *Controller {
+	return &Controller{
 		options: options,
-		plan:    NewPlan(),
+		plan:    NewPlanner(),
 		results: make(chan func(), 64),
 		renewed: make(chan error, 1),
 		lease: client.NewLease(client.LeaseOptions{
 			Executor: options.Executor, Name: LeaseName, Instance: options.Instance, Boot: options.Boot,
-			Duration: options.LeaseFor, Now: options.Now,
+			Duration: options.LeaseDuration, Now: options.Now,
 		}),
 	}
 }
 
-// Holds says whether this instance gives orders now.
-func (r *Runner) Holds() bool { return r.holds.Load() }
+// HoldsLease says whether this instance gives orders now.
+func (r *Controller) HoldsLease() bool { return r.holds.Load() }
 
 // Run steps until the context ends, and then gives the lease up.
-func (r *Runner) Run(ctx context.Context) {
+func (r *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(stepPeriod)
 	defer ticker.Stop()
 	for {
@@ -123,7 +123,7 @@
 	}
 }
 
-func (r *Runner) release() {
+func (r *Controller) release() {
 	if _, left := r.lease.Held(); left <= 0 {
 		return
 	}
@@ -135,11 +135,11 @@
 }
 
 // step renews the lease where needed and does what is due.
-func (r *Runner) step(ctx context.Context) {
+func (r *Controller) step(ctx context.Context) {
 	r.renew(ctx)
 	_, left := r.lease.Held()
 	if held := left > 0; held != r.holds.Swap(held) {
-		r.plan, r.planned = NewPlan(), 0
+		r.plan, r.planned = NewPlanner(), 0
 		if held {
 			r.rest()
 		} else {
@@ -149,17 +149,17 @@
 	if left < orderMargin {
 		return
 	}
-	for model, version := range r.options.Wanted() {
-		r.plan.Want(model, version)
+	for model, version := range r.options.TargetVersions() {
+		r.plan.SetTarget(model, version)
 	}
 	if version := r.options.Fleet.Version(); version != r.planned {
-		r.plan.Endpoints(r.options.Fleet.Endpoints())
+		r.plan.UpdateEndpoints(r.options.Fleet.Endpoints())
 		r.planned = version
 	}
-	for _, action := range r.plan.Next(r.options.Now()) {
+	for _, action := range r.plan.NextActions(r.options.Now()) {
 		r.start(ctx, action)
 	}
-	for _, id := range r.plan.Closing() {
+	for _, id := range r.plan.Cordoned() {
 		r.options.Fleet.Loading(id, true)
 	}
 }
@@ -168,21 +168,21 @@
 // Without the announcements a new holder would have to leave all engines alone for
 // a lease: where the holder froze right after new weights were named, the others
 // went on with weights that were replaced for 7 s, and then with few engines.
-func (r *Runner) rest() {
-	if r.options.Fenced {
+func (r *Controller) rest() {
+	if r.options.EnginesCheckFence {
 		return
 	}
 	for id, at := range r.lease.Announced() {
-		r.plan.Quiet(id, at+r.options.TurnFor+leaveWithin)
+		r.plan.DelayOrders(id, at+r.options.HandoverDelay+leaveWithin)
 	}
 }
 
 // renew asks for the lease, or for more time, beside everything else: orders go
 // on while the group decides.
-func (r *Runner) renew(ctx context.Context) {
+func (r *Controller) renew(ctx context.Context) {
 	_, left := r.lease.Held()
-	due := left < r.options.LeaseFor*(renewPart-1)/renewPart
-	if !due || r.renewing || r.options.Now() < r.askAgain || !r.options.Leads() {
+	due := left < r.options.LeaseDuration*(renewPart-1)/renewPart
+	if !due || r.renewing || r.options.Now() < r.askAgain || !r.options.IsLeader() {
 		return
 	}
 	r.renewing = true
@@ -193,7 +193,7 @@
 	}()
 }
 
-func (r *Runner) takeRenewal(err error) {
+func (r *Controller) takeRenewal(err error) {
 	r.renewing = false
 	var held *client.LeaseHeld
 	switch {
@@ -205,7 +205,7 @@
 }
 
 // start carries an action out beside the loop.
-func (r *Runner) start(ctx context.Context, action Action) {
+func (r *Controller) start(ctx context.Context, action Action) {
 	plan := r.plan
 	if action.Version == 0 {
 		go r.ask(ctx, plan, action)
@@ -223,7 +223,7 @@
 	go r.order(ctx, plan, action, order)
 }
 
-func (r *Runner) ask(ctx context.Context, plan *Plan, action Action) {
+func (r *Controller) ask(ctx context.Context, plan *Planner, action Action) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	report, err := r.options.Engines.Report(bounded, action.Endpoint)
@@ -231,31 +231,31 @@
 		id := action.Endpoint.ID
 		if err != nil {
 			events.RolloutUnanswered.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Error(err))
-			plan.Reported(now, id, nil)
+			plan.HandleReport(now, id, nil)
 			return
 		}
-		done := plan.Reported(now, id, &report)
+		done := plan.HandleReport(now, id, &report)
 		for model, version := range report.Weights {
 			r.options.Fleet.Weights(id, model, version)
 		}
 		if done {
 			events.RolloutDone.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Any("weights", report.Weights))
 		}
-		r.options.Fleet.Loading(id, plan.Loading(id))
+		r.options.Fleet.Loading(id, plan.Updating(id))
 	})
 }
 
 // send announces an order and gives it. One that could not be announced, or whose
 // lease is over by then, does not leave.
-func (r *Runner) send(ctx context.Context, action Action, order Order) (Taken, error) {
-	if !r.options.Fenced {
+func (r *Controller) send(ctx context.Context, action Action, order Order) (OrderResult, error) {
+	if !r.options.EnginesCheckFence {
 		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
 		defer cancel()
 		if err := r.lease.Announce(bounded, []tables.EndpointID{action.Endpoint.ID}); err != nil {
-			return Refused, trace.Wrap(err)
+			return Rejected, trace.Wrap(err)
 		}
 		if fence, left := r.lease.Held(); left <= 0 || fence != order.Fence {
-			return Refused, nil
+			return Rejected, nil
 		}
 	}
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -263,28 +263,28 @@
 	return r.options.Engines.Order(bounded, action.Endpoint, order)
 }
 
-func (r *Runner) order(ctx context.Context, plan *Plan, action Action, order Order) {
+func (r *Controller) order(ctx context.Context, plan *Planner, action Action, order Order) {
 	taken, err := r.send(ctx, action, order)
 	r.hand(ctx, plan, func(now tables.Instant) {
 		id := action.Endpoint.ID
-		plan.Ordered(now, id, taken)
+		plan.HandleOrderResult(now, id, taken)
 		switch {
 		case taken == Fenced:
 			// A later call under the same fence could undo what a newer holder
 			// has done. The next lease has a higher one.
 			events.RolloutFenced.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Uint64("fence", uint64(order.Fence)))
 			r.release()
-		case taken == Refused && err != nil:
+		case taken == Rejected && err != nil:
 			events.OrderNotAnnounced.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Error(err))
 		case taken == 0:
 			events.RolloutUnanswered.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Error(err))
 		}
-		r.options.Fleet.Loading(id, plan.Loading(id))
+		r.options.Fleet.Loading(id, plan.Updating(id))
 	})
 }
 
 // hand gives a result to the loop, unless its plan is of an earlier lease.
-func (r *Runner) hand(ctx context.Context, plan *Plan, f func(tables.Instant)) {
+func (r *Controller) hand(ctx context.Context, plan *Planner, f func(tables.Instant)) {
 	select {
 	case r.results <- func() {
 		if plan == r.plan {
--- a/control/rollout/runner_test.go
+++ b/control/rollout/controller_test.go
@@ -69,7 +69,7 @@
 	return e.report, nil
 }
 
-func (e *engineStub) Order(_ context.Context, _ fleet.Endpoint, order Order) (Taken, error) {
+func (e *engineStub) Order(_ context.Context, _ fleet.Endpoint, order Order) (OrderResult, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, order)
@@ -90,10 +90,10 @@
 	engine.report.Weights = map[string]uint64{"m": 1}
 	table := fleet.NewTable(1)
 	table.List([]fleet.Endpoint{{ID: "e", Zone: "z", Born: 1, Weights: map[string]uint64{"m": 1}}})
-	r := NewRunner(Options{
-		Engines: engine, Executor: group, Leads: func() bool { return true }, Fleet: table,
-		Wanted:   func() map[string]uint64 { return map[string]uint64{"m": 2} },
-		Instance: "c", Boot: 1, LeaseFor: 1200 * time.Millisecond, TurnFor: turnFor, Fenced: fenced, Now: engine.now, Log: zap.NewNop(),
+	r := NewController(Options{
+		Engines: engine, Executor: group, IsLeader: func() bool { return true }, Fleet: table,
+		TargetVersions: func() map[string]uint64 { return map[string]uint64{"m": 2} },
+		Instance:       "c", Boot: 1, LeaseDuration: 1200 * time.Millisecond, HandoverDelay: turnFor, EnginesCheckFence: fenced, Now: engine.now, Log: zap.NewNop(),
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -139,14 +139,14 @@
 func TestAnOrderThatIsNotNotedDoesNotLeave(t *testing.T) {
 	engine := &engineStub{now: func() tables.Instant { return 0 }}
 	group := &leaseGroup{announced: map[string]bool{}, deaf: true}
-	r := NewRunner(Options{
-		Engines: engine, Executor: group, Instance: "c", Boot: 1, LeaseFor: time.Minute, TurnFor: turnFor,
+	r := NewController(Options{
+		Engines: engine, Executor: group, Instance: "c", Boot: 1, LeaseDuration: time.Minute, HandoverDelay: turnFor,
 		Now: engine.now, Log: zap.NewNop(), Fleet: fleet.NewTable(1),
 	})
 	assert.NilError(t, r.lease.Renew(t.Context()))
 	fence, _ := r.lease.Held()
 	taken, err := r.send(t.Context(), Action{Endpoint: fleet.Endpoint{ID: "e"}}, Order{Fence: fence})
-	assert.Equal(t, taken, Refused)
+	assert.Equal(t, taken, Rejected)
 	assert.Assert(t, err != nil)
 	assert.Equal(t, len(engine.orders), 0)
 }
@@ -157,15 +157,15 @@
 	now := tables.Instant(0)
 	engine := &engineStub{now: func() tables.Instant { return now }}
 	group := &leaseGroup{announced: map[string]bool{}}
-	r := NewRunner(Options{
-		Engines: engine, Executor: group, Instance: "c", Boot: 1, LeaseFor: time.Second, TurnFor: turnFor,
+	r := NewController(Options{
+		Engines: engine, Executor: group, Instance: "c", Boot: 1, LeaseDuration: time.Second, HandoverDelay: turnFor,
 		Now: engine.now, Log: zap.NewNop(), Fleet: fleet.NewTable(1),
 	})
 	assert.NilError(t, r.lease.Renew(t.Context()))
 	fence, _ := r.lease.Held()
 	now = 2 * time.Second
 	taken, err := r.send(t.Context(), Action{Endpoint: fleet.Endpoint{ID: "e"}}, Order{Fence: fence})
-	assert.Equal(t, taken, Refused)
+	assert.Equal(t, taken, Rejected)
 	assert.NilError(t, err)
 	assert.Equal(t, len(engine.orders), 0)
 }
--- a/control/rollout/plan.go
+++ b/control/rollout/planner.go
@@ -19,12 +19,12 @@
 
 // The strategies.
 const (
-	// FinishRuns lets running requests finish first; new ones are declined.
-	FinishRuns Strategy = iota
-	// ResetRuns breaks running requests off.
-	ResetRuns
-	// KeepRuns goes on with running requests under the new weights.
-	KeepRuns
+	// DrainRequests lets running requests finish first; new ones are declined.
+	DrainRequests Strategy = iota
+	// AbortRequests breaks running requests off.
+	AbortRequests
+	// RetainRequests goes on with running requests under the new weights.
+	RetainRequests
 )
 
 // Report is what an engine says of itself, as of a moment ago.
@@ -51,22 +51,22 @@
 	Sequence uint64
 }
 
-// Taken is an engine's answer to an order.
-type Taken uint8
+// OrderResult is an engine's answer to an order.
+type OrderResult uint8
 
 // The answers. Zero stands for none: the order may have been taken, or may be
 // carried out later.
 const (
 	// Accepted: it is being carried out.
-	Accepted Taken = iota + 1
-	// Holds: the engine serves that version already.
-	Holds
+	Accepted OrderResult = iota + 1
+	// AlreadyServing: the engine serves that version already.
+	AlreadyServing
 	// Conflict: another order is being carried out, or the sequence differs.
 	Conflict
 	// Fenced: the engine has seen a higher fencing number.
 	Fenced
-	// Refused for any other reason.
-	Refused
+	// Rejected for any other reason.
+	Rejected
 )
 
 const (
@@ -129,34 +129,34 @@
 	silent bool
 }
 
-// Plan decides whom to ask and whom to give orders. It is not safe for
+// Planner decides whom to ask and whom to give orders. It is not safe for
 // concurrent use.
-type Plan struct {
+type Planner struct {
 	rows   map[tables.EndpointID]*engineRow
 	wanted map[string]uint64
 	// quiet is until when endpoints must get no orders.
 	quiet map[tables.EndpointID]tables.Instant
-	// AtOnce overrides how many engines load at once; zero means by their number.
-	AtOnce int
+	// MaxConcurrent overrides how many engines load at once; zero means by their number.
+	MaxConcurrent int
 }
 
-// NewPlan returns a plan that knows of no engine.
-func NewPlan() *Plan {
-	return &Plan{
+// NewPlanner returns a plan that knows of no engine.
+func NewPlanner() *Planner {
+	return &Planner{
 		rows: map[tables.EndpointID]*engineRow{}, wanted: map[string]uint64{}, quiet: map[tables.EndpointID]tables.Instant{},
 	}
 }
 
-// Quiet keeps an endpoint from orders for a time.
-func (p *Plan) Quiet(id tables.EndpointID, until tables.Instant) { p.quiet[id] = until }
+// DelayOrders keeps an endpoint from orders for a time.
+func (p *Planner) DelayOrders(id tables.EndpointID, until tables.Instant) { p.quiet[id] = until }
 
-// Want notes the version that a model should be served with. It only grows.
-func (p *Plan) Want(model string, version uint64) {
+// SetTarget notes the version that a model should be served with. It only grows.
+func (p *Planner) SetTarget(model string, version uint64) {
 	p.wanted[model] = max(p.wanted[model], version)
 }
 
-// Endpoints takes over the endpoints that are known now.
-func (p *Plan) Endpoints(endpoints []fleet.Endpoint) {
+// UpdateEndpoints takes over the endpoints that are known now.
+func (p *Planner) UpdateEndpoints(endpoints []fleet.Endpoint) {
 	present := make(map[tables.EndpointID]bool, len(endpoints))
 	for _, e := range endpoints {
 		if len(e.Weights) == 0 {
@@ -190,10 +190,10 @@
 	Sequence uint64
 }
 
-// Next returns what to do now. Each action's end must be handed in by Reported
+// NextActions returns what to do now. Each action's end must be handed in by Reported
 // or Ordered.
-func (p *Plan) Next(now tables.Instant) []Action {
-	if p.Settled() {
+func (p *Planner) NextActions(now tables.Instant) []Action {
+	if p.Converged() {
 		return nil
 	}
 	rows := p.sorted()
@@ -233,14 +233,14 @@
 }
 
 // order gives an engine the order that is due now.
-func (p *Plan) order(now tables.Instant, r *engineRow) Action {
+func (p *Planner) order(now tables.Instant, r *engineRow) Action {
 	model, version := p.missing(r)
 	r.phase, r.model, r.version, r.since, r.silent = ordering, model, version, now, false
 	r.ordered = r.sequence + 1
 	return Action{Endpoint: r.Endpoint, Model: model, Version: version, Sequence: r.sequence}
 }
 
-func (p *Plan) wantsAsk(now tables.Instant, r *engineRow) bool {
+func (p *Planner) wantsAsk(now tables.Instant, r *engineRow) bool {
 	if r.asking || now < r.askAt {
 		return false
 	}
@@ -253,7 +253,7 @@
 
 // missing returns a model that the engine serves in an older version, and the
 // version that it should have; 0 for none.
-func (p *Plan) missing(r *engineRow) (string, uint64) {
+func (p *Planner) missing(r *engineRow) (string, uint64) {
 	best := ""
 	for model, version := range r.Weights {
 		if version < p.wanted[model] && (best == "" || model < best) {
@@ -267,7 +267,7 @@
 // that zones take turns: no zone loses all its engines at once. Without the
 // first, engines that were brought up to date first would be so again when the
 // next version is named meanwhile, and the last ones never.
-func (p *Plan) sorted() []*engineRow {
+func (p *Planner) sorted() []*engineRow {
 	rows := make([]*engineRow, 0, len(p.rows))
 	for _, r := range p.rows {
 		rows = append(rows, r)
@@ -294,16 +294,16 @@
 	return lowest
 }
 
-func (p *Plan) atOnce() int {
-	if p.AtOnce > 0 {
-		return p.AtOnce
+func (p *Planner) atOnce() int {
+	if p.MaxConcurrent > 0 {
+		return p.MaxConcurrent
 	}
 	return max(minAtOnce, (len(p.rows)+loadDivisor-1)/loadDivisor)
 }
 
-// Reported takes an engine's report, or nil if it gave none. It says whether an
+// HandleReport takes an engine's report, or nil if it gave none. It says whether an
 // order is done.
-func (p *Plan) Reported(now tables.Instant, id tables.EndpointID, report *Report) bool {
+func (p *Planner) HandleReport(now tables.Instant, id tables.EndpointID, report *Report) bool {
 	r := p.rows[id]
 	if r == nil {
 		return false
@@ -338,14 +338,14 @@
 	return false
 }
 
-func (p *Plan) expire(now tables.Instant, r *engineRow) {
+func (p *Planner) expire(now tables.Instant, r *engineRow) {
 	if r.phase == loading && now-r.since > settleFor {
 		r.phase, r.known = idle, false
 	}
 }
 
-// Ordered takes an engine's answer to an order; zero for none.
-func (p *Plan) Ordered(now tables.Instant, id tables.EndpointID, taken Taken) {
+// HandleOrderResult takes an engine's answer to an order; zero for none.
+func (p *Planner) HandleOrderResult(now tables.Instant, id tables.EndpointID, taken OrderResult) {
 	r := p.rows[id]
 	if r == nil || r.phase != ordering {
 		return
@@ -353,10 +353,10 @@
 	switch taken {
 	case Accepted:
 		r.phase, r.since, r.askAt = loading, now, now+askAfterOrder
-	case Holds:
+	case AlreadyServing:
 		r.phase = idle
 		r.Weights[r.model] = max(r.Weights[r.model], r.version)
-	case Conflict, Refused, Fenced:
+	case Conflict, Rejected, Fenced:
 		r.phase, r.known, r.askAt = idle, false, now+askPeriod
 	default:
 		// The time counts from when the order was sent: a report that is younger
@@ -365,8 +365,8 @@
 	}
 }
 
-// Settled says whether every engine that can be had serves what is wanted.
-func (p *Plan) Settled() bool {
+// Converged says whether every engine that can be had serves what is wanted.
+func (p *Planner) Converged() bool {
 	for _, r := range p.rows {
 		if _, version := p.missing(r); version != 0 && !r.Draining || r.phase != idle {
 			return false
@@ -375,15 +375,15 @@
 	return true
 }
 
-// Loading says whether an engine gets an order or carries one out, as far as is
+// Updating says whether an engine gets an order or carries one out, as far as is
 // known.
-func (p *Plan) Loading(id tables.EndpointID) bool {
+func (p *Planner) Updating(id tables.EndpointID) bool {
 	r := p.rows[id]
 	return r != nil && r.phase != idle && !r.silent
 }
 
-// Closing lists the engines that get an order soon.
-func (p *Plan) Closing() []tables.EndpointID {
+// Cordoned lists the engines that get an order soon.
+func (p *Planner) Cordoned() []tables.EndpointID {
 	var ids []tables.EndpointID
 	for id, r := range p.rows {
 		if r.phase == closing {
--- a/control/rollout/plan_test.go
+++ b/control/rollout/planner_test.go
@@ -20,7 +20,7 @@
 
 // fleetSim plays a plan against engines in virtual time.
 type fleetSim struct {
-	plan    *Plan
+	plan    *Planner
 	now     tables.Instant
 	engines map[tables.EndpointID]*engineSim
 	// most is how many engines were loading at once.
@@ -33,7 +33,7 @@
 const loadTime = 400 * time.Millisecond
 
 func newFleetSim(n int) *fleetSim {
-	s := &fleetSim{plan: NewPlan(), engines: map[tables.EndpointID]*engineSim{}, lose: func(int) bool { return false }}
+	s := &fleetSim{plan: NewPlanner(), engines: map[tables.EndpointID]*engineSim{}, lose: func(int) bool { return false }}
 	var all []fleet.Endpoint
 	for i := range n {
 		id := tables.EndpointID(fmt.Sprintf("e%02d", i))
@@ -42,7 +42,7 @@
 			ID: id, Zone: tables.Zone([]string{"a", "b", "c"}[i%3]), Born: 1, Weights: map[string]uint64{"m": 1},
 		})
 	}
-	s.plan.Endpoints(all)
+	s.plan.UpdateEndpoints(all)
 	return s
 }
 
@@ -58,7 +58,7 @@
 		}
 	}
 	s.most = max(s.most, loading)
-	for _, action := range s.plan.Next(s.now) {
+	for _, action := range s.plan.NextActions(s.now) {
 		s.carryOut(action)
 	}
 }
@@ -66,7 +66,7 @@
 func (s *fleetSim) carryOut(action Action) {
 	e, id := s.engines[action.Endpoint.ID], action.Endpoint.ID
 	if action.Version == 0 {
-		s.plan.Reported(s.now, id, &Report{
+		s.plan.HandleReport(s.now, id, &Report{
 			Sequence: e.sequence, Busy: e.next != 0, Weights: map[string]uint64{"m": e.version},
 		})
 		return
@@ -74,13 +74,13 @@
 	s.orders++
 	switch {
 	case s.lose(s.orders):
-		s.plan.Ordered(s.now, id, 0)
+		s.plan.HandleOrderResult(s.now, id, 0)
 	case e.next != 0 || e.sequence != action.Sequence:
-		s.plan.Ordered(s.now, id, Conflict)
+		s.plan.HandleOrderResult(s.now, id, Conflict)
 	default:
 		e.sequence++
 		e.next, e.doneAt = action.Version, s.now+loadTime
-		s.plan.Ordered(s.now, id, Accepted)
+		s.plan.HandleOrderResult(s.now, id, Accepted)
 	}
 }
 
@@ -96,7 +96,7 @@
 				behind++
 			}
 		}
-		if behind == 0 && s.plan.Settled() {
+		if behind == 0 && s.plan.Converged() {
 			return s.now - begin
 		}
 	}
@@ -106,7 +106,7 @@
 
 func TestAllEnginesAreBroughtUpToDateFewAtATime(t *testing.T) {
 	s := newFleetSim(9)
-	s.plan.Want("m", 2)
+	s.plan.SetTarget("m", 2)
 	took := s.until(t, 2)
 	assert.Assert(t, took < 6*time.Second, "took %v", took)
 	assert.Assert(t, s.most <= 2, "%d engines were loading at once", s.most)
@@ -119,7 +119,7 @@
 func TestEnginesThatAreFurthestBehindComeFirst(t *testing.T) {
 	s := newFleetSim(9)
 	for version := uint64(2); version < 8; version++ {
-		s.plan.Want("m", version)
+		s.plan.SetTarget("m", version)
 		for range 20 {
 			s.step()
 		}
@@ -134,7 +134,7 @@
 func TestALostOrderIsGivenAgain(t *testing.T) {
 	s := newFleetSim(3)
 	s.lose = func(n int) bool { return n <= 2 }
-	s.plan.Want("m", 2)
+	s.plan.SetTarget("m", 2)
 	s.until(t, 2)
 	assert.Equal(t, s.orders, 5)
 }
@@ -144,19 +144,19 @@
 func TestALateOrderIsOutdated(t *testing.T) {
 	s := newFleetSim(1)
 	var late []Action
-	s.plan.Want("m", 2)
+	s.plan.SetTarget("m", 2)
 	for len(late) == 0 {
 		s.now += 50 * time.Millisecond
-		for _, action := range s.plan.Next(s.now) {
+		for _, action := range s.plan.NextActions(s.now) {
 			if action.Version == 0 {
 				s.carryOut(action)
 				continue
 			}
 			late = append(late, action)
-			s.plan.Ordered(s.now, action.Endpoint.ID, 0)
+			s.plan.HandleOrderResult(s.now, action.Endpoint.ID, 0)
 		}
 	}
-	s.plan.Want("m", 3)
+	s.plan.SetTarget("m", 3)
 	s.until(t, 3)
 	e := s.engines["e00"]
 	assert.Assert(t, late[0].Sequence != e.sequence, "the late order would still be taken")
@@ -166,28 +166,28 @@
 // again. What was known of its former life would make every order outdated.
 func TestARestartedEngineIsAskedAnew(t *testing.T) {
 	s := newFleetSim(1)
-	s.plan.Want("m", 2)
+	s.plan.SetTarget("m", 2)
 	s.until(t, 2)
 	s.engines["e00"] = &engineSim{version: 2}
-	s.plan.Endpoints([]fleet.Endpoint{{ID: "e00", Zone: "a", Born: 2, Weights: map[string]uint64{"m": 2}}})
-	s.plan.Want("m", 3)
+	s.plan.UpdateEndpoints([]fleet.Endpoint{{ID: "e00", Zone: "a", Born: 2, Weights: map[string]uint64{"m": 2}}})
+	s.plan.SetTarget("m", 3)
 	s.until(t, 3)
 }
 
 func TestDrainingEnginesGetNoOrders(t *testing.T) {
-	p := NewPlan()
-	p.Endpoints([]fleet.Endpoint{{ID: "e", Draining: true, Weights: map[string]uint64{"m": 1}}})
-	p.Want("m", 2)
-	assert.Equal(t, len(p.Next(time.Second)), 0)
-	assert.Equal(t, p.Settled(), true)
+	p := NewPlanner()
+	p.UpdateEndpoints([]fleet.Endpoint{{ID: "e", Draining: true, Weights: map[string]uint64{"m": 1}}})
+	p.SetTarget("m", 2)
+	assert.Equal(t, len(p.NextActions(time.Second)), 0)
+	assert.Equal(t, p.Converged(), true)
 }
 
 // Another holder has just given an engine an order. It has to rest, and the
 // others must not wait for it: requests would begin on old weights meanwhile.
 func TestAnEngineThatRestsDoesNotHoldUpTheOthers(t *testing.T) {
 	s := newFleetSim(4)
-	s.plan.Quiet("e00", 3*time.Second)
-	s.plan.Want("m", 2)
+	s.plan.DelayOrders("e00", 3*time.Second)
+	s.plan.SetTarget("m", 2)
 	for s.now < 2500*time.Millisecond {
 		s.step()
 	}
@@ -206,7 +206,7 @@
 func TestAnOrderWithoutAnAnswerHoldsNobodyUp(t *testing.T) {
 	s := newFleetSim(10)
 	s.lose = func(n int) bool { return n <= 2 }
-	s.plan.Want("m", 2)
+	s.plan.SetTarget("m", 2)
 	for s.orders < 2 {
 		s.step()
 	}
@@ -215,7 +215,7 @@
 	for id, r := range s.plan.rows {
 		if r.silent {
 			silent++
-			assert.Equal(t, s.plan.Loading(id), false)
+			assert.Equal(t, s.plan.Updating(id), false)
 		}
 	}
 	assert.Equal(t, silent, 2)
--- a/node/control.go
+++ b/node/control.go
@@ -67,23 +67,23 @@
 		return trace.Wrap(err)
 	}
 	n.fleet = fleet.NewTable(n.boot)
-	n.runner = rollout.NewRunner(rollout.Options{
-		Engines:  n.options.Platform.Engines,
-		Executor: n.replica,
-		Leads:    func() bool { return n.replica.Status().Leads },
-		Fleet:    n.fleet,
-		Wanted:   func() map[string]uint64 { return n.deployment.Wanted() },
-		Instance: s.Instance,
-		Boot:     n.boot,
-		LeaseFor: min(s.Orders.Lease, ordersLease),
-		TurnFor:  s.Orders.Lease,
-		Fenced:   s.Orders.Fenced,
-		Strategy: rollout.KeepRuns,
-		Now:      boottime.Now,
-		Log:      n.log,
+	n.runner = rollout.NewController(rollout.Options{
+		Engines:           n.options.Platform.Engines,
+		Executor:          n.replica,
+		IsLeader:          func() bool { return n.replica.Status().Leads },
+		Fleet:             n.fleet,
+		TargetVersions:    func() map[string]uint64 { return n.deployment.Wanted() },
+		Instance:          s.Instance,
+		Boot:              n.boot,
+		LeaseDuration:     min(s.Orders.Lease, ordersLease),
+		HandoverDelay:     s.Orders.Lease,
+		EnginesCheckFence: s.Orders.Fenced,
+		Strategy:          rollout.RetainRequests,
+		Now:               boottime.Now,
+		Log:               n.log,
 	})
 	n.deployment = deployment.NewService(deployment.Options{
-		Replica: n.replica, Fleet: n.fleet, GivesOrders: n.runner.Holds, Now: boottime.Now,
+		Replica: n.replica, Fleet: n.fleet, GivesOrders: n.runner.HoldsLease, Now: boottime.Now,
 	})
 	n.measureControl()
 	n.background.Go(func() { n.deployment.Run(n.stopping) })
--- a/node/measure.go
+++ b/node/measure.go
@@ -20,7 +20,7 @@
 		leads.Update(flag(status.Leads))
 		voter.Update(flag(status.Voter))
 		lag.Update(lagSeconds(status.Lag))
-		orders.Update(flag(n.runner.Holds()))
+		orders.Update(flag(n.runner.HoldsLease()))
 		latest := max(n.listRead.Load(), n.followed.Load())
 		listed.Update((n.now() - time.Duration(latest)).Seconds())
 		n.replica.View(func(st *state.State) {
--- a/node/node.go
+++ b/node/node.go
@@ -45,7 +45,7 @@
 	// List reads the platform's list of endpoints at an address.
 	List func(at netip.AddrPort) Lister
 	// Engines speaks with engines about their weights.
-	Engines rollout.Engines
+	Engines rollout.EngineClient
 	// Caches asks engines and stores what they keep of prompts; nil where they do
 	// not tell.
 	Caches engine.Reporter
@@ -123,7 +123,7 @@
 	replica    *server.Server
 	fleet      *fleet.Table
 	deployment *deployment.Service
-	runner     *rollout.Runner
+	runner     *rollout.Controller
 	stores     stores
 	// knownAt is when the entry first had a configuration and endpoints; 0 for never.
 	knownAt atomic.Int64
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -65,7 +65,7 @@
 	return rollout.Report{Sequence: p.sequence, Weights: map[string]uint64{"m": p.version}}, nil
 }
 
-func (p *standinPlatform) Order(_ context.Context, _ fleet.Endpoint, order rollout.Order) (rollout.Taken, error) {
+func (p *standinPlatform) Order(_ context.Context, _ fleet.Endpoint, order rollout.Order) (rollout.OrderResult, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fences = append(p.fences, order.Fence)
