--- a/control/orders/runner.go
+++ b/control/orders/controller.go
@@ -37,8 +37,8 @@
 	parallel = 16
 )
 
-// Orderer gives orders to endpoints; *engine.HTTPClient is one.
-type Orderer interface {
+// EngineClient gives orders to endpoints; *engine.HTTPClient is one.
+type EngineClient interface {
 	Order(ctx context.Context, at netip.AddrPort, order engine.Order) (engine.OrderState, error)
 	OrderState(ctx context.Context, at netip.AddrPort) (engine.OrderState, error)
 }
@@ -46,23 +46,23 @@
 // Options sets a Runner up.
 type Options struct {
 	Executor client.Executor
-	Orderer  Orderer
+	Engines  EngineClient
 	Instance tables.InstanceID
 	Boot     uint64
 	Now      func() tables.Instant
 	// Configuration returns what is in force, nil for nothing yet.
 	Configuration func() *tables.Configuration
-	// Loads returns the counted loads as far as this replica knows them.
-	Loads func() []*rpc.Load
-	Log   *zap.Logger
+	// CountedLoads returns the counted loads as far as this replica knows them.
+	CountedLoads func() []*rpc.Load
+	Log          *zap.Logger
 }
 
-// Runner gives orders while it holds the lease.
-type Runner struct {
+// Controller gives orders while it holds the lease.
+type Controller struct {
 	options Options
 	lease   *client.Lease
 	// views and read are used by one step at a time.
-	views map[tables.EndpointID]View
+	views map[tables.EndpointID]Observation
 	read  map[tables.EndpointID]tables.Instant
 	// askAgain is when the lease is worth asking for again.
 	askAgain tables.Instant
@@ -70,12 +70,12 @@
 	lostSince map[tables.EndpointID]tables.Instant
 }
 
-// NewRunner returns a runner that holds nothing yet.
-func NewRunner(options Options) *Runner {
+// NewController returns a runner that holds nothing yet.
+func NewController(options Options) *Controller {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
 	}
-	return &Runner{
+	return &Controller{
 		options: options,
 		lease: client.NewLease(client.LeaseOptions{
 			Executor: options.Executor,
@@ -85,14 +85,14 @@
 			Duration: LeaseDuration,
 			Now:      options.Now,
 		}),
-		views:     map[tables.EndpointID]View{},
+		views:     map[tables.EndpointID]Observation{},
 		read:      map[tables.EndpointID]tables.Instant{},
 		lostSince: map[tables.EndpointID]tables.Instant{},
 	}
 }
 
 // Run steps until the context ends, and then gives the lease up.
-func (r *Runner) Run(ctx context.Context) {
+func (r *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -112,19 +112,19 @@
 
 // Step renews the lease where needed and does what is due. It returns within
 // the lease.
-func (r *Runner) Step(ctx context.Context) {
+func (r *Controller) Step(ctx context.Context) {
 	c := r.options.Configuration()
 	if c == nil || !r.hold(ctx) {
 		return
 	}
 	r.readEndpoints(ctx, c)
-	plan := MakePlan(c, r.views, r.options.Loads())
-	for _, endpoint := range plan.End {
+	plan := ComputePlan(c, r.views, r.options.CountedLoads())
+	for _, endpoint := range plan.Ended {
 		r.end(ctx, endpoint)
 	}
 	addresses := addressesOf(c)
 	var orders sync.WaitGroup
-	for _, load := range append(plan.Repeat, plan.Start...) {
+	for _, load := range append(plan.Resend, plan.Start...) {
 		at := addresses[load.Endpoint]
 		delete(r.read, load.Endpoint)
 		orders.Go(func() { r.load(ctx, at, load) })
@@ -133,7 +133,7 @@
 }
 
 // hold renews the lease when a good part of it has passed.
-func (r *Runner) hold(ctx context.Context) bool {
+func (r *Controller) hold(ctx context.Context) bool {
 	_, left := r.lease.Held()
 	if left < renewAt && r.options.Now() >= r.askAgain {
 		bounded, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -163,7 +163,7 @@
 // load has one load counted and then gives the order. An endpoint that does not
 // check fencing numbers takes any order, so the lease must last longer than the
 // order can take; the order is cut off when it ends.
-func (r *Runner) load(ctx context.Context, at netip.AddrPort, load Load) {
+func (r *Controller) load(ctx context.Context, at netip.AddrPort, load Load) {
 	fence, left := r.lease.Held()
 	if left < 2*orderTimeout {
 		return
@@ -183,7 +183,7 @@
 	}
 	ordering, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
-	_, err := r.options.Orderer.Order(ordering, at, order)
+	_, err := r.options.Engines.Order(ordering, at, order)
 	var old *engine.OldFence
 	if errors.As(err, &old) {
 		events.OrderFenced.Log(r.options.Log, zap.String("endpoint", string(load.Endpoint)),
@@ -198,7 +198,7 @@
 }
 
 // count takes a place at the weight store for the load.
-func (r *Runner) count(ctx context.Context, fence tables.Fence, load Load) bool {
+func (r *Controller) count(ctx context.Context, fence tables.Fence, load Load) bool {
 	result, err := r.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_StartLoad{
 		StartLoad: &rpc.StartLoad{
 			Lease:    LeaseName,
@@ -211,7 +211,7 @@
 	return err == nil && result.GetDone() != nil
 }
 
-func (r *Runner) end(ctx context.Context, endpoint tables.EndpointID) {
+func (r *Controller) end(ctx context.Context, endpoint tables.EndpointID) {
 	fence, left := r.lease.Held()
 	if left <= 0 {
 		return
@@ -228,7 +228,7 @@
 
 // readEndpoints reads back the endpoints that are due: those with a counted
 // load every time, the others now and then.
-func (r *Runner) readEndpoints(ctx context.Context, c *tables.Configuration) {
+func (r *Controller) readEndpoints(ctx context.Context, c *tables.Configuration) {
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -238,7 +238,7 @@
 		slots <- struct{}{}
 		reads.Go(func() {
 			defer func() { <-slots }()
-			state, err := r.options.Orderer.OrderState(bounded, endpoint.Address)
+			state, err := r.options.Engines.OrderState(bounded, endpoint.Address)
 			mu.Lock()
 			defer mu.Unlock()
 			r.note(endpoint.ID, state, err)
@@ -248,9 +248,9 @@
 }
 
 // due returns the engines to read now.
-func (r *Runner) due(c *tables.Configuration) []tables.Endpoint {
+func (r *Controller) due(c *tables.Configuration) []tables.Endpoint {
 	loading := map[tables.EndpointID]bool{}
-	for _, row := range r.options.Loads() {
+	for _, row := range r.options.CountedLoads() {
 		loading[tables.EndpointID(row.GetEndpoint())] = true
 	}
 	every := max(minReadEvery, time.Duration(len(c.Endpoints))*time.Second/readsPerSecond)
@@ -267,12 +267,12 @@
 }
 
 // note keeps what was read.
-func (r *Runner) note(endpoint tables.EndpointID, state engine.OrderState, err error) {
+func (r *Controller) note(endpoint tables.EndpointID, state engine.OrderState, err error) {
 	now := r.options.Now()
 	r.read[endpoint] = now
 	if err == nil {
 		delete(r.lostSince, endpoint)
-		r.views[endpoint] = View{Known: true, State: state}
+		r.views[endpoint] = Observation{Known: true, State: state}
 		return
 	}
 	since, lost := r.lostSince[endpoint]
@@ -281,7 +281,7 @@
 		r.lostSince[endpoint] = now
 	}
 	view := r.views[endpoint]
-	view.LostFor = max(1, now-since)
+	view.UnreachableFor = max(1, now-since)
 	r.views[endpoint] = view
 }
 
--- a/control/orders/orders_test.go
+++ b/control/orders/orders_test.go
@@ -37,7 +37,7 @@
 // may run slower or faster than real time.
 type seat struct {
 	fleet  *fleet
-	runner *Runner
+	runner *Controller
 	cut    bool
 	rate   float64
 	orders int
@@ -66,14 +66,14 @@
 	f.apply()
 	for i := range runners {
 		s := &seat{fleet: f, rate: 1}
-		s.runner = NewRunner(Options{
+		s.runner = NewController(Options{
 			Executor:      s,
-			Orderer:       s,
+			Engines:       s,
 			Instance:      tables.InstanceID(fmt.Sprint("i", i)),
 			Boot:          1,
 			Now:           func() tables.Instant { return time.Duration(float64(f.now) * s.rate) },
 			Configuration: func() *tables.Configuration { return f.wanted },
-			Loads:         func() []*rpc.Load { return f.state.Loads() },
+			CountedLoads:  func() []*rpc.Load { return f.state.Loads() },
 		})
 		f.runners = append(f.runners, s)
 	}
--- a/control/orders/plan.go
+++ b/control/orders/plan.go
@@ -19,12 +19,12 @@
 // place at the weight store. No load takes this long, so by then it has ended.
 const abandonAfter = 10 * time.Minute
 
-// View is what was last read of an endpoint.
-type View struct {
+// Observation is what was last read of an endpoint.
+type Observation struct {
 	Known bool
 	State engine.OrderState
-	// LostFor is how long the endpoint has not answered, zero if it does.
-	LostFor time.Duration
+	// UnreachableFor is how long the endpoint has not answered, zero if it does.
+	UnreachableFor time.Duration
 }
 
 // Load is one thing that an endpoint has to load.
@@ -59,21 +59,21 @@
 
 // Plan is what to do now.
 type Plan struct {
-	// End lists endpoints whose loads have ended.
-	End []tables.EndpointID
-	// Repeat lists counted loads whose order has to be given again, Start new
+	// Ended lists endpoints whose loads have ended.
+	Ended []tables.EndpointID
+	// Resend lists counted loads whose order has to be given again, Start new
 	// ones that fit in.
-	Repeat []Load
+	Resend []Load
 	Start  []Load
 }
 
-// MakePlan compares what is wanted with what was read back. Rows are the loads
+// ComputePlan compares what is wanted with what was read back. Rows are the loads
 // that count against the limit, whoever started them.
 //
 // A load ends only by what the endpoint says: that it serves what was loaded,
 // or that it loads nothing. In the second case the order was lost, or the
 // endpoint restarted; the place is kept and the order repeated.
-func MakePlan(c *tables.Configuration, views map[tables.EndpointID]View, rows []*rpc.Load) Plan {
+func ComputePlan(c *tables.Configuration, views map[tables.EndpointID]Observation, rows []*rpc.Load) Plan {
 	var plan Plan
 	busy := map[tables.EndpointID]bool{}
 	wanted := map[tables.EndpointID][]Load{}
@@ -86,22 +86,22 @@
 		load := loadOf(row)
 		view := views[load.Endpoint]
 		switch {
-		case !view.Known || view.LostFor > 0:
-			if view.LostFor >= abandonAfter {
-				plan.End = append(plan.End, load.Endpoint)
+		case !view.Known || view.UnreachableFor > 0:
+			if view.UnreachableFor >= abandonAfter {
+				plan.Ended = append(plan.Ended, load.Endpoint)
 				continue
 			}
 			busy[load.Endpoint] = true
 		case !slices.Contains(wanted[load.Endpoint], load):
 			if view.State.Loading == 0 {
-				plan.End = append(plan.End, load.Endpoint)
+				plan.Ended = append(plan.Ended, load.Endpoint)
 				continue
 			}
 			busy[load.Endpoint] = true
 		default:
 			busy[load.Endpoint] = true
 			if view.State.Loading == 0 {
-				plan.Repeat = append(plan.Repeat, load)
+				plan.Resend = append(plan.Resend, load)
 			}
 		}
 	}
@@ -111,8 +111,8 @@
 
 // missing returns what an endpoint should have and has not; nothing for one
 // that was not read. A model comes before its adapters.
-func missing(c *tables.Configuration, endpoint tables.Endpoint, view View) []Load {
-	if !view.Known || view.LostFor > 0 {
+func missing(c *tables.Configuration, endpoint tables.Endpoint, view Observation) []Load {
+	if !view.Known || view.UnreachableFor > 0 {
 		return nil
 	}
 	var loads []Load
@@ -138,7 +138,7 @@
 // starts returns the first load of each endpoint that is not busy, as many as
 // the weight store has room for. Loads that an endpoint runs without a row, as
 // after its operators' own orders, take room too.
-func starts(c *tables.Configuration, views map[tables.EndpointID]View, wanted map[tables.EndpointID][]Load, busy map[tables.EndpointID]bool) []Load {
+func starts(c *tables.Configuration, views map[tables.EndpointID]Observation, wanted map[tables.EndpointID][]Load, busy map[tables.EndpointID]bool) []Load {
 	room := max(1, c.WeightLoads) - len(busy)
 	var all []Load
 	for id, loads := range wanted {
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -26,14 +26,14 @@
 // startOrders lets this instance give orders to endpoints whenever it holds the
 // lease.
 func (d *Daemon) startOrders() {
-	runner := orders.NewRunner(orders.Options{
+	runner := orders.NewController(orders.Options{
 		Executor:      d.replica,
-		Orderer:       d.client,
+		Engines:       d.client,
 		Instance:      d.options.Process.Instance,
 		Boot:          d.boot,
 		Now:           d.now,
 		Configuration: d.configurationInForce,
-		Loads:         d.countedLoads,
+		CountedLoads:  d.countedLoads,
 		Log:           d.options.Log,
 	})
 	d.background.Go(func() { runner.Run(d.stopping) })
