--- a/dispatch/adopt.go
+++ b/dispatch/adopt.go
@@ -91,7 +91,7 @@
 	row.adopted.tokens += a.tokens
 	row.adopted.prefill += a.prefill
 	for _, part := range r.Shared {
-		key := part.Name.Under(a.Weights)
+		key := part.Name.KeyAt(a.Weights)
 		if _, fresh := d.holders.note(now, now+a.Expected+ownReady, key, row); fresh {
 			a.placed = append(a.placed, key)
 		}
--- a/dispatch/adopt_test.go
+++ b/dispatch/adopt_test.go
@@ -61,7 +61,7 @@
 	d, _ := world(4)
 	r := ask(7)
 	chosen, _ := d.Place(0, r)
-	key := r.Shared[0].Name.Under(chosen.Weights)
+	key := r.Shared[0].Name.KeyAt(chosen.Weights)
 	report := Placement{Endpoint: chosen.Endpoint.ID, Key: key, Dropped: true}
 	assert.Assert(t, !d.Reported(dropGrace/2, report), "the word is older than the placement")
 	assert.Assert(t, d.Reported(time.Second, report))
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -23,11 +23,11 @@
 				id := tables.EndpointID(fmt.Sprintf("e%d", i))
 				var keys []parts.Key
 				if i%3 == 0 {
-					keys = append(keys, parts.Name(1).Under(1))
+					keys = append(keys, parts.ID(1).KeyAt(1))
 				}
 				for p := range prompts {
 					if (p+i)%n < 3 {
-						keys = append(keys, parts.Name(100+p).Under(1))
+						keys = append(keys, parts.ID(100+p).KeyAt(1))
 					}
 				}
 				d.Kept(time.Second, id, keys, nil, true)
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -26,7 +26,7 @@
 // demand counts requests for parts of prompts at this instance, as a sum that
 // decays.
 type demand struct {
-	rows    map[parts.Name]demandRow
+	rows    map[parts.ID]demandRow
 	sweptAt tables.Instant
 }
 
@@ -47,14 +47,14 @@
 }
 
 // note counts a request for a part.
-func (d *demand) note(now tables.Instant, part parts.Name) {
+func (d *demand) note(now tables.Instant, part parts.ID) {
 	if now-d.sweptAt > demandGone || len(d.rows) > maxHeld {
 		d.sweep(now)
 	}
 	d.rows[part] = demandRow{count: d.count(now, part) + 1, at: now}
 }
 
-func (d *demand) count(now tables.Instant, part parts.Name) float64 {
+func (d *demand) count(now tables.Instant, part parts.ID) float64 {
 	row := d.rows[part]
 	return row.count * decay(now-row.at, demandKeep)
 }
@@ -78,7 +78,7 @@
 // A part that nobody has read has a home, so that instances which meet it at the
 // same moment read it once. Where a part is asked for every few seconds that is
 // not to be feared, and holding to a home that is slow or busy makes answers late.
-func (d *Dispatcher) collision(now tables.Instant, part parts.Name) float64 {
+func (d *Dispatcher) collision(now tables.Instant, part parts.ID) float64 {
 	own := (d.demand.count(now, part) + demandFirst) / demandKeep.Seconds()
 	return 1 - math.Exp(-own*(d.placers*tellDelay.Seconds()+d.remotePlacers*remoteDelay.Seconds()))
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -71,7 +71,7 @@
 
 // SharedPart is a part of a prompt.
 type SharedPart struct {
-	Name parts.Name
+	Name parts.ID
 	// Tokens counts those of the prompt up to the end of the part.
 	Tokens int
 }
@@ -261,7 +261,7 @@
 		peers:          firstPeers,
 		placers:        firstPeers - 1,
 		averages:       map[string]*averages{},
-		demand:         demand{rows: map[parts.Name]demandRow{}},
+		demand:         demand{rows: map[parts.ID]demandRow{}},
 		zoneAnsweredAt: map[tables.Zone]tables.Instant{},
 		holders:        holders{rows: map[parts.Key][]holder{}},
 	}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -40,7 +40,7 @@
 func ask(part uint64) *Request {
 	return &Request{
 		Service: models, Route: &routes.Route{}, Model: "m", PromptTokens: 5000, OutputTokens: 50,
-		Shared:   []SharedPart{{Name: 1, Tokens: 2000}, {Name: parts.Name(part), Tokens: 4000}},
+		Shared:   []SharedPart{{Name: 1, Tokens: 2000}, {Name: parts.ID(part), Tokens: 4000}},
 		Deadline: time.Hour, HoldUntil: time.Hour,
 	}
 }
--- a/dispatch/holders.go
+++ b/dispatch/holders.go
@@ -163,7 +163,7 @@
 // uses there.
 func (d *Dispatcher) place(now tables.Instant, r *Request, a *Attempt) {
 	for _, part := range r.Shared {
-		key := part.Name.Under(a.Weights)
+		key := part.Name.KeyAt(a.Weights)
 		one, fresh := d.holders.note(now, now+a.Expected+ownReady, key, a.row)
 		if fresh {
 			a.placed = append(a.placed, key)
@@ -189,7 +189,7 @@
 	a.Store, a.store = store.Endpoint, store
 	a.sending = r.transferTime(a.row, store) * float64(r.PromptTokens)
 	for _, part := range r.Shared {
-		key := part.Name.Under(a.Weights)
+		key := part.Name.KeyAt(a.Weights)
 		one, fresh := d.holders.note(now, now+a.Expected+storeReady, key, store)
 		if fresh {
 			one.reportedAt = now
--- a/dispatch/kept_test.go
+++ b/dispatch/kept_test.go
@@ -14,7 +14,7 @@
 func keysOf(r *Request) []parts.Key {
 	var keys []parts.Key
 	for _, part := range r.Shared {
-		keys = append(keys, part.Name.Under(1))
+		keys = append(keys, part.Name.KeyAt(1))
 	}
 	return keys
 }
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -49,9 +49,9 @@
 func (d *Dispatcher) view(now tables.Instant, r *Request, version uint64, rows []*endpointRow) view {
 	d.viewed++
 	v := view{version: version, stamp: d.viewed}
-	cold, found := parts.Name(0), false
+	cold, found := parts.ID(0), false
 	for i, part := range r.Shared {
-		holding := d.holders.of(now, part.Name.Under(version))
+		holding := d.holders.of(now, part.Name.KeyAt(version))
 		v.levels = append(v.levels, holding)
 		v.mark(now, r, i, holding)
 		switch {
@@ -81,7 +81,7 @@
 // chooseHome picks the endpoint that a part which nobody holds belongs to: the
 // one with the highest draw of a hash over the endpoint and the part. Instances
 // that meet a new part at the same moment send it to one place without a word.
-func (v *view) chooseHome(now tables.Instant, r *Request, part parts.Name, rows []*endpointRow) {
+func (v *view) chooseHome(now tables.Instant, r *Request, part parts.ID, rows []*endpointRow) {
 	for _, row := range rows {
 		if row.Draining || row.Loading || row.Weights[r.Model] != v.version || row.doubtNow(now) > homeDoubt || row.absence(now) > 0 {
 			continue
--- a/parts/parts.go
+++ b/parts/parts.go
@@ -16,24 +16,24 @@
 // Key names a part under one weights version.
 type Key uint64
 
-// Name names a part whatever the weights.
-type Name uint64
+// ID names a part whatever the weights.
+type ID uint64
 
-// NameOf is the name of a model's part. The scope keeps those apart that must
+// NewID is the name of a model's part. The scope keeps those apart that must
 // not share: the organisation of an isolated one, or empty.
-func NameOf(model, scope, id string) Name {
+func NewID(model, scope, id string) ID {
 	var d xxhash.Digest
 	d.Reset()
 	for _, text := range []string{scope, model, id} {
 		_, _ = d.WriteString(text)
 		_, _ = d.Write([]byte{0})
 	}
-	return Name(d.Sum64())
+	return ID(d.Sum64())
 }
 
-// Under is the key of a part that was made under a version: what was made under
+// KeyAt is the key of a part that was made under a version: what was made under
 // another one must not be used.
-func (n Name) Under(version uint64) Key {
+func (n ID) KeyAt(version uint64) Key {
 	return Key(placement.Mix(uint64(n) ^ version*0x9e3779b97f4a7c15))
 }
 
@@ -47,14 +47,14 @@
 	return saltPrefix + strconv.FormatUint(version, 10) + "/" + scope
 }
 
-// KeyOf is the key of a part that an engine names; false if the salt is not one
+// ParseKey is the key of a part that an engine names; false if the salt is not one
 // of this system's.
-func KeyOf(salt, model, id string) (Key, bool) {
+func ParseKey(salt, model, id string) (Key, bool) {
 	text, marked := strings.CutPrefix(salt, saltPrefix)
 	number, scope, split := strings.Cut(text, "/")
 	version, err := strconv.ParseUint(number, 10, 64)
 	if !marked || !split || err != nil {
 		return 0, false
 	}
-	return NameOf(model, scope, id).Under(version), true
+	return NewID(model, scope, id).KeyAt(version), true
 }
--- a/parts/parts_test.go
+++ b/parts/parts_test.go
@@ -9,9 +9,9 @@
 // What an engine says that it keeps must be found by the requests that made it.
 func TestAnEnginesWordLeadsToTheRequestsKey(t *testing.T) {
 	for _, scope := range []string{"", "org", "a/b"} {
-		key, ok := KeyOf(Salt(12, scope), "m", "5c1e07a2")
+		key, ok := ParseKey(Salt(12, scope), "m", "5c1e07a2")
 		assert.Assert(t, ok)
-		assert.Equal(t, key, NameOf("m", scope, "5c1e07a2").Under(12))
+		assert.Equal(t, key, NewID("m", scope, "5c1e07a2").KeyAt(12))
 	}
 }
 
@@ -22,7 +22,7 @@
 	for _, version := range []uint64{1, 2} {
 		for _, scope := range []string{"", "a", "b"} {
 			for _, model := range []string{"m", "n"} {
-				keys[NameOf(model, scope, "1").Under(version)] = true
+				keys[NewID(model, scope, "1").KeyAt(version)] = true
 			}
 		}
 	}
@@ -31,7 +31,7 @@
 
 func TestOtherSaltsAreNotOurs(t *testing.T) {
 	for _, salt := range []string{"", "w", "w1", "x1/", "w/a", "wx/a", "1/a"} {
-		_, ok := KeyOf(salt, "m", "1")
+		_, ok := ParseKey(salt, "m", "1")
 		assert.Assert(t, !ok, salt)
 	}
 }
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -61,7 +61,7 @@
 		Remote:        true,
 	}
 	for _, part := range q.GetShared() {
-		r.Shared = append(r.Shared, dispatch.SharedPart{Name: parts.Name(part.GetName()), Tokens: int(part.GetTokens())})
+		r.Shared = append(r.Shared, dispatch.SharedPart{Name: parts.ID(part.GetName()), Tokens: int(part.GetTokens())})
 	}
 	for _, id := range q.GetTried() {
 		r.Tried = append(r.Tried, tables.EndpointID(id))
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-func generation(p *placer, prompt parts.Name) *dispatch.Request {
+func generation(p *placer, prompt parts.ID) *dispatch.Request {
 	return &dispatch.Request{
 		Service: p.service, Route: &routes.Route{Target: time.Second}, Model: model,
 		PromptTokens: 1000, OutputTokens: 10, Arrived: p.now, Deadline: p.now + 5*time.Second, HoldUntil: p.now,
@@ -140,7 +140,7 @@
 	z := newZone(func() tables.Instant { return p.now }, p)
 	var open []*Assignment
 	for i := range 6 {
-		assignment := z.client.Ask(t.Context(), generation(p, parts.Name(i)))
+		assignment := z.client.Ask(t.Context(), generation(p, parts.ID(i)))
 		assert.Equal(t, assignment.Reason, dispatch.Reason(""))
 		open = append(open, assignment)
 	}
@@ -157,10 +157,10 @@
 func TestRequestsOfOnePromptHaveOneScheduler(t *testing.T) {
 	first, second := newPlacer(3), newPlacer(3)
 	z := newZone(func() tables.Instant { return first.now }, first, second)
-	at := map[parts.Name]netip.AddrPort{}
+	at := map[parts.ID]netip.AddrPort{}
 	used := map[netip.AddrPort]bool{}
 	for i := range 40 {
-		prompt := parts.Name(i % 20)
+		prompt := parts.ID(i % 20)
 		assert.Assert(t, z.client.Ask(t.Context(), generation(first, prompt)) != nil)
 		asked := z.asked[len(z.asked)-1]
 		if before, known := at[prompt]; known {
@@ -178,7 +178,7 @@
 	z := newZone(func() tables.Instant { return first.now }, first, second)
 	z.silent[address(1)] = true
 	for i := range 20 {
-		assert.Assert(t, z.client.Ask(t.Context(), generation(first, parts.Name(i))) != nil, "the other one chooses")
+		assert.Assert(t, z.client.Ask(t.Context(), generation(first, parts.ID(i))) != nil, "the other one chooses")
 	}
 	asked := 0
 	for _, at := range z.asked {
@@ -190,7 +190,7 @@
 	z.silent[address(1)] = false
 	first.now += silentPause
 	for i := range 20 {
-		z.client.Ask(t.Context(), generation(first, parts.Name(i)))
+		z.client.Ask(t.Context(), generation(first, parts.ID(i)))
 	}
 	assert.Assert(t, len(z.asked) > 41-20)
 	assert.Assert(t, first.running() > 0, "it is asked again")
@@ -215,7 +215,7 @@
 	z := newZone(func() tables.Instant { return p.now }, p)
 	z.lost = func(m *rpc.ScheduleMessage) bool { return m.GetProgress() != nil }
 	for i := range 4 {
-		z.client.Ask(t.Context(), generation(p, parts.Name(i))).Ended(dispatch.Completed)
+		z.client.Ask(t.Context(), generation(p, parts.ID(i))).Ended(dispatch.Completed)
 	}
 	assert.Equal(t, z.client.Ask(t.Context(), generation(p, 9)).Reason, dispatch.Full)
 	p.now += 5*time.Second + endMargin
