--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -173,7 +173,7 @@
 
 // end notes in the decisions how the attempt ended.
 func (t *try) end(how dispatch.End) {
-	t.assignment.Ended(how)
+	t.assignment.NotifyEnded(how)
 	if how != dispatch.Unreachable && how != dispatch.Lost {
 		t.job.ask.Arrivals++
 	}
@@ -195,7 +195,7 @@
 
 // began notes in the decisions that the endpoint works on the request.
 func (t *try) began() {
-	t.assignment.Began()
+	t.assignment.NotifyStarted()
 	s := t.job.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -24,7 +24,7 @@
 		if chosen == nil || s.withinLimit(j, chosen) {
 			return chosen, reason
 		}
-		j.assignment.Ended(dispatch.Limited)
+		j.assignment.NotifyEnded(dispatch.Limited)
 		j.assignment = nil
 		j.limited++
 	}
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -129,7 +129,7 @@
 // Guards against a limit that ends with an answer which is not the endpoint's work.
 func TestOnlyAnEndpointsOwnAnswerLiftsItsLimit(t *testing.T) {
 	r := newRig(t, says(200, "ok"))
-	chosen, reason := r.server.PlaceFor(&dispatch.Request{
+	chosen, reason := r.server.PlaceRequest(&dispatch.Request{
 		Service: r.server.Service("desk"), Route: &routes.Route{}, Deadline: time.Hour,
 	})
 	assert.Assert(t, chosen != nil, reason)
--- a/forward/place.go
+++ b/forward/place.go
@@ -66,7 +66,7 @@
 	if chosen, reason, decided := s.placeByScheduler(j); decided {
 		return chosen, reason
 	}
-	return s.PlaceFor(&j.ask)
+	return s.PlaceRequest(&j.ask)
 }
 
 func (s *Server) verdict(j *job) quarantine.Verdict {
--- a/forward/scheduled.go
+++ b/forward/scheduled.go
@@ -40,7 +40,7 @@
 			j.assignment = assignment
 			return chosen, "", true
 		}
-		assignment.Ended(dispatch.Cancelled)
+		assignment.NotifyEnded(dispatch.Cancelled)
 		ask.Tried = append(slices.Clone(ask.Tried), assignment.Choice.Endpoint)
 	}
 	return nil, "", false
@@ -71,24 +71,24 @@
 	return nil
 }
 
-// PlaceFor chooses an endpoint and counts the attempt there. It returns nil and the
+// PlaceRequest chooses an endpoint and counts the attempt there. It returns nil and the
 // reason if there is none now.
-func (s *Server) PlaceFor(r *dispatch.Request) (*dispatch.Attempt, dispatch.Reason) {
+func (s *Server) PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.Reason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dispatch.Place(s.options.Now(), r)
 }
 
-// BeganFor notes that an attempt's endpoint works on the request.
-func (s *Server) BeganFor(a *dispatch.Attempt) {
+// AttemptStarted notes that an attempt's endpoint works on the request.
+func (s *Server) AttemptStarted(a *dispatch.Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dispatch.Began(s.options.Now(), a)
 }
 
-// EndedFor notes the end of an attempt. An endpoint that the attempt could not reach is
+// AttemptEnded notes the end of an attempt. An endpoint that the attempt could not reach is
 // looked after here too: this instance goes on choosing for others.
-func (s *Server) EndedFor(a *dispatch.Attempt, how dispatch.End) {
+func (s *Server) AttemptEnded(a *dispatch.Attempt, how dispatch.End) {
 	s.endedFor(a, how)
 	if how == dispatch.Unreachable || how == dispatch.Lost {
 		s.reach.look(a.Endpoint)
--- a/node/entry.go
+++ b/node/entry.go
@@ -143,7 +143,7 @@
 // hintsOfRequests is what has changed since the last call of where this
 // instance placed parts of prompts and of what it has at endpoints.
 func (n *Node) hintsOfRequests() membership.Hints {
-	n.schedules.Sweep()
+	n.schedules.ExpireAttempts()
 	placements, loads := n.entry.News()
 	var hints membership.Hints
 	for _, p := range placements {
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -19,7 +19,7 @@
 func (n *Node) startScheduling() *schedule.Client {
 	n.scheduling = schedule.NewClient(schedule.ClientOptions{
 		Self:       n.options.Settings.Instance,
-		Boot:       n.boot,
+		BootEpoch:  n.boot,
 		Schedulers: n.schedulers,
 		Send:       n.sendSchedule,
 		Now:        n.now,
@@ -65,9 +65,9 @@
 	number := message.GetNumber()
 	switch {
 	case message.GetAnswer() != nil:
-		n.scheduling.Answered(from.Address, number, message.GetAnswer())
+		n.scheduling.HandleAnswer(from.Address, number, message.GetAnswer())
 	case message.GetProgress() != nil:
-		n.schedules.Progress(from.Instance, number, message.GetProgress())
+		n.schedules.HandleProgress(from.Instance, number, message.GetProgress())
 	case message.GetQuestion() != nil:
 		answer := &rpc.ScheduleAnswer{}
 		if n.settled() {
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -32,8 +32,8 @@
 // ClientOptions set a Client up.
 type ClientOptions struct {
 	Self tables.InstanceID
-	// Boot differs between lives of the instance.
-	Boot uint64
+	// BootEpoch differs between lives of the instance.
+	BootEpoch uint64
 	// Schedulers lists those of the zone; none where each instance chooses for itself.
 	Schedulers func() []membership.Entry
 	Send       func(to netip.AddrPort, message *rpc.ScheduleMessage)
@@ -51,7 +51,7 @@
 
 // NewClient returns a client.
 func NewClient(o ClientOptions) *Client {
-	return &Client{options: o, calls: datagram.NewCalls[*rpc.ScheduleAnswer](o.Boot)}
+	return &Client{options: o, calls: datagram.NewCalls[*rpc.ScheduleAnswer](o.BootEpoch)}
 }
 
 // Assignment is what a scheduler has decided about one attempt. Its methods notify the
@@ -129,21 +129,21 @@
 	c.silent.Leave(s.Instance, now, now+pause)
 }
 
-// Answered takes an answer. One that comes too late is given back: the scheduler must
+// HandleAnswer takes an answer. One that comes too late is given back: the scheduler must
 // not go on counting an attempt that is not made.
-func (c *Client) Answered(from netip.AddrPort, number uint64, answer *rpc.ScheduleAnswer) {
+func (c *Client) HandleAnswer(from netip.AddrPort, number uint64, answer *rpc.ScheduleAnswer) {
 	if c.calls.Answered(number, answer) {
 		return
 	}
 	if answer.GetEndpoint() != "" {
 		late := &Assignment{client: c, at: from, number: number}
-		late.Ended(dispatch.Cancelled)
+		late.NotifyEnded(dispatch.Cancelled)
 	}
 }
 
-// Began notifies the scheduler that the endpoint works on the request. Later calls do
+// NotifyStarted notifies the scheduler that the endpoint works on the request. Later calls do
 // nothing.
-func (a *Assignment) Began() {
+func (a *Assignment) NotifyStarted() {
 	if a == nil || a.begun {
 		return
 	}
@@ -151,8 +151,8 @@
 	a.notify(&rpc.AttemptProgress{Began: true})
 }
 
-// Ended notifies the scheduler of how the attempt ended.
-func (a *Assignment) Ended(end dispatch.End) {
+// NotifyEnded notifies the scheduler of how the attempt ended.
+func (a *Assignment) NotifyEnded(end dispatch.End) {
 	a.notify(&rpc.AttemptProgress{Ended: true, End: uint32(end)})
 }
 
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -55,13 +55,13 @@
 	return p.service
 }
 
-func (p *placer) PlaceFor(r *dispatch.Request) (*dispatch.Attempt, dispatch.Reason) {
+func (p *placer) PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.Reason) {
 	return p.dispatch.Place(p.now, r)
 }
 
-func (p *placer) BeganFor(a *dispatch.Attempt) { p.dispatch.Began(p.now, a) }
+func (p *placer) AttemptStarted(a *dispatch.Attempt) { p.dispatch.Began(p.now, a) }
 
-func (p *placer) EndedFor(a *dispatch.Attempt, how dispatch.End) { p.dispatch.Ended(p.now, a, how) }
+func (p *placer) AttemptEnded(a *dispatch.Attempt, how dispatch.End) { p.dispatch.Ended(p.now, a, how) }
 
 func (p *placer) running() int {
 	running := 0
@@ -95,7 +95,7 @@
 		z.servers[at] = NewServer(p, now)
 	}
 	z.client = NewClient(ClientOptions{
-		Self: "asker", Boot: 100, Now: now, Log: zap.NewNop(),
+		Self: "asker", BootEpoch: 100, Now: now, Log: zap.NewNop(),
 		Schedulers: func() []membership.Entry { return schedulers },
 		Send:       z.send,
 	})
@@ -119,9 +119,9 @@
 	}
 	switch {
 	case in.GetQuestion() != nil:
-		z.client.Answered(to, in.GetNumber(), z.servers[to].Choose("asker", in.GetNumber(), in.GetQuestion()))
+		z.client.HandleAnswer(to, in.GetNumber(), z.servers[to].Choose("asker", in.GetNumber(), in.GetQuestion()))
 	case in.GetProgress() != nil:
-		z.servers[to].Progress("asker", in.GetNumber(), in.GetProgress())
+		z.servers[to].HandleProgress("asker", in.GetNumber(), in.GetProgress())
 	}
 }
 
@@ -146,8 +146,8 @@
 	}
 	assert.Equal(t, p.running(), 6)
 	for _, assignment := range open {
-		assignment.Began()
-		assignment.Ended(dispatch.Completed)
+		assignment.NotifyStarted()
+		assignment.NotifyEnded(dispatch.Completed)
 	}
 	assert.Equal(t, p.running(), 0)
 }
@@ -215,11 +215,11 @@
 	z := newZone(func() tables.Instant { return p.now }, p)
 	z.lost = func(m *rpc.ScheduleMessage) bool { return m.GetProgress() != nil }
 	for i := range 4 {
-		z.client.Ask(t.Context(), generation(p, parts.ID(i))).Ended(dispatch.Completed)
+		z.client.Ask(t.Context(), generation(p, parts.ID(i))).NotifyEnded(dispatch.Completed)
 	}
 	assert.Equal(t, z.client.Ask(t.Context(), generation(p, 9)).Reason, dispatch.Full)
 	p.now += 5*time.Second + endMargin
-	z.servers[address(1)].Sweep()
+	z.servers[address(1)].ExpireAttempts()
 	assert.Equal(t, p.running(), 0, "also if nobody asks any more")
 	assert.Equal(t, z.client.Ask(t.Context(), generation(p, 9)).Reason, dispatch.Reason(""))
 	assert.Equal(t, p.running(), 1)
@@ -233,7 +233,7 @@
 	q := question(p.now, generation(p, 1))
 	answer := z.servers[address(1)].Choose("asker", 7, q)
 	assert.Equal(t, p.running(), 1)
-	z.client.Answered(address(1), 7, answer)
+	z.client.HandleAnswer(address(1), 7, answer)
 	assert.Equal(t, p.running(), 0)
 }
 
@@ -276,7 +276,7 @@
 func TestBurstOfOnePromptFillsNoEndpointBeyondItsPlaces(t *testing.T) {
 	p := newPlacer(8)
 	z := newZone(func() tables.Instant { return p.now }, p)
-	z.client.Ask(t.Context(), generation(p, 1)).Began()
+	z.client.Ask(t.Context(), generation(p, 1)).NotifyStarted()
 	p.now += time.Second
 	placed := map[tables.EndpointID]int{}
 	for range 30 {
--- a/schedule/server.go
+++ b/schedule/server.go
@@ -15,9 +15,9 @@
 	// Service returns a service of the configuration in force, nil if there is none
 	// of that name.
 	Service(name string) *routes.Service
-	PlaceFor(r *dispatch.Request) (*dispatch.Attempt, dispatch.Reason)
-	BeganFor(a *dispatch.Attempt)
-	EndedFor(a *dispatch.Attempt, how dispatch.End)
+	PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.Reason)
+	AttemptStarted(a *dispatch.Attempt)
+	AttemptEnded(a *dispatch.Attempt, how dispatch.End)
 }
 
 const (
@@ -67,7 +67,7 @@
 		return &rpc.ScheduleAnswer{}
 	}
 	r := request(now, q, service)
-	chosen, reason := s.placer.PlaceFor(r)
+	chosen, reason := s.placer.PlaceRequest(r)
 	if chosen == nil {
 		return &rpc.ScheduleAnswer{Ready: true, Reason: string(reason)}
 	}
@@ -75,8 +75,8 @@
 	return encodeChoice(chosen.Choice(now))
 }
 
-// Progress takes how an attempt of another instance goes on.
-func (s *Server) Progress(by tables.InstanceID, number uint64, p *rpc.AttemptProgress) {
+// HandleProgress takes how an attempt of another instance goes on.
+func (s *Server) HandleProgress(by tables.InstanceID, number uint64, p *rpc.AttemptProgress) {
 	key := attemptKey{instance: by, number: number}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,18 +85,18 @@
 		return
 	}
 	if p.GetBegan() {
-		s.placer.BeganFor(known.attempt)
+		s.placer.AttemptStarted(known.attempt)
 	}
 	if p.GetEnded() {
 		delete(s.open, key)
-		s.placer.EndedFor(known.attempt, dispatch.DecodeEnd(p.GetEnd()))
+		s.placer.AttemptEnded(known.attempt, dispatch.DecodeEnd(p.GetEnd()))
 	}
 }
 
-// Sweep ends attempts whose end was not reported in time: the message was lost, or its
+// ExpireAttempts ends attempts whose end was not reported in time: the message was lost, or its
 // instance is gone. It is called all the while, also by an instance that nobody asks any
 // more: what it goes on counting would keep others away from endpoints that are free.
-func (s *Server) Sweep() {
+func (s *Server) ExpireAttempts() {
 	now := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +107,7 @@
 	for key, one := range s.open {
 		if now >= one.until {
 			delete(s.open, key)
-			s.placer.EndedFor(one.attempt, dispatch.Cancelled)
+			s.placer.AttemptEnded(one.attempt, dispatch.Cancelled)
 		}
 	}
 }
