--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -48,11 +48,11 @@
 	}
 	for i, r := range l.all {
 		self := membership.Sender{Instance: entries[i].Instance, Address: entries[i].Address}
-		send := func(to netip.AddrPort, message *rpc.UsageMessage) { clients[to].Receive(self, message) }
+		send := func(to netip.AddrPort, message *rpc.UsageMessage) { clients[to].HandleMessage(self, message) }
 		zones := func() map[tables.Zone][]membership.Entry { return map[tables.Zone][]membership.Entry{"a": entries} }
 		client := usage.NewClient(usage.ClientOptions{
-			Self: self.Instance, Zone: "a", Entries: zones, Instances: func() int { return len(l.all) }, Send: send, Now: l.now,
-			Server: usage.NewServer(usage.ServerOptions{Self: self.Instance, Zone: "a", Entries: zones, Send: send, Now: l.now}),
+			Self: self.Instance, Zone: "a", EntriesByZone: zones, InstanceCount: func() int { return len(l.all) }, Send: send, Now: l.now,
+			Server: usage.NewServer(usage.ServerOptions{Self: self.Instance, Zone: "a", EntriesByZone: zones, Send: send, Now: l.now}),
 			Log:    zap.NewNop(),
 		})
 		clients[self.Address] = client
--- a/forward/measure.go
+++ b/forward/measure.go
@@ -107,7 +107,7 @@
 	}
 	m.registry.Counter("carawaystile_usage_decisions_total", "Requests of organisations with a rate limit, by what was decided and what the decision rested on.",
 		metrics.Label{Name: "organisation", Value: string(j.charge.id)}, metrics.Label{Name: "decision", Value: outcome},
-		metrics.Label{Name: "by", Value: string(j.charge.decision.By)}).Inc(1)
+		metrics.Label{Name: "by", Value: string(j.charge.decision.Basis)}).Inc(1)
 }
 
 // ages publishes how old what this instance believes is, whenever somebody reads
@@ -156,5 +156,5 @@
 	}
 	m.registry.Counter("carawaystile_endpoint_limit_decisions_total", "Attempts at endpoints that name a rate limit, by what was decided and what the decision rested on.",
 		metrics.Label{Name: "service", Value: j.service.Name}, metrics.Label{Name: "decision", Value: outcome},
-		metrics.Label{Name: "by", Value: string(decision.By)}).Inc(1)
+		metrics.Label{Name: "by", Value: string(decision.Basis)}).Inc(1)
 }
--- a/forward/usage.go
+++ b/forward/usage.go
@@ -53,7 +53,7 @@
 
 // UsageLimit is what is enforced of an organisation's limit.
 func UsageLimit(o *routes.Organisation, t usage.Tolerance) usage.Limit {
-	return t.Apply(usage.Limit{Rate: o.Usage.Rate, Burst: o.Usage.Burst})
+	return t.Relax(usage.Limit{Rate: o.Usage.Rate, Burst: o.Usage.Burst})
 }
 
 // usageCost is what the request costs in the unit of its organisation's limit.
@@ -96,7 +96,7 @@
 		return nil
 	}
 	return []zap.Field{
-		zap.String("usage_by", string(c.decision.By)), zap.Int64("usage_cost", c.cost),
+		zap.String("usage_by", string(c.decision.Basis)), zap.Int64("usage_cost", c.cost),
 		zap.Int64("usage_level", c.decision.Level), zap.Duration("usage_level_age", c.decision.LevelAge),
 		zap.Float64("usage_limit", c.limit.Rate),
 	}
--- a/forward/usage_test.go
+++ b/forward/usage_test.go
@@ -25,10 +25,10 @@
 	defer l.mu.Unlock()
 	l.asked = append(l.asked, cost)
 	if l.left < cost {
-		return usage.Decision{RetryAfter: 2 * time.Second, By: usage.ByAccountant}
+		return usage.Decision{RetryAfter: 2 * time.Second, Basis: usage.ByOwner}
 	}
 	l.left -= cost
-	return usage.Decision{Admitted: true, By: usage.ByAccountant}
+	return usage.Decision{Admitted: true, Basis: usage.ByOwner}
 }
 
 func (l *ledger) Charge(_ usage.Subject, _ usage.Limit, amount int64) {
--- a/node/usage.go
+++ b/node/usage.go
@@ -14,11 +14,11 @@
 // startUsage makes what enforces rate limits over all instances.
 func (n *Node) startUsage() *usage.Client {
 	n.accounts = usage.NewServer(usage.ServerOptions{
-		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, Life: n.boot, Entries: n.entriesByZone, Send: n.sendUsage, Now: n.now,
+		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, BootEpoch: n.boot, EntriesByZone: n.entriesByZone, Send: n.sendUsage, Now: n.now,
 	})
 	n.limiter = usage.NewClient(usage.ClientOptions{
-		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, Life: n.boot, Server: n.accounts,
-		Entries: n.entriesByZone, Instances: func() int { return int(n.sharing.Load()) },
+		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, BootEpoch: n.boot, Server: n.accounts,
+		EntriesByZone: n.entriesByZone, InstanceCount: func() int { return int(n.sharing.Load()) },
 		Send: n.sendUsage, Now: n.now, Log: n.log,
 	})
 	return n.limiter
@@ -56,7 +56,7 @@
 // usageMessage takes a message about organisations' usage.
 func (n *Node) usageMessage(from membership.Sender, message *rpc.UsageMessage) {
 	if n.limiter != nil {
-		n.limiter.Receive(from, message)
+		n.limiter.HandleMessage(from, message)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	for id := range n.zoneEntries {
 		if !living[id] {
-			n.accounts.EntriesLost()
+			n.accounts.NoteEntriesLost()
 			break
 		}
 	}
--- a/usage/bench_test.go
+++ b/usage/bench_test.go
@@ -31,7 +31,7 @@
 		a, ids := accounts(8600)
 		for _, id := range ids {
 			a.Debit(time.Second, "i", Debit{Subject: id, Cost: 900})
-			a.Take(time.Second, "remote", Report{Subject: id, Life: 1})
+			a.ApplyReport(time.Second, "remote", Report{Subject: id, BootEpoch: 1})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -40,7 +40,7 @@
 	}
 }
 
-func accounts(n int) (*Accountant, []Subject) {
+func accounts(n int) (*BucketOwner, []Subject) {
 	limits := map[Subject]Limit{}
 	var ids []Subject
 	for i := range n {
@@ -48,7 +48,7 @@
 		limits[id] = limit
 		ids = append(ids, id)
 	}
-	a := NewAccountant(0, "z", 1)
+	a := NewBucketOwner(0, "z", 1)
 	a.SetLimits(limits)
 	return a, ids
 }
--- a/usage/client.go
+++ b/usage/client.go
@@ -28,21 +28,21 @@
 	forgetPeriod = 10 * time.Second
 )
 
-// By says what a decision rests on.
-type By string
+// Basis says what a decision rests on.
+type Basis string
 
 // What decisions rest on.
 const (
-	ByLease      By = "lease"
-	ByAccountant By = "accountant"
-	// ByRefusal: the accountant has refused others a moment ago.
-	ByRefusal By = "refusal"
-	// ByShare: no accountant answers, and the instance keeps to its own part.
-	ByShare By = "own share"
-	// ByNobody: no accountant answers, and the limit is strict.
-	ByNobody By = "nobody"
+	ByLease Basis = "lease"
+	ByOwner Basis = "accountant"
+	// ByCachedRefusal: the accountant has refused others a moment ago.
+	ByCachedRefusal Basis = "refusal"
+	// ByLocalShare: no accountant answers, and the instance keeps to its own part.
+	ByLocalShare Basis = "own share"
+	// ByNoOwner: no accountant answers, and the limit is strict.
+	ByNoOwner Basis = "nobody"
 	// ByNoLimit: the subject has none.
-	ByNoLimit By = "no limit"
+	ByNoLimit Basis = "no limit"
 )
 
 // Decision is about one request.
@@ -50,7 +50,7 @@
 	Admitted bool
 	// RetryAfter is when a refused caller had better come back.
 	RetryAfter time.Duration
-	By         By
+	Basis      Basis
 	// Level is what was left of the burst when an accountant last answered, LevelAge ago.
 	Level    int64
 	LevelAge time.Duration
@@ -60,15 +60,15 @@
 type ClientOptions struct {
 	Self tables.InstanceID
 	Zone tables.Zone
-	// Life tells lives of the instance apart.
-	Life uint64
+	// BootEpoch tells lives of the instance apart.
+	BootEpoch uint64
 	// Server keeps the accounts that fall to this instance.
 	Server *Server
-	// Entries lists the living entry instances of each zone, and Instances says how many
+	// EntriesByZone lists the living entry instances of each zone, and Instances says how many
 	// of them share limits, those that are cut off included.
-	Entries   func() map[tables.Zone][]membership.Entry
-	Instances func() int
-	Send      func(to netip.AddrPort, message *rpc.UsageMessage)
+	EntriesByZone func() map[tables.Zone][]membership.Entry
+	InstanceCount func() int
+	Send          func(to netip.AddrPort, message *rpc.UsageMessage)
 	// Now is a monotonic clock.
 	Now func() tables.Instant
 	Log *zap.Logger
@@ -82,14 +82,14 @@
 	silent  datagram.Silent
 
 	mu        sync.Mutex
-	meters    map[Subject]*Meter
+	meters    map[Subject]*LocalLimiter
 	forgotten tables.Instant
 }
 
 // NewClient returns a client.
 func NewClient(o ClientOptions) *Client {
 	return &Client{
-		options: o, calls: datagram.NewCalls[*rpc.UsageAnswer](o.Life), meters: map[Subject]*Meter{},
+		options: o, calls: datagram.NewCalls[*rpc.UsageAnswer](o.BootEpoch), meters: map[Subject]*LocalLimiter{},
 	}
 }
 
@@ -98,26 +98,26 @@
 // Admit decides about a request of the given cost, and counts it if it is admitted.
 func (c *Client) Admit(ctx context.Context, id Subject, limit Limit, cost int64) Decision {
 	if !limit.Limited() {
-		return Decision{Admitted: true, By: ByNoLimit}
+		return Decision{Admitted: true, Basis: ByNoLimit}
 	}
 	switch step, retryAfter := c.decide(id, cost); step {
 	case Admit:
 		c.report(id)
-		return c.decision(id, Decision{Admitted: true, By: ByLease})
-	case Refuse:
-		return c.decision(id, Decision{RetryAfter: retryAfter, By: ByRefusal})
+		return c.decision(id, Decision{Admitted: true, Basis: ByLease})
+	case Reject:
+		return c.decision(id, Decision{RetryAfter: retryAfter, Basis: ByCachedRefusal})
 	}
 	for range maxAsked {
 		answer, answered := c.ask(ctx, id, limit, cost)
 		if answered {
-			return c.decision(id, Decision{Admitted: answer.Admitted, RetryAfter: answer.RetryAfter, By: ByAccountant})
+			return c.decision(id, Decision{Admitted: answer.Admitted, RetryAfter: answer.RetryAfter, Basis: ByOwner})
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
 	if limit.Strict {
-		return c.decision(id, Decision{RetryAfter: silentPause, By: ByNobody})
+		return c.decision(id, Decision{RetryAfter: silentPause, Basis: ByNoOwner})
 	}
 	return c.decideAlone(id, limit, cost)
 }
@@ -135,7 +135,7 @@
 }
 
 // meter returns an organisation's meter. It is called with mu held.
-func (c *Client) meter(id Subject) *Meter {
+func (c *Client) meter(id Subject) *LocalLimiter {
 	now := c.options.Now()
 	if now-c.forgotten > forgetPeriod {
 		c.forgotten = now
@@ -147,23 +147,23 @@
 	}
 	m := c.meters[id]
 	if m == nil {
-		m = &Meter{}
+		m = &LocalLimiter{}
 		c.meters[id] = m
 	}
 	return m
 }
 
-func (c *Client) decide(id Subject, cost int64) (Step, time.Duration) {
+func (c *Client) decide(id Subject, cost int64) (Verdict, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.meter(id).Decide(c.options.Now(), cost)
+	return c.meter(id).Check(c.options.Now(), cost)
 }
 
 func (c *Client) decideAlone(id Subject, limit Limit, cost int64) Decision {
 	c.mu.Lock()
-	admitted, after := c.meter(id).DecideAlone(c.options.Now(), limit, c.options.Instances(), cost)
+	admitted, after := c.meter(id).AdmitFromShare(c.options.Now(), limit, c.options.InstanceCount(), cost)
 	c.mu.Unlock()
-	return c.decision(id, Decision{Admitted: admitted, RetryAfter: after, By: ByShare})
+	return c.decision(id, Decision{Admitted: admitted, RetryAfter: after, Basis: ByLocalShare})
 }
 
 // decision adds what is known of the account.
@@ -177,10 +177,10 @@
 }
 
 // ask has an accountant decide about a request; answered is false if none did.
-func (c *Client) ask(ctx context.Context, id Subject, limit Limit, cost int64) (answer Answer, answered bool) {
+func (c *Client) ask(ctx context.Context, id Subject, limit Limit, cost int64) (answer DebitReply, answered bool) {
 	accountant, found := c.pick(id)
 	if !found {
-		return Answer{}, false
+		return DebitReply{}, false
 	}
 	d := c.debit(id, cost)
 	if limit.Strict {
@@ -202,7 +202,7 @@
 		c.silent.Leave(accountant.Instance, now, now+silentPause)
 		events.AccountantSilent.Log(c.options.Log, zap.String("accountant", string(accountant.Instance)), zap.Bool("answered", found))
 	}
-	return Answer{}, false
+	return DebitReply{}, false
 }
 
 // report sends what was used without asking to the accountant, and takes its answer when
@@ -233,7 +233,7 @@
 // pick returns the accountant of the own zone that is to be asked.
 func (c *Client) pick(id Subject) (membership.Entry, bool) {
 	now := c.options.Now()
-	return datagram.Pick(keyOf(id), c.options.Entries()[c.options.Zone], func(other tables.InstanceID) bool {
+	return datagram.Pick(keyOf(id), c.options.EntriesByZone()[c.options.Zone], func(other tables.InstanceID) bool {
 		return c.silent.Left(other, now)
 	})
 }
@@ -241,49 +241,51 @@
 func (c *Client) debit(id Subject, cost int64) Debit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.meter(id).Debit(c.options.Now(), id, cost)
+	return c.meter(id).NewDebit(c.options.Now(), id, cost)
 }
 
 func (c *Client) undo(d Debit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.meter(d.Subject).Undo(d)
+	c.meter(d.Subject).RollBack(d)
 }
 
-func (c *Client) took(d Debit, a Answer) (Answer, bool) {
+func (c *Client) took(d Debit, a DebitReply) (DebitReply, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !a.Ready {
-		c.meter(d.Subject).Undo(d)
+		c.meter(d.Subject).RollBack(d)
 		return a, false
 	}
-	c.meter(d.Subject).Answered(c.options.Now(), d, a)
+	c.meter(d.Subject).ApplyReply(c.options.Now(), d, a)
 	return a, true
 }
 
-// Answered takes an accountant's answer to one of this instance's debits.
-func (c *Client) Answered(number uint64, answer *rpc.UsageAnswer) { c.calls.Answered(number, answer) }
+// HandleReply takes an accountant's answer to one of this instance's debits.
+func (c *Client) HandleReply(number uint64, answer *rpc.UsageAnswer) {
+	c.calls.Answered(number, answer)
+}
 
-// LeaseEnded notes that an accountant has ended a lease.
-func (c *Client) LeaseEnded(id Subject) {
+// RevokeLease notes that an accountant has ended a lease.
+func (c *Client) RevokeLease(id Subject) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m := c.meters[id]; m != nil {
-		m.LeaseEnded(c.options.Now())
+		m.RevokeLease(c.options.Now())
 	}
 }
 
-// Receive takes a message of another instance, for the client or the server.
-func (c *Client) Receive(from membership.Sender, message *rpc.UsageMessage) {
+// HandleMessage takes a message of another instance, for the client or the server.
+func (c *Client) HandleMessage(from membership.Sender, message *rpc.UsageMessage) {
 	switch {
 	case message.GetAnswer() != nil:
-		c.Answered(message.GetNumber(), message.GetAnswer())
+		c.HandleReply(message.GetNumber(), message.GetAnswer())
 	case message.GetDebit() != nil:
 		answer := c.options.Server.Debit(from, decodeDebit(message.GetDebit()))
 		c.options.Send(from.Address, &rpc.UsageMessage{Number: message.GetNumber(), Answer: encodeAnswer(answer)})
 	case message.GetLeaseEnded() != "":
-		c.LeaseEnded(Subject(message.GetLeaseEnded()))
+		c.RevokeLease(Subject(message.GetLeaseEnded()))
 	default:
-		c.options.Server.Take(from, message.GetReports())
+		c.options.Server.HandleReports(from, message.GetReports())
 	}
 }
--- a/usage/endpoints_test.go
+++ b/usage/endpoints_test.go
@@ -81,12 +81,12 @@
 	self := membership.Entry{Instance: "i1", Address: netip.MustParseAddrPort("127.0.0.1:1")}
 	other := membership.Entry{Instance: "i2", Address: netip.MustParseAddrPort("127.0.0.1:2")}
 	c := NewClient(ClientOptions{
-		Self: self.Instance, Zone: "a", Now: now, Log: zap.NewNop(), Instances: func() int { return 2 },
-		Entries: func() map[tables.Zone][]membership.Entry { return map[tables.Zone][]membership.Entry{"a": {other}} },
-		Send:    func(netip.AddrPort, *rpc.UsageMessage) {},
+		Self: self.Instance, Zone: "a", Now: now, Log: zap.NewNop(), InstanceCount: func() int { return 2 },
+		EntriesByZone: func() map[tables.Zone][]membership.Entry { return map[tables.Zone][]membership.Entry{"a": {other}} },
+		Send:          func(netip.AddrPort, *rpc.UsageMessage) {},
 	})
 	decision := c.Admit(context.Background(), engine, EndpointLimit(5), 1)
-	assert.Equal(t, decision.By, ByNobody)
+	assert.Equal(t, decision.Basis, ByNoOwner)
 	assert.Assert(t, !decision.Admitted)
 	assert.Assert(t, decision.RetryAfter > 0)
 }
@@ -98,8 +98,8 @@
 	assert.Equal(t, decodeReport(encodeReport(Report{Subject: engine, Limit: limit})).Limit, limit)
 	assert.Equal(t, decodeDebit(encodeDebit(Debit{Subject: org})).Limit, Limit{})
 
-	a := NewAccountant(time.Second, "a", 1)
-	a.Take(2*time.Second, "i2", Report{Subject: engine, Limit: limit, Zone: "b", Admitted: 1, Life: 1, Demand: 1})
+	a := NewBucketOwner(time.Second, "a", 1)
+	a.ApplyReport(2*time.Second, "i2", Report{Subject: engine, Limit: limit, Zone: "b", Admitted: 1, BootEpoch: 1, Demand: 1})
 	answer, _ := a.Debit(2*time.Second, "i1", Debit{Subject: engine})
 	assert.Assert(t, answer.Ready)
 	unknown, _ := a.Debit(2*time.Second, "i1", Debit{Subject: EndpointSubject("unknown")})
--- a/usage/meter.go
+++ b/usage/local_limiter.go
@@ -6,17 +6,17 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Step says what an instance does about one request.
-type Step uint8
+// Verdict says what an instance does about one request.
+type Verdict uint8
 
 // The steps.
 const (
-	// Ask: the accountant decides.
-	Ask Step = iota
+	// AskOwner: the accountant decides.
+	AskOwner Verdict = iota
 	// Admit: the request is within the limit.
 	Admit
-	// Refuse: it is not.
-	Refuse
+	// Reject: it is not.
+	Reject
 )
 
 const (
@@ -28,8 +28,8 @@
 	meterIdle = 30 * time.Second
 )
 
-// Meter is what an entry instance knows of one subject's account.
-type Meter struct {
+// LocalLimiter is what an entry instance knows of one subject's account.
+type LocalLimiter struct {
 	leaseUntil  tables.Instant
 	closedUntil tables.Instant
 	// known is set once an accountant has answered, at knownAt, with level and total
@@ -47,8 +47,8 @@
 	used    tables.Instant
 }
 
-// Decide says what to do about a request.
-func (m *Meter) Decide(now tables.Instant, cost int64) (step Step, retryAfter time.Duration) {
+// Check says what to do about a request.
+func (m *LocalLimiter) Check(now tables.Instant, cost int64) (step Verdict, retryAfter time.Duration) {
 	m.used = now
 	m.demand.add(now, float64(cost))
 	switch {
@@ -56,14 +56,14 @@
 		m.spent += cost
 		return Admit, 0
 	case now < m.closedUntil:
-		return Refuse, m.closedUntil - now
+		return Reject, m.closedUntil - now
 	}
-	return Ask, 0
+	return AskOwner, 0
 }
 
-// Debit reports use to the accountant and asks it to admit a request of that cost. The
+// NewDebit reports use to the accountant and asks it to admit a request of that cost. The
 // instance's unreported use counts as reported from then on, until it is Undone.
-func (m *Meter) Debit(now tables.Instant, id Subject, cost int64) Debit {
+func (m *LocalLimiter) NewDebit(now tables.Instant, id Subject, cost int64) Debit {
 	d := Debit{Subject: id, Cost: cost, Spent: m.spent}
 	if m.known {
 		d.LevelKnown, d.Level, d.LevelAge = true, m.level, now-m.knownAt
@@ -72,11 +72,11 @@
 	return d
 }
 
-// Undo takes back that use was reported: no answer came.
-func (m *Meter) Undo(d Debit) { m.spent += d.Spent }
+// RollBack takes back that use was reported: no answer came.
+func (m *LocalLimiter) RollBack(d Debit) { m.spent += d.Spent }
 
-// Answered takes an accountant's answer.
-func (m *Meter) Answered(now tables.Instant, d Debit, a Answer) {
+// ApplyReply takes an accountant's answer.
+func (m *LocalLimiter) ApplyReply(now tables.Instant, d Debit, a DebitReply) {
 	m.known, m.knownAt = true, now
 	m.level, m.total = a.Level, float64(a.Demand)
 	m.isAlone = false
@@ -87,12 +87,12 @@
 	}
 }
 
-// LeaseEnded notes that the accountant has ended the lease.
-func (m *Meter) LeaseEnded(now tables.Instant) { m.leaseUntil = min(m.leaseUntil, now) }
+// RevokeLease notes that the accountant has ended the lease.
+func (m *LocalLimiter) RevokeLease(now tables.Instant) { m.leaseUntil = min(m.leaseUntil, now) }
 
 // Charge notes use that nobody is asked about: a further run of a request, or, negative, one
 // that did not run.
-func (m *Meter) Charge(now tables.Instant, amount int64) {
+func (m *LocalLimiter) Charge(now tables.Instant, amount int64) {
 	m.used = now
 	m.spent += amount
 	if m.isAlone {
@@ -100,9 +100,9 @@
 	}
 }
 
-// DecideAlone decides by the instance's own part of the limit: no accountant answers. The
+// AdmitFromShare decides by the instance's own part of the limit: no accountant answers. The
 // part is what the instance has used of late and an equal part of what nobody did.
-func (m *Meter) DecideAlone(now tables.Instant, limit Limit, instances int, cost int64) (admitted bool, retryAfter time.Duration) {
+func (m *LocalLimiter) AdmitFromShare(now tables.Instant, limit Limit, instances int, cost int64) (admitted bool, retryAfter time.Duration) {
 	demand := m.demand.now(now)
 	part := partOf(demand, max(m.total, demand), limit.Rate, instances)
 	if !m.isAlone {
@@ -123,4 +123,4 @@
 }
 
 // Idle says whether the meter can be forgotten.
-func (m *Meter) Idle(now tables.Instant) bool { return now-m.used > meterIdle && m.spent == 0 }
+func (m *LocalLimiter) Idle(now tables.Instant) bool { return now-m.used > meterIdle && m.spent == 0 }
--- a/usage/accountant.go
+++ b/usage/owner.go
@@ -56,8 +56,8 @@
 	LevelAge   time.Duration
 }
 
-// Answer is an accountant's answer to a Debit.
-type Answer struct {
+// DebitReply is an accountant's answer to a Debit.
+type DebitReply struct {
 	// Ready is false if the accountant does not know the subject or its limit.
 	Ready    bool
 	Admitted bool
@@ -78,16 +78,16 @@
 	Zone tables.Zone
 	// Admitted is the running total of what the accountant has admitted in its life,
 	// which Life tells from others.
-	Admitted int64
-	Life     uint64
+	Admitted  int64
+	BootEpoch uint64
 	// Demand is what callers ask of the accountant a second.
 	Demand int64
 	// Level is the account's level there.
 	Level int64
 }
 
-// Accountant keeps the accounts of subjects for its zone.
-type Accountant struct {
+// BucketOwner keeps the accounts of subjects for its zone.
+type BucketOwner struct {
 	life uint64
 	zone tables.Zone
 	// unknown is until when use may have been counted elsewhere without a report to this
@@ -99,30 +99,30 @@
 	sweptAt  tables.Instant
 }
 
-// NewAccountant returns an accountant without accounts. Life tells it from those of the
+// NewBucketOwner returns an accountant without accounts. Life tells it from those of the
 // same instance before a restart.
-func NewAccountant(now tables.Instant, zone tables.Zone, life uint64) *Accountant {
-	return &Accountant{life: life, zone: zone, unknown: now, accounts: map[Subject]*account{}}
+func NewBucketOwner(now tables.Instant, zone tables.Zone, life uint64) *BucketOwner {
+	return &BucketOwner{life: life, zone: zone, unknown: now, accounts: map[Subject]*account{}}
 }
 
 // SetLimits puts limits in force. What was used under the limit before counts under the
 // next one. A higher burst can be used at once.
-func (a *Accountant) SetLimits(limits map[Subject]Limit) {
+func (a *BucketOwner) SetLimits(limits map[Subject]Limit) {
 	for id, acc := range a.accounts {
 		acc.level += max(0, limits[id].Burst-a.limits[id].Burst)
 	}
 	a.limits = limits
 }
 
-// Lost notes that another accountant of the zone may be gone, with its accounts.
-func (a *Accountant) Lost(now tables.Instant) { a.unknown = now }
+// NoteOwnerLost notes that another accountant of the zone may be gone, with its accounts.
+func (a *BucketOwner) NoteOwnerLost(now tables.Instant) { a.unknown = now }
 
 // Debit takes use into an account and decides about a request. Holders lists the instances
 // whose leases end by it: the level has become low.
-func (a *Accountant) Debit(now tables.Instant, by tables.InstanceID, d Debit) (answer Answer, holders []tables.InstanceID) {
+func (a *BucketOwner) Debit(now tables.Instant, by tables.InstanceID, d Debit) (answer DebitReply, holders []tables.InstanceID) {
 	limit := a.limitOf(d.Subject, d.Limit)
 	if !limit.Limited() {
-		return Answer{}, nil
+		return DebitReply{}, nil
 	}
 	acc := a.account(now, d.Subject, limit)
 	if d.Limit.Limited() {
@@ -134,7 +134,7 @@
 	}
 	acc.use(now, d.Spent)
 	acc.demand.add(now, float64(max(0, d.Spent)+d.Cost))
-	answer = Answer{Ready: true, Admitted: d.Cost == 0 || acc.admits(limit, d.Cost)}
+	answer = DebitReply{Ready: true, Admitted: d.Cost == 0 || acc.admits(limit, d.Cost)}
 	switch {
 	case !answer.Admitted:
 		answer.RetryAfter = acc.returnAfter(now, limit, d.Cost)
@@ -147,7 +147,7 @@
 }
 
 // limitOf is a subject's limit: the configuration's, or else the one that is named.
-func (a *Accountant) limitOf(id Subject, named Limit) Limit {
+func (a *BucketOwner) limitOf(id Subject, named Limit) Limit {
 	if limit, configured := a.limits[id]; configured {
 		return limit
 	}
@@ -165,7 +165,7 @@
 // What was used before the accountant's start, or before another one was lost, is not known
 // and counts as spent: the level begins at zero then. So instances may be restarted without
 // the limit of a window that spans the restart being exceeded.
-func (a *Accountant) account(now tables.Instant, id Subject, limit Limit) *account {
+func (a *BucketOwner) account(now tables.Instant, id Subject, limit Limit) *account {
 	acc := a.accounts[id]
 	if acc == nil {
 		acc = &account{
@@ -182,8 +182,8 @@
 	return acc
 }
 
-// Take takes another accountant's report.
-func (a *Accountant) Take(now tables.Instant, from tables.InstanceID, in Report) {
+// ApplyReport takes another accountant's report.
+func (a *BucketOwner) ApplyReport(now tables.Instant, from tables.InstanceID, in Report) {
 	limit := a.limitOf(in.Subject, in.Limit)
 	if !limit.Limited() {
 		return
@@ -197,11 +197,11 @@
 	}
 	r := acc.remotes[from]
 	if r == nil {
-		r = &remote{zone: in.Zone, life: in.Life, admitted: in.Admitted}
+		r = &remote{zone: in.Zone, life: in.BootEpoch, admitted: in.Admitted}
 		acc.remotes[from] = r
 	}
-	if r.life != in.Life {
-		r.life, r.admitted = in.Life, 0
+	if r.life != in.BootEpoch {
+		r.life, r.admitted = in.BootEpoch, 0
 	}
 	if in.Admitted > r.admitted || r.silent {
 		acc.level -= float64(in.Admitted-r.admitted) - r.assumed
@@ -211,8 +211,8 @@
 	r.demand, r.at = float64(in.Demand), now
 }
 
-// Reports lists what is to be sent to the other accountants now.
-func (a *Accountant) Reports(now tables.Instant) []Report {
+// DueReports lists what is to be sent to the other accountants now.
+func (a *BucketOwner) DueReports(now tables.Instant) []Report {
 	a.sweep(now)
 	var due []Report
 	for id, acc := range a.accounts {
@@ -223,18 +223,18 @@
 		acc.advance(now, limit)
 		acc.reported, acc.reportedDemand, acc.reportedAt = acc.admitted, acc.activeDemand(now, limit), now
 		due = append(due, Report{
-			Subject: id, Limit: acc.named, Zone: a.zone, Admitted: acc.admitted, Life: a.life,
+			Subject: id, Limit: acc.named, Zone: a.zone, Admitted: acc.admitted, BootEpoch: a.life,
 			Demand: int64(acc.reportedDemand), Level: wholeLevel(acc.level),
 		})
 	}
 	return due
 }
 
-// Idle says whether there is nothing to report for now.
-func (a *Accountant) Idle() bool { return len(a.accounts) == 0 }
+// Empty says whether there is nothing to report for now.
+func (a *BucketOwner) Empty() bool { return len(a.accounts) == 0 }
 
 // Peers lists the accountants that have reported of an account.
-func (a *Accountant) Peers(id Subject) []tables.InstanceID {
+func (a *BucketOwner) Peers(id Subject) []tables.InstanceID {
 	acc := a.accounts[id]
 	if acc == nil {
 		return nil
@@ -247,7 +247,7 @@
 }
 
 // sweep forgets accounts that are not in use.
-func (a *Accountant) sweep(now tables.Instant) {
+func (a *BucketOwner) sweep(now tables.Instant) {
 	if now-a.sweptAt < time.Second {
 		return
 	}
--- a/usage/server.go
+++ b/usage/server.go
@@ -27,11 +27,11 @@
 type ServerOptions struct {
 	Self tables.InstanceID
 	Zone tables.Zone
-	// Life tells lives of the instance apart.
-	Life uint64
-	// Entries lists the living entry instances of each zone.
-	Entries func() map[tables.Zone][]membership.Entry
-	Send    func(to netip.AddrPort, message *rpc.UsageMessage)
+	// BootEpoch tells lives of the instance apart.
+	BootEpoch uint64
+	// EntriesByZone lists the living entry instances of each zone.
+	EntriesByZone func() map[tables.Zone][]membership.Entry
+	Send          func(to netip.AddrPort, message *rpc.UsageMessage)
 	// Now is a monotonic clock.
 	Now func() tables.Instant
 }
@@ -42,7 +42,7 @@
 	options ServerOptions
 
 	mu         sync.Mutex
-	accountant *Accountant
+	accountant *BucketOwner
 	// addresses are those of instances that have sent something.
 	addresses map[tables.InstanceID]netip.AddrPort
 }
@@ -50,7 +50,7 @@
 // NewServer returns a server without accounts.
 func NewServer(o ServerOptions) *Server {
 	return &Server{
-		options: o, accountant: NewAccountant(o.Now(), o.Zone, o.Life),
+		options: o, accountant: NewBucketOwner(o.Now(), o.Zone, o.BootEpoch),
 		addresses: map[tables.InstanceID]netip.AddrPort{},
 	}
 }
@@ -62,16 +62,16 @@
 	s.accountant.SetLimits(limits)
 }
 
-// EntriesLost notes that entry instances of the zone are gone.
-func (s *Server) EntriesLost() {
+// NoteEntriesLost notes that entry instances of the zone are gone.
+func (s *Server) NoteEntriesLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.accountant.Lost(s.options.Now())
+	s.accountant.NoteOwnerLost(s.options.Now())
 }
 
 // Debit answers an entry instance of the zone, and ends the leases of others if little is
 // left.
-func (s *Server) Debit(by membership.Sender, d Debit) Answer {
+func (s *Server) Debit(by membership.Sender, d Debit) DebitReply {
 	s.mu.Lock()
 	s.addresses[by.Instance] = by.Address
 	answer, ended := s.accountant.Debit(s.options.Now(), by.Instance, d)
@@ -88,13 +88,13 @@
 	return answer
 }
 
-// Take takes another accountant's reports.
-func (s *Server) Take(from membership.Sender, reports []*rpc.UsageReport) {
+// HandleReports takes another accountant's reports.
+func (s *Server) HandleReports(from membership.Sender, reports []*rpc.UsageReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses[from.Instance] = from.Address
 	for _, report := range reports {
-		s.accountant.Take(s.options.Now(), from.Instance, decodeReport(report))
+		s.accountant.ApplyReport(s.options.Now(), from.Instance, decodeReport(report))
 	}
 }
 
@@ -120,18 +120,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.accountant.Idle()
+	return s.accountant.Empty()
 }
 
 // due lists the reports that are due, by receiver.
 func (s *Server) due() map[netip.AddrPort][]*rpc.UsageReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reports := s.accountant.Reports(s.options.Now())
+	reports := s.accountant.DueReports(s.options.Now())
 	if len(reports) == 0 {
 		return nil
 	}
-	zones := s.options.Entries()
+	zones := s.options.EntriesByZone()
 	due := map[netip.AddrPort][]*rpc.UsageReport{}
 	for _, report := range reports {
 		for _, at := range s.receivers(report.Subject, zones) {
--- a/usage/account.go
+++ b/usage/shared_bucket.go
@@ -122,7 +122,7 @@
 
 // lease decides whether the instance may go on without asking. When the level becomes low
 // it returns those that hold a lease.
-func (c *account) lease(now tables.Instant, by tables.InstanceID, limit Limit, answer *Answer) (ended []tables.InstanceID) {
+func (c *account) lease(now tables.Instant, by tables.InstanceID, limit Limit, answer *DebitReply) (ended []tables.InstanceID) {
 	if limit.Strict {
 		return nil
 	}
--- a/usage/sim_test.go
+++ b/usage/sim_test.go
@@ -37,8 +37,8 @@
 type simInstance struct {
 	name       tables.InstanceID
 	zone       string
-	accountant *Accountant
-	meters     map[Subject]*Meter
+	accountant *BucketOwner
+	meters     map[Subject]*LocalLimiter
 	down       bool
 	life       uint64
 }
@@ -66,9 +66,9 @@
 // start gives an instance a new life.
 func (s *sim) start(m *simInstance) {
 	m.life++
-	m.accountant = NewAccountant(s.now, tables.Zone(m.zone), m.life)
+	m.accountant = NewBucketOwner(s.now, tables.Zone(m.zone), m.life)
 	m.accountant.SetLimits(s.limits)
-	m.meters = map[Subject]*Meter{}
+	m.meters = map[Subject]*LocalLimiter{}
 	m.down = false
 }
 
@@ -77,7 +77,7 @@
 	m.down = true
 	for _, other := range s.members {
 		if other.zone == m.zone {
-			other.accountant.Lost(s.now)
+			other.accountant.NoteOwnerLost(s.now)
 		}
 	}
 }
@@ -147,9 +147,9 @@
 	return s.find(first.Instance)
 }
 
-func (m *simInstance) meter(org Subject) *Meter {
+func (m *simInstance) meter(org Subject) *LocalLimiter {
 	if m.meters[org] == nil {
-		m.meters[org] = &Meter{}
+		m.meters[org] = &LocalLimiter{}
 	}
 	return m.meters[org]
 }
@@ -159,11 +159,11 @@
 	if m.down {
 		return
 	}
-	switch step, _ := m.meter(org).Decide(s.now, cost); step {
+	switch step, _ := m.meter(org).Check(s.now, cost); step {
 	case Admit:
 		s.admit(org, cost)
 		s.debit(m, org, 0)
-	case Refuse:
+	case Reject:
 		s.refused[org]++
 	default:
 		s.debit(m, org, cost)
@@ -176,7 +176,7 @@
 
 // debit asks the accountant, or, if it is down, decides alone.
 func (s *sim) debit(m *simInstance, org Subject, cost int64) {
-	d := m.meter(org).Debit(s.now, org, cost)
+	d := m.meter(org).NewDebit(s.now, org, cost)
 	d.Limit = s.named[org]
 	to := s.accountantOf(m.zone, org)
 	if to == nil {
@@ -186,10 +186,10 @@
 		answer, ended := to.accountant.Debit(s.now, m.name, d)
 		for _, holder := range ended {
 			h := s.find(holder)
-			s.send(to, h, func() { h.meter(org).LeaseEnded(s.now) })
+			s.send(to, h, func() { h.meter(org).RevokeLease(s.now) })
 		}
 		s.send(to, m, func() {
-			m.meter(org).Answered(s.now, d, answer)
+			m.meter(org).ApplyReply(s.now, d, answer)
 			switch {
 			case cost == 0:
 			case answer.Admitted:
@@ -207,10 +207,10 @@
 		if m.down {
 			continue
 		}
-		for _, r := range m.accountant.Reports(s.now) {
+		for _, r := range m.accountant.DueReports(s.now) {
 			for _, zone := range s.zones {
 				if to := s.accountantOf(zone, r.Subject); to != nil && to != m {
-					s.send(m, to, func() { to.accountant.Take(s.now, m.name, r) })
+					s.send(m, to, func() { to.accountant.ApplyReport(s.now, m.name, r) })
 				}
 			}
 		}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -75,8 +75,8 @@
 // what no report has brought to the accounts yet.
 const tolerancePart = 0.5
 
-// Apply returns the limit that accounts enforce.
-func (t Tolerance) Apply(l Limit) Limit {
+// Relax returns the limit that accounts enforce.
+func (t Tolerance) Relax(l Limit) Limit {
 	factor := 1 + tolerancePart*t.Overage
 	return Limit{Rate: factor * l.Rate, Burst: factor*l.Burst + tolerancePart*t.Slack}
 }
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -164,48 +164,48 @@
 
 // Guards against an instance that wakes with an old lease using it on and on.
 func TestAnOldLeaseEndsWithItsFirstReport(t *testing.T) {
-	a := NewAccountant(0, "z", 1)
+	a := NewBucketOwner(0, "z", 1)
 	a.SetLimits(limited(limit))
 	now := 5 * time.Second
-	m := &Meter{}
-	d := m.Debit(now, org, 1000)
+	m := &LocalLimiter{}
+	d := m.NewDebit(now, org, 1000)
 	answer, _ := a.Debit(now, "sleeper", d)
-	m.Answered(now, d, answer)
+	m.ApplyReply(now, d, answer)
 	assert.Assert(t, answer.Lease > 0)
 	used, ended := a.Debit(now, "other", Debit{Subject: org, Cost: int64(limit.Burst)})
 	assert.Assert(t, used.Admitted)
 	assert.DeepEqual(t, ended, []tables.InstanceID{"sleeper"})
 	// The notice is lost. The instance's clock has stood still while it was frozen.
-	step, _ := m.Decide(now, 1000)
+	step, _ := m.Check(now, 1000)
 	assert.Equal(t, step, Admit)
-	d = m.Debit(now, org, 0)
+	d = m.NewDebit(now, org, 0)
 	answer, _ = a.Debit(now+time.Second/2, "sleeper", d)
-	m.Answered(now, d, answer)
-	step, _ = m.Decide(now, 1000)
-	assert.Equal(t, step, Ask)
+	m.ApplyReply(now, d, answer)
+	step, _ = m.Check(now, 1000)
+	assert.Equal(t, step, AskOwner)
 }
 
 // Guards against requests that did not run counting for good.
 func TestWhatDidNotRunIsGivenBack(t *testing.T) {
-	a := NewAccountant(0, "z", 1)
+	a := NewBucketOwner(0, "z", 1)
 	a.SetLimits(limited(limit))
 	now := 5 * time.Second
-	m := &Meter{}
+	m := &LocalLimiter{}
 	for range 3 {
-		d := m.Debit(now, org, int64(limit.Burst)+1)
+		d := m.NewDebit(now, org, int64(limit.Burst)+1)
 		answer, _ := a.Debit(now, "i", d)
-		m.Answered(now, d, answer)
+		m.ApplyReply(now, d, answer)
 		assert.Assert(t, answer.Admitted)
 		m.Charge(now, -int64(limit.Burst)-1)
-		d = m.Debit(now, org, 0)
+		d = m.NewDebit(now, org, 0)
 		answer, _ = a.Debit(now, "i", d)
-		m.Answered(now, d, answer)
+		m.ApplyReply(now, d, answer)
 	}
 }
 
 // Guards against refused callers coming back all at the same moment.
 func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
-	a := NewAccountant(0, "z", 1)
+	a := NewBucketOwner(0, "z", 1)
 	a.SetLimits(limited(limit))
 	now := 5 * time.Second
 	a.Debit(now, "i", Debit{Subject: org, Cost: 2 * int64(limit.Burst)})
@@ -225,49 +225,49 @@
 	for i := range 8600 {
 		limits[Subject(fmt.Sprint(i))] = limit
 	}
-	a := NewAccountant(0, "z", 1)
+	a := NewBucketOwner(0, "z", 1)
 	a.SetLimits(limits)
 	now := time.Second
 	for id := range limits {
 		a.Debit(now, "i", Debit{Subject: id, Cost: 1})
 	}
-	a.Reports(now)
+	a.DueReports(now)
 	now += time.Minute
-	assert.Equal(t, len(a.Reports(now)), 0)
-	assert.Assert(t, a.Idle())
+	assert.Equal(t, len(a.DueReports(now)), 0)
+	assert.Assert(t, a.Empty())
 }
 
 // Guards against an instance that reaches no accountant using more than its own part.
 func TestAnInstanceThatIsCutOffKeepsToItsOwnPart(t *testing.T) {
-	m, now := &Meter{}, time.Second
-	m.Answered(now, Debit{}, Answer{Ready: true, Level: int64(limit.Burst), Demand: int64(limit.Rate / 2)})
+	m, now := &LocalLimiter{}, time.Second
+	m.ApplyReply(now, Debit{}, DebitReply{Ready: true, Level: int64(limit.Burst), Demand: int64(limit.Rate / 2)})
 	used := int64(0)
 	for end := now + 10*time.Second; now < end; now += 10 * time.Millisecond {
-		_, _ = m.Decide(now, 1000)
-		if admitted, _ := m.DecideAlone(now, limit, 68, 1000); admitted {
+		_, _ = m.Check(now, 1000)
+		if admitted, _ := m.AdmitFromShare(now, limit, 68, 1000); admitted {
 			used += 1000
 		}
 	}
 	// Its own demand, a hundred thousand a second, is above the limit.
 	assert.Assert(t, float64(used) <= limit.Rate*10+limit.Burst)
-	quiet := &Meter{}
-	admitted, _ := quiet.DecideAlone(now, limit, 68, 1000)
+	quiet := &LocalLimiter{}
+	admitted, _ := quiet.AdmitFromShare(now, limit, 68, 1000)
 	assert.Assert(t, admitted, "the first request is admitted into debt")
-	admitted, after := quiet.DecideAlone(now, limit, 68, 1000)
+	admitted, after := quiet.AdmitFromShare(now, limit, 68, 1000)
 	assert.Assert(t, !admitted && after > 0)
 }
 
 // Guards against a tolerance that is given out whole: accounts differ by what they have not
 // received yet.
 func TestHalfOfTheToleranceIsGivenOut(t *testing.T) {
-	got := Tolerance{Overage: 0.1, Slack: 20_000}.Apply(Limit{Rate: 1000, Burst: 2000})
+	got := Tolerance{Overage: 0.1, Slack: 20_000}.Relax(Limit{Rate: 1000, Burst: 2000})
 	assert.DeepEqual(t, got, Limit{Rate: 1050, Burst: 2100 + 10_000})
-	assert.DeepEqual(t, Tolerance{}.Apply(limit), limit)
+	assert.DeepEqual(t, Tolerance{}.Relax(limit), limit)
 }
 
 // Guards against one caller's large requests keeping the small ones of its organisation out.
 func TestSmallRequestsPassAtALowerLevel(t *testing.T) {
-	a := NewAccountant(0, "z", 1)
+	a := NewBucketOwner(0, "z", 1)
 	a.SetLimits(limited(limit))
 	now := 5 * time.Second
 	a.Debit(now, "i", Debit{Subject: org, Cost: int64(limit.Burst) - 1000})
@@ -279,7 +279,7 @@
 
 // Guards against an instance's old knowledge of the level undoing what was given back since.
 func TestOldLevelsCountOnlyForANewAccount(t *testing.T) {
-	a := NewAccountant(0, "z", 1)
+	a := NewBucketOwner(0, "z", 1)
 	a.SetLimits(limited(limit))
 	now := 5 * time.Second
 	cost := int64(limit.Burst)
@@ -291,7 +291,7 @@
 	answer, _ := a.Debit(now, "i", Debit{Subject: org})
 	assert.Equal(t, answer.Level, cost)
 
-	successor := NewAccountant(0, "z", 1)
+	successor := NewBucketOwner(0, "z", 1)
 	successor.SetLimits(limited(limit))
 	answer, _ = successor.Debit(now, "j", stale)
 	assert.Equal(t, answer.Level, int64(0))
--- a/usage/wire.go
+++ b/usage/wire.go
@@ -32,15 +32,15 @@
 	}
 }
 
-func encodeAnswer(a Answer) *rpc.UsageAnswer {
+func encodeAnswer(a DebitReply) *rpc.UsageAnswer {
 	return &rpc.UsageAnswer{
 		Ready: a.Ready, Admitted: a.Admitted, RetryAfterMs: inMilliseconds(a.RetryAfter), LeaseMs: inMilliseconds(a.Lease),
 		Level: a.Level, Demand: a.Demand,
 	}
 }
 
-func decodeAnswer(a *rpc.UsageAnswer) Answer {
-	return Answer{
+func decodeAnswer(a *rpc.UsageAnswer) DebitReply {
+	return DebitReply{
 		Ready: a.GetReady(), Admitted: a.GetAdmitted(), RetryAfter: fromMilliseconds(a.GetRetryAfterMs()),
 		Lease: min(fromMilliseconds(a.GetLeaseMs()), leaseTime), Level: a.GetLevel(), Demand: max(0, a.GetDemand()),
 	}
@@ -48,13 +48,13 @@
 
 func encodeReport(r Report) *rpc.UsageReport {
 	return &rpc.UsageReport{
-		Subject: string(r.Subject), Limit: encodeLimit(r.Limit), Zone: string(r.Zone), Admitted: r.Admitted, Life: r.Life, Demand: r.Demand, Level: r.Level,
+		Subject: string(r.Subject), Limit: encodeLimit(r.Limit), Zone: string(r.Zone), Admitted: r.Admitted, Life: r.BootEpoch, Demand: r.Demand, Level: r.Level,
 	}
 }
 
 func decodeReport(r *rpc.UsageReport) Report {
 	return Report{
-		Subject: Subject(r.GetSubject()), Limit: decodeLimit(r.GetLimit()), Zone: tables.Zone(r.GetZone()), Admitted: r.GetAdmitted(), Life: r.GetLife(),
+		Subject: Subject(r.GetSubject()), Limit: decodeLimit(r.GetLimit()), Zone: tables.Zone(r.GetZone()), Admitted: r.GetAdmitted(), BootEpoch: r.GetLife(),
 		Demand: max(0, r.GetDemand()), Level: r.GetLevel(),
 	}
 }
