--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -40,7 +40,7 @@
 func ask(part uint64) *Request {
 	return &Request{
 		Service: models, Route: &routes.Route{}, Model: "m", PromptTokens: 5000, OutputTokens: 50,
-		Shared:   []SharedPart{{Name: 1, Tokens: 2000}, {Name: parts.Name(part), Tokens: 4000}},
+		Shared:   []SharedPart{{Name: 1, Tokens: 2000}, {Name: parts.ID(part), Tokens: 4000}},
 		Deadline: time.Hour, HoldUntil: time.Hour,
 	}
 }
@@ -162,7 +162,7 @@
 }
 
 func named(d *Dispatcher, version uint64, at tables.Instant) {
-	d.Named(weights.Naming{Model: "m", Version: version, At: at})
+	d.Named(weights.TargetVersion{Model: "m", Version: version, SetAt: at})
 }
 
 // Versions are named every three seconds while orders are carried out late, and
