--- a/router/finish.go
+++ b/router/finish.go
@@ -107,7 +107,7 @@
 		r.finish(row)
 	case r.convicted(now, row.Request.Fingerprint):
 		r.fail(row, tables.CodeSuspect, 0)
-	case !retry.Allowed(row):
+	case !retry.SafeToRetry(row):
 		r.fail(row, tables.CodeOutcomeUnknown, 0)
 	case in.End == Unreachable && len(row.Tried) < maxUnreachable:
 		// Nothing reached an endpoint, so trying another adds no load to the
@@ -122,7 +122,7 @@
 		row.NotBefore = now + heldRetryPause
 	case row.Retries+1 >= retry.MaxAttempts:
 		r.fail(row, failureCode(row), retryAfter)
-	case !r.budget.Spend():
+	case !r.budget.TryWithdraw():
 		r.fail(row, r.budgetCode(row), retryAfter)
 	default:
 		row.Retries++
@@ -143,7 +143,7 @@
 
 // again lets a request wait for its next attempt.
 func (r *Router) again(now tables.Instant, row *tables.RequestRow) {
-	row.NotBefore = now + retry.Delay(max(row.Retries, 1))
+	row.NotBefore = now + retry.Backoff(max(row.Retries, 1))
 	row.StartBy = now + admission.Patience(row.Profile)
 	if row.Request.Deadline > 0 {
 		row.StartBy = min(row.StartBy, row.Request.Deadline)
--- a/router/router.go
+++ b/router/router.go
@@ -168,7 +168,7 @@
 	r.requests[request.ID] = row
 	r.counter.Seen(now, request.Blocks)
 	r.learnLevels(request)
-	r.budget.Earn()
+	r.budget.Deposit()
 	r.fresh = append(r.fresh, row)
 }
 
--- a/router/watch.go
+++ b/router/watch.go
@@ -103,7 +103,7 @@
 			r.abort(now, a)
 			continue
 		}
-		if r.wantsHedge(now, row, a) && r.budget.Spend() {
+		if r.wantsHedge(now, row, a) && r.budget.TryWithdraw() {
 			r.place(now, row, true)
 			return
 		}
--- a/systems/retry/retry.go
+++ b/systems/retry/retry.go
@@ -25,11 +25,11 @@
 // for concurrent use.
 type Budget struct{ spent float64 }
 
-// Earn counts a request.
-func (b *Budget) Earn() { b.spent = max(0, b.spent-ratio) }
+// Deposit counts a request.
+func (b *Budget) Deposit() { b.spent = max(0, b.spent-ratio) }
 
-// Spend takes one retry if there is budget for it.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes one retry if there is budget for it.
+func (b *Budget) TryWithdraw() bool {
 	if b.spent+1 > reserve {
 		return false
 	}
@@ -37,16 +37,16 @@
 	return true
 }
 
-// Left is how many retries could be made at once.
-func (b *Budget) Left() float64 { return reserve - b.spent }
+// Balance is how many retries could be made at once.
+func (b *Budget) Balance() float64 { return reserve - b.spent }
 
-// Allowed says whether the request may be tried again, the budget aside. Work
+// SafeToRetry says whether the request may be tried again, the budget aside. Work
 // that must not run twice is only tried again while it is certain that no
 // attempt has begun it.
-func Allowed(row *tables.RequestRow) bool {
+func SafeToRetry(row *tables.RequestRow) bool {
 	return row.Profile.Idempotent || !row.MayHaveRun
 }
 
-// Delay is the wait before the retry of the given number, from 1 up. Retries of
+// Backoff is the wait before the retry of the given number, from 1 up. Retries of
 // attempts that were declined at once would otherwise spin.
-func Delay(n int) time.Duration { return firstDelay << min(n-1, 8) }
+func Backoff(n int) time.Duration { return firstDelay << min(n-1, 8) }
