--- a/router/classes.go
+++ b/router/classes.go
@@ -104,7 +104,7 @@
 	row.Group = key
 	c := &r.classes[row.Priority]
 	flow := row.Organisation
-	c.queues[flow].Add(waiting.Item{Row: row, Key: key, StartBy: row.StartBy})
+	c.queues[flow].Add(waiting.Item{Row: row, GroupKey: key, StartBy: row.StartBy})
 	c.schedule.Add(flow)
 	c.backlog[flow].Queued(now, row.StartBy-now)
 }
@@ -147,7 +147,7 @@
 		r.failures++
 		return false
 	}
-	r.heads = c.queues[flow].Heads(r.heads[:0], c.recent[flow], c.cursor[flow], headsTried)
+	r.heads = c.queues[flow].Candidates(r.heads[:0], c.recent[flow], c.cursor[flow], headsTried)
 	c.cursor[flow]++
 	for i := range r.heads {
 		row := r.heads[i].Row
--- a/router/watch.go
+++ b/router/watch.go
@@ -87,7 +87,7 @@
 	var overdue []waiting.Item
 	for p := range r.classes {
 		for f := range r.classes[p].queues {
-			overdue = r.classes[p].queues[f].Overdue(overdue, now)
+			overdue = r.classes[p].queues[f].Expired(overdue, now)
 		}
 	}
 	for _, item := range overdue {
--- a/systems/waiting/waiting.go
+++ b/systems/waiting/waiting.go
@@ -15,9 +15,9 @@
 // Item is a waiting request.
 type Item struct {
 	Row *tables.RequestRow
-	// Key is the block that the request has in common with its group; requests
+	// GroupKey is the block that the request has in common with its group; requests
 	// with key 0 are served in order of start-by time and not grouped.
-	Key tables.BlockHash
+	GroupKey tables.BlockHash
 	// StartBy is when it must have started or be refused.
 	StartBy tables.Instant
 	// seq is the order of arrival.
@@ -58,10 +58,10 @@
 	q.next++
 	item.seq = q.next
 	q.size++
-	g := q.groups[item.Key]
+	g := q.groups[item.GroupKey]
 	if g == nil {
-		g = &group{key: item.Key, items: []Item{item}}
-		q.groups[item.Key] = g
+		g = &group{key: item.GroupKey, items: []Item{item}}
+		q.groups[item.GroupKey] = g
 		q.insert(g)
 		return
 	}
@@ -94,13 +94,13 @@
 	q.order = slices.Delete(q.order, at, at+1)
 }
 
-// Heads appends to dst the most pressing request of each group, at most limit
+// Candidates appends to dst the most pressing request of each group, at most limit
 // of them, in the order in which they should be tried: first that of the group
 // with the given key, if there is one, since its prefix has just been computed
 // somewhere; then half of the rest by start-by time; then as many groups as are
 // left from the one at the cursor on, so that groups which cannot be placed do
 // not keep the others from being tried.
-func (q *Queue) Heads(dst []Item, recent tables.BlockHash, cursor, limit int) []Item {
+func (q *Queue) Candidates(dst []Item, recent tables.BlockHash, cursor, limit int) []Item {
 	if g := q.groups[recent]; g != nil && recent != 0 && limit > 0 {
 		dst = append(dst, g.items[0])
 		limit--
@@ -143,8 +143,8 @@
 	return true
 }
 
-// Overdue appends to dst the requests that had to start by now.
-func (q *Queue) Overdue(dst []Item, now tables.Instant) []Item {
+// Expired appends to dst the requests that had to start by now.
+func (q *Queue) Expired(dst []Item, now tables.Instant) []Item {
 	for _, g := range q.order {
 		if g.items[0].StartBy > now {
 			break
--- a/systems/waiting/waiting_test.go
+++ b/systems/waiting/waiting_test.go
@@ -26,11 +26,11 @@
 	var groups []waiting.Item
 	var rows []*tables.RequestRow
 	for _, item := range sorted {
-		if slices.ContainsFunc(groups, func(g waiting.Item) bool { return g.Key == item.Key }) {
+		if slices.ContainsFunc(groups, func(g waiting.Item) bool { return g.GroupKey == item.GroupKey }) {
 			continue
 		}
 		groups = append(groups, item)
-		if recent != 0 && item.Key == recent && limit > 0 {
+		if recent != 0 && item.GroupKey == recent && limit > 0 {
 			rows = append(rows, item.Row)
 		}
 	}
@@ -38,12 +38,12 @@
 	half := min((limit-len(rows)+1)/2, len(groups))
 	tail := groups[half:]
 	for _, item := range groups[:half] {
-		if recent == 0 || item.Key != recent {
+		if recent == 0 || item.GroupKey != recent {
 			rows = append(rows, item.Row)
 		}
 	}
 	for i := range min(wanted-len(rows), len(tail)) {
-		if item := tail[(cursor+i)%len(tail)]; recent == 0 || item.Key != recent {
+		if item := tail[(cursor+i)%len(tail)]; recent == 0 || item.GroupKey != recent {
 			rows = append(rows, item.Row)
 		}
 	}
@@ -66,7 +66,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				item := waiting.Item{
-					Row: &tables.RequestRow{}, Key: tables.BlockHash(rapid.IntRange(0, 4).Draw(t, "key")),
+					Row: &tables.RequestRow{}, GroupKey: tables.BlockHash(rapid.IntRange(0, 4).Draw(t, "key")),
 					StartBy: tables.Instant(rapid.IntRange(0, 20).Draw(t, "by")),
 				}
 				q.Add(item)
@@ -76,7 +76,7 @@
 					continue
 				}
 				i := rapid.IntRange(0, len(n)-1).Draw(t, "remove")
-				assert.Assert(t, q.Remove(n[i].Row, n[i].Key))
+				assert.Assert(t, q.Remove(n[i].Row, n[i].GroupKey))
 				n = slices.Delete(n, i, i+1)
 			case 3:
 				now := tables.Instant(rapid.IntRange(0, 20).Draw(t, "now"))
@@ -86,12 +86,12 @@
 						want++
 					}
 				}
-				assert.Equal(t, len(q.Overdue(nil, now)), want)
+				assert.Equal(t, len(q.Expired(nil, now)), want)
 			}
 			recent := tables.BlockHash(rapid.IntRange(0, 4).Draw(t, "recent"))
 			limit := rapid.IntRange(0, 6).Draw(t, "limit")
 			cursor := rapid.IntRange(0, 9).Draw(t, "cursor")
-			assert.Assert(t, slices.Equal(rowsOf(q.Heads(nil, recent, cursor, limit)), n.heads(recent, cursor, limit)))
+			assert.Assert(t, slices.Equal(rowsOf(q.Candidates(nil, recent, cursor, limit)), n.heads(recent, cursor, limit)))
 			assert.Equal(t, q.Len(), len(n))
 		}
 	})
