--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -64,7 +64,7 @@
 	t.ctx, t.cancel = context.WithCancel(j.ctx)
 	s.metrics.placed(j, chosen.Known.Rule, t.assignment != nil)
 	s.mu.Lock()
-	life := quarantine.Life{Endpoint: chosen.Endpoint.ID}
+	life := quarantine.Incarnation{Endpoint: chosen.Endpoint.ID}
 	s.suspects.Started(t.arrived, t.id, life, j.fingerprint)
 	s.mu.Unlock()
 	return t
@@ -187,7 +187,7 @@
 	case dispatch.Completed:
 		s.suspects.Completed(t.id)
 	case dispatch.Broken:
-		s.suspects.Broken(now, t.id, 0, int(t.job.lastID))
+		s.suspects.Interrupted(now, t.id, 0, int(t.job.lastID))
 	default:
 		s.suspects.Ended(t.id)
 	}
--- a/forward/place.go
+++ b/forward/place.go
@@ -57,9 +57,9 @@
 // suspected of crashing endpoints.
 func (s *Server) place(j *job) (*dispatch.Attempt, dispatch.Reason) {
 	switch s.verdict(j) {
-	case quarantine.Refuse:
+	case quarantine.Reject:
 		return nil, ""
-	case quarantine.Hold:
+	case quarantine.Defer:
 		// Whether it crashes endpoints is known in a moment.
 		return nil, dispatch.Pending
 	}
@@ -72,7 +72,7 @@
 func (s *Server) verdict(j *job) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.suspects.Quiet() {
+	if s.suspects.Empty() {
 		return quarantine.Allow
 	}
 	return s.suspects.Verdict(s.options.Now(), j.fingerprint)
--- a/forward/server.go
+++ b/forward/server.go
@@ -81,7 +81,7 @@
 	// mu guards the decisions.
 	mu       sync.Mutex
 	dispatch *dispatch.Dispatcher
-	suspects *quarantine.System
+	suspects *quarantine.Detector
 
 	reach *reach
 	// endpoints are those that were last taken over; nil for none yet.
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -90,7 +90,7 @@
 			return
 		}
 		s.mu.Lock()
-		suspects := s.suspects.Crashed(s.options.Now(), quarantine.Life{Endpoint: endpoint.ID})
+		suspects := s.suspects.Crashed(s.options.Now(), quarantine.Incarnation{Endpoint: endpoint.ID})
 		s.mu.Unlock()
 		events.EndpointCrashed.Log(s.log, zap.String("endpoint", string(endpoint.ID)), zap.Int("suspects", len(suspects)))
 		if len(suspects) > 0 {
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -42,29 +42,29 @@
 func encodeSuspect(s quarantine.Suspect) *rpc.CrashSuspect {
 	return &rpc.CrashSuspect{
 		Fingerprint: uint64(s.Fingerprint),
-		Endpoint:    string(s.Life.Endpoint),
-		Boot:        string(s.Life.Boot),
-		Likely:      s.Mark.Likely,
-		Tokens:      int64(s.Mark.Tokens),
-		Position:    int64(s.Mark.Position),
+		Endpoint:    string(s.Incarnation.Endpoint),
+		Boot:        string(s.Incarnation.Boot),
+		Likely:      s.CrashPoint.Likely,
+		Tokens:      int64(s.CrashPoint.AttemptTokens),
+		Position:    int64(s.CrashPoint.AnswerTokens),
 		Convicted:   s.Convicted,
 		AgeNanos:    int64(s.Age),
-		RanNanos:    int64(s.Mark.Ran),
+		RanNanos:    int64(s.CrashPoint.SinceFirstToken),
 	}
 }
 
 func decodeSuspect(s *rpc.CrashSuspect) quarantine.Suspect {
 	return quarantine.Suspect{
 		Fingerprint: tables.Fingerprint(s.GetFingerprint()),
-		Life: quarantine.Life{
+		Incarnation: quarantine.Incarnation{
 			Endpoint: tables.EndpointID(s.GetEndpoint()),
 			Boot:     tables.BootID(s.GetBoot()),
 		},
-		Mark: quarantine.Mark{
+		CrashPoint: quarantine.CrashPoint{
 			Likely:   s.GetLikely(),
-			Tokens:   int(s.GetTokens()),
-			Position: int(s.GetPosition()),
-			Ran:      time.Duration(max(s.GetRanNanos(), 0)),
+			AttemptTokens:   int(s.GetTokens()),
+			AnswerTokens: int(s.GetPosition()),
+			SinceFirstToken:      time.Duration(max(s.GetRanNanos(), 0)),
 		},
 		Convicted: s.GetConvicted(),
 		Age:       time.Duration(max(s.GetAgeNanos(), 0)),
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -16,12 +16,12 @@
 func TestSuspectsAreSentWhole(t *testing.T) {
 	s := quarantine.Suspect{
 		Fingerprint: 7,
-		Life:        quarantine.Life{Endpoint: "e", Boot: "b"},
-		Mark:        quarantine.Mark{Likely: true, Tokens: 3, Position: 9, Ran: time.Second},
+		Incarnation:        quarantine.Incarnation{Endpoint: "e", Boot: "b"},
+		CrashPoint:        quarantine.CrashPoint{Likely: true, AttemptTokens: 3, AnswerTokens: 9, SinceFirstToken: time.Second},
 		Convicted:   true,
 		Age:         time.Minute,
 	}
-	for _, part := range []any{s, s.Life, s.Mark} {
+	for _, part := range []any{s, s.Incarnation, s.CrashPoint} {
 		fields := reflect.ValueOf(part)
 		for i := range fields.NumField() {
 			assert.Assert(t, !fields.Field(i).IsZero(), "the test leaves %s empty", fields.Type().Field(i).Name)
--- a/router/observe.go
+++ b/router/observe.go
@@ -103,7 +103,7 @@
 // one heard of changes nothing: what was placed so far went to it.
 func (r *Router) seeBoot(now tables.Instant, row *tables.EndpointRow, boot tables.BootID) tables.BootChange {
 	first := row.Boot == "" && len(row.Former) == 0
-	former := quarantine.Life{Endpoint: row.Endpoint.ID, Boot: row.Boot}
+	former := quarantine.Incarnation{Endpoint: row.Endpoint.ID, Boot: row.Boot}
 	change := row.SeeBoot(boot)
 	if change == tables.BootNew && !first {
 		r.view.Reset(row.Index)
--- a/router/place.go
+++ b/router/place.go
@@ -61,7 +61,7 @@
 
 // standardPicker puts the filters and scorers together. Weights are in the
 // order of tables.Preference: balanced, first token, reuse.
-func standardPicker(suspects *quarantine.System) placement.Picker {
+func standardPicker(suspects *quarantine.Detector) placement.Picker {
 	return placement.Picker{
 		Filters: []placement.Filter{
 			leaving.Filter{}, serves.Filter{}, health.Filter{}, tried.Filter{}, capacity.Filter{}, idle.Filter{},
@@ -85,7 +85,7 @@
 	q := r.query(now, row, hedge)
 	candidates := r.candidates(&q)
 	choice := r.picker.Pick(&q, candidates)
-	if choice.Endpoint == tables.NoEndpoint && !r.suspects.Quiet() {
+	if choice.Endpoint == tables.NoEndpoint && !r.suspects.Empty() {
 		q.AnyOwner = true
 		choice = r.picker.Pick(&q, candidates)
 	}
@@ -227,7 +227,7 @@
 	load.OwnPrefilling++
 	load.OwnTokens[attempt.Priority] += uncached
 	r.learnMix(row.Priority, uncached)
-	life := quarantine.Life{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot}
+	life := quarantine.Incarnation{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot}
 	r.suspects.Started(q.Now, attempt.ID, life, row.Request.Fingerprint)
 	r.news.placed(endpoint, row.Request.Blocks, &choice.Candidate)
 	r.view.Placed(q.Now, choice.Endpoint, row.Request.Blocks)
--- a/router/router.go
+++ b/router/router.go
@@ -59,7 +59,7 @@
 	fresh    []*tables.RequestRow
 	budget   retry.Budget
 	pressure pressure
-	suspects *quarantine.System
+	suspects *quarantine.Detector
 	picker   placement.Picker
 	view     *cacheview.View
 	matches  cacheview.Matches
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -8,26 +8,26 @@
 
 // suspectFilter drops endpoints that a request suspected of crashing them may
 // not share with what runs there.
-type suspectFilter struct{ suspects *quarantine.System }
+type suspectFilter struct{ suspects *quarantine.Detector }
 
 // Name is the reason given for a dropped candidate.
 func (suspectFilter) Name() string { return "quarantine" }
 
 // Keep asks the quarantine, unless it suspects nobody.
 func (f suspectFilter) Keep(q *placement.Query, c *placement.Candidate) bool {
-	if f.suspects.Quiet() {
+	if f.suspects.Empty() {
 		return true
 	}
 	verdict := f.suspects.Verdict(q.Now, q.Request.Request.Fingerprint)
 	if q.AnyOwner {
-		verdict = verdict.Relaxed()
+		verdict = verdict.WithoutOwnership()
 	}
 	return f.suspects.Admits(q.Now, c.Row.Endpoint.ID, verdict)
 }
 
 // convicted says whether equal work must not run for now.
 func (r *Router) convicted(now tables.Instant, f tables.Fingerprint) bool {
-	return !r.suspects.Quiet() && r.suspects.Verdict(now, f) == quarantine.Refuse
+	return !r.suspects.Empty() && r.suspects.Verdict(now, f) == quarantine.Reject
 }
 
 // suspectEnd tells the quarantine how an attempt ended.
@@ -36,10 +36,10 @@
 	case Completed:
 		r.suspects.Completed(a.ID)
 	case Broken:
-		r.suspects.Broken(now, a.ID, in.Tokens, in.Delivered)
+		r.suspects.Interrupted(now, a.ID, in.Tokens, in.Delivered)
 	case Crashed:
-		r.suspects.Broken(now, a.ID, in.Tokens, in.Delivered)
-		r.suspectCrash(now, quarantine.Life{Endpoint: r.endpoints.Row(a.Endpoint).Endpoint.ID, Boot: a.Boot})
+		r.suspects.Interrupted(now, a.ID, in.Tokens, in.Delivered)
+		r.suspectCrash(now, quarantine.Incarnation{Endpoint: r.endpoints.Row(a.Endpoint).Endpoint.ID, Boot: a.Boot})
 	default:
 		r.suspects.Ended(a.ID)
 	}
@@ -47,7 +47,7 @@
 
 // attemptCrashed takes in a crash that showed only after its attempt had ended.
 func (r *Router) attemptCrashed(now tables.Instant, in AttemptCrashed) {
-	life, known := r.suspects.LifeOf(in.Attempt)
+	life, known := r.suspects.IncarnationOf(in.Attempt)
 	if !known {
 		return
 	}
@@ -59,7 +59,7 @@
 
 // suspectCrash blames what a life of an endpoint was running for its end, and
 // asks the shell to tell the other instances.
-func (r *Router) suspectCrash(now tables.Instant, life quarantine.Life) {
+func (r *Router) suspectCrash(now tables.Instant, life quarantine.Incarnation) {
 	if told := r.suspects.Crashed(now, life); len(told) > 0 {
 		r.actions = append(r.actions, Suspected{Suspects: told})
 	}
@@ -67,7 +67,7 @@
 
 // refuseConvicted ends waiting requests that were convicted meanwhile.
 func (r *Router) refuseConvicted(now tables.Instant) {
-	if r.suspects.Quiet() {
+	if r.suspects.Empty() {
 		return
 	}
 	for _, row := range r.sortedRequests(func(row *tables.RequestRow) bool {
--- a/systems/quarantine/fleet_test.go
+++ b/systems/quarantine/fleet_test.go
@@ -16,7 +16,7 @@
 type fleet struct {
 	rand      *rand.Rand
 	now       tables.Instant
-	instances [3]*System
+	instances [3]*Detector
 	endpoints []*fakeEndpoint
 	requests  []*fakeRequest
 	mail      []letter
@@ -34,8 +34,8 @@
 	runs   []*fakeRequest
 }
 
-func (e *fakeEndpoint) life() Life {
-	return Life{Endpoint: e.id, Boot: tables.BootID(fmt.Sprint(e.boot))}
+func (e *fakeEndpoint) life() Incarnation {
+	return Incarnation{Endpoint: e.id, Boot: tables.BootID(fmt.Sprint(e.boot))}
 }
 
 type fakeRequest struct {
@@ -141,7 +141,7 @@
 func (f *fleet) place(r *fakeRequest) {
 	s := f.instances[r.instance]
 	verdict := s.Verdict(f.now, r.fingerprint)
-	if verdict == Refuse {
+	if verdict == Reject {
 		f.refused[r.crashes]++
 		if r.resends--; r.resends <= 0 {
 			r.ended = true
@@ -153,7 +153,7 @@
 	}
 	best := f.pick(s, verdict)
 	if best == nil {
-		best = f.pick(s, verdict.Relaxed())
+		best = f.pick(s, verdict.WithoutOwnership())
 	}
 	if best == nil {
 		return
@@ -165,7 +165,7 @@
 	s.Started(f.now, r.attempt, best.life(), r.fingerprint)
 }
 
-func (f *fleet) pick(s *System, v Verdict) *fakeEndpoint {
+func (f *fleet) pick(s *Detector, v Verdict) *fakeEndpoint {
 	var best *fakeEndpoint
 	for _, e := range f.endpoints {
 		if f.now < e.downAt || len(e.runs) >= slots || !s.Admits(f.now, e.id, v) {
@@ -199,7 +199,7 @@
 		f.leave(r)
 		tokens := max(0, int((f.now-r.started-firstToken)/tokenTime))
 		r.position += tokens
-		f.instances[r.instance].Broken(f.now, r.attempt, tokens, r.position)
+		f.instances[r.instance].Interrupted(f.now, r.attempt, tokens, r.position)
 		r.notBefore = f.now + 5*time.Millisecond
 	}
 	for from, s := range f.instances {
@@ -276,23 +276,23 @@
 }
 
 func TestSuspicionIsBoundedAndForgotten(t *testing.T) {
-	s := New(Options{Incidents: 3, Convicted: 2})
+	s := New(Options{MaxIncidents: 3, MaxConvictions: 2})
 	now := tables.Instant(0)
 	crash := func(endpoint string, f tables.Fingerprint) {
 		id := tables.AttemptID(fmt.Sprint(endpoint, f))
-		life := Life{Endpoint: tables.EndpointID(endpoint), Boot: "1"}
+		life := Incarnation{Endpoint: tables.EndpointID(endpoint), Boot: "1"}
 		s.Started(now, id, life, f)
-		s.Broken(now, id, 0, 0)
+		s.Interrupted(now, id, 0, 0)
 		s.Crashed(now, life)
 	}
 	crash("a", 1)
-	assert.Equal(t, s.Verdict(now, 1), ApartOwn)
-	now += DefaultOwn
-	assert.Equal(t, s.Verdict(now, 1), Apart)
+	assert.Equal(t, s.Verdict(now, 1), AvoidSuspectsOwned)
+	now += DefaultOwnershipWindow
+	assert.Equal(t, s.Verdict(now, 1), AvoidSuspects)
 	crash("b", 1)
-	assert.Equal(t, s.Verdict(now, 1), Hold)
-	now += DefaultSettle
-	assert.Equal(t, s.Verdict(now, 1), Refuse)
+	assert.Equal(t, s.Verdict(now, 1), Defer)
+	now += DefaultSettleDelay
+	assert.Equal(t, s.Verdict(now, 1), Reject)
 	assert.Equal(t, s.Verdict(now, 2), Allow)
 
 	for i := range 10 {
@@ -303,9 +303,9 @@
 	assert.Equal(t, len(s.weights), 3)
 	assert.Equal(t, len(s.convicted), 2)
 
-	now += DefaultForget + 1
+	now += DefaultRetention + 1
 	assert.Equal(t, s.Verdict(now, 209), Allow)
-	assert.Assert(t, s.Quiet())
+	assert.Assert(t, s.Empty())
 	assert.Equal(t, len(s.weights), 0)
 }
 
@@ -313,11 +313,11 @@
 // elsewhere. It must not make the request a suspect again.
 func TestClearedRequestStaysCleared(t *testing.T) {
 	s := New(Options{})
-	life := Life{Endpoint: "a", Boot: "1"}
-	told := Suspect{Fingerprint: 7, Life: life, Mark: Mark{Likely: true}}
+	life := Incarnation{Endpoint: "a", Boot: "1"}
+	told := Suspect{Fingerprint: 7, Incarnation: life, CrashPoint: CrashPoint{Likely: true}}
 	s.Merge(1, told)
-	assert.Equal(t, s.Verdict(1, 7), ApartOwn)
-	s.Started(1, "x", Life{Endpoint: "b", Boot: "1"}, 7)
+	assert.Equal(t, s.Verdict(1, 7), AvoidSuspectsOwned)
+	s.Started(1, "x", Incarnation{Endpoint: "b", Boot: "1"}, 7)
 	s.Completed("x")
 	s.Merge(2, told)
 	assert.Equal(t, s.Verdict(2, 7), Allow)
--- a/systems/quarantine/incident.go
+++ b/systems/quarantine/incident.go
@@ -8,7 +8,7 @@
 
 // incident is the end of one life of an endpoint.
 type incident struct {
-	life       Life
+	life       Incarnation
 	at         tables.Instant
 	candidates []candidate
 }
@@ -16,7 +16,7 @@
 // candidate is a request that was running when the endpoint crashed.
 type candidate struct {
 	fingerprint tables.Fingerprint
-	mark        Mark
+	mark        CrashPoint
 	// cleared is set once the request has completed elsewhere. It stays listed
 	// so that a late message does not make it a candidate again.
 	cleared bool
@@ -40,9 +40,9 @@
 
 // note makes a request a candidate of an incident, and says whether that is
 // new.
-func (s *System) note(at tables.Instant, life Life, f tables.Fingerprint, mark Mark) bool {
+func (s *Detector) note(at tables.Instant, life Incarnation, f tables.Fingerprint, mark CrashPoint) bool {
 	i := s.incident(at, life)
-	if i.find(f) != nil || len(i.candidates) >= s.options.Candidates {
+	if i.find(f) != nil || len(i.candidates) >= s.options.MaxCandidates {
 		return false
 	}
 	i.candidates = append(i.candidates, candidate{fingerprint: f, mark: mark})
@@ -55,13 +55,13 @@
 	return true
 }
 
-func (s *System) incident(at tables.Instant, life Life) *incident {
+func (s *Detector) incident(at tables.Instant, life Incarnation) *incident {
 	for _, i := range s.incidents {
 		if i.life == life {
 			return i
 		}
 	}
-	if len(s.incidents) >= s.options.Incidents {
+	if len(s.incidents) >= s.options.MaxIncidents {
 		s.drop(s.incidents[0])
 		s.incidents = s.incidents[1:]
 	}
@@ -71,7 +71,7 @@
 }
 
 // drop takes an incident out of the counts.
-func (s *System) drop(i *incident) {
+func (s *Detector) drop(i *incident) {
 	for _, c := range i.candidates {
 		if !c.cleared {
 			s.unweigh(c)
@@ -79,7 +79,7 @@
 	}
 }
 
-func (s *System) unweigh(c candidate) {
+func (s *Detector) unweigh(c candidate) {
 	w := s.weights[c.fingerprint]
 	w.incidents--
 	if c.mark.Likely {
@@ -93,7 +93,7 @@
 }
 
 // clear takes a request off all incidents.
-func (s *System) clear(f tables.Fingerprint) {
+func (s *Detector) clear(f tables.Fingerprint) {
 	if s.weights[f].incidents == 0 {
 		return
 	}
@@ -106,10 +106,10 @@
 }
 
 // expire forgets what is old.
-func (s *System) expire(now tables.Instant) {
+func (s *Detector) expire(now tables.Instant) {
 	kept := s.incidents[:0]
 	for _, i := range s.incidents {
-		if now-i.at > s.options.Forget {
+		if now-i.at > s.options.Retention {
 			s.drop(i)
 			continue
 		}
@@ -118,23 +118,23 @@
 	clear(s.incidents[len(kept):])
 	s.incidents = kept
 	for f, at := range s.convicted {
-		if now-at > s.options.Forget {
+		if now-at > s.options.Retention {
 			delete(s.convicted, f)
 		}
 	}
 }
 
-func (s *System) convict(at tables.Instant, f tables.Fingerprint) {
+func (s *Detector) convict(at tables.Instant, f tables.Fingerprint) {
 	if known, ok := s.convicted[f]; ok && known >= at {
 		return
 	}
-	if len(s.convicted) >= s.options.Convicted {
+	if len(s.convicted) >= s.options.MaxConvictions {
 		s.pardonOldest()
 	}
 	s.convicted[f] = at
 }
 
-func (s *System) pardonOldest() {
+func (s *Detector) pardonOldest() {
 	var oldest tables.Fingerprint
 	first := true
 	for f, at := range s.convicted {
@@ -146,13 +146,13 @@
 }
 
 // Verdict says how a request may run now.
-func (s *System) Verdict(now tables.Instant, f tables.Fingerprint) Verdict {
-	if s.Quiet() {
+func (s *Detector) Verdict(now tables.Instant, f tables.Fingerprint) Verdict {
+	if s.Empty() {
 		return Allow
 	}
 	s.expire(now)
 	if _, ok := s.convicted[f]; ok {
-		return Refuse
+		return Reject
 	}
 	count := s.weights[f].incidents
 	if count == 0 {
@@ -174,16 +174,16 @@
 	}
 	if count >= convictAlwaysAt {
 		s.convict(now, f)
-		return Refuse
+		return Reject
 	}
 	if standing < s.needed(f) {
 		return verdict
 	}
 	if now-latest < s.settle(f) {
-		return Hold
+		return Defer
 	}
 	s.convict(now, f)
-	return Refuse
+	return Reject
 }
 
 const (
@@ -209,7 +209,7 @@
 // crashes did not come at the same point of the request, and when they belong
 // to a burst: when several endpoints crash together, an innocent request can
 // meet two crashes in a row.
-func (s *System) needed(f tables.Fingerprint) int {
+func (s *Detector) needed(f tables.Fingerprint) int {
 	if !s.repeats(f) || s.inBurst(f) {
 		return convictDoubtfulAt
 	}
@@ -217,8 +217,8 @@
 }
 
 // repeats says whether two crashes came at the same point of f.
-func (s *System) repeats(f tables.Fingerprint) bool {
-	var marks []Mark
+func (s *Detector) repeats(f tables.Fingerprint) bool {
+	var marks []CrashPoint
 	for _, i := range s.incidents {
 		c := i.find(f)
 		if c == nil || c.cleared {
@@ -235,11 +235,11 @@
 }
 
 // longest is how long f ran at most before a crash.
-func (s *System) longest(f tables.Fingerprint) time.Duration {
+func (s *Detector) longest(f tables.Fingerprint) time.Duration {
 	var longest time.Duration
 	for _, i := range s.incidents {
 		if c := i.find(f); c != nil && !c.cleared {
-			longest = max(longest, c.mark.Ran)
+			longest = max(longest, c.mark.SinceFirstToken)
 		}
 	}
 	return longest
@@ -247,11 +247,11 @@
 
 // inBurst says whether several endpoints that did not run f crashed at about
 // the time of one that did.
-func (s *System) inBurst(f tables.Fingerprint) bool { return s.beside(f) >= burstSize }
+func (s *Detector) inBurst(f tables.Fingerprint) bool { return s.beside(f) >= burstSize }
 
 // beside counts the endpoints that crashed at about the time of one that ran f
 // and did not run it themselves.
-func (s *System) beside(f tables.Fingerprint) int {
+func (s *Detector) beside(f tables.Fingerprint) int {
 	beside := 0
 	for _, other := range s.incidents {
 		if other.find(f) == nil && s.near(other, f) {
@@ -264,18 +264,18 @@
 // settle is how long a conviction of f waits. With other crashes about there
 // may be a second request that crashes endpoints, and f merely have met both;
 // the other needs time to give itself away.
-func (s *System) settle(f tables.Fingerprint) time.Duration {
+func (s *Detector) settle(f tables.Fingerprint) time.Duration {
 	if s.beside(f) > 0 {
-		return besideSettles * s.options.Settle
+		return besideSettles * s.options.SettleDelay
 	}
-	return s.options.Settle
+	return s.options.SettleDelay
 }
 
 // near says whether an incident happened at about the time of one of f's.
-func (s *System) near(other *incident, f tables.Fingerprint) bool {
+func (s *Detector) near(other *incident, f tables.Fingerprint) bool {
 	for _, i := range s.incidents {
 		c := i.find(f)
-		if c != nil && !c.cleared && (other.at-i.at).Abs() <= s.options.Burst {
+		if c != nil && !c.cleared && (other.at-i.at).Abs() <= s.options.BurstWindow {
 			return true
 		}
 	}
@@ -286,24 +286,24 @@
 // is kept apart. Only one that met two crashes at the same point has to wait
 // for an endpoint to itself: others that met two are more likely unlucky, and
 // their callers' streams would end for want of such an endpoint.
-func (s *System) severity(c *candidate, count int, age time.Duration) Verdict {
+func (s *Detector) severity(c *candidate, count int, age time.Duration) Verdict {
 	switch {
-	case count >= convictAt && s.repeats(c.fingerprint) && age < s.options.Own:
-		return AloneOwn
+	case count >= convictAt && s.repeats(c.fingerprint) && age < s.options.OwnershipWindow:
+		return ExclusiveOwned
 	case count >= convictAt && s.repeats(c.fingerprint):
-		return Alone
+		return Exclusive
 	case !c.mark.Likely:
 		return Allow
-	case age < s.options.Own:
-		return ApartOwn
+	case age < s.options.OwnershipWindow:
+		return AvoidSuspectsOwned
 	default:
-		return Apart
+		return AvoidSuspects
 	}
 }
 
 // strength is how much speaks against f: its incidents, those in which it was
 // young once more, and once more if two came at the same point of it.
-func (s *System) strength(f tables.Fingerprint) int {
+func (s *Detector) strength(f tables.Fingerprint) int {
 	w := s.weights[f]
 	strength := w.incidents + w.likely
 	if w.incidents >= convictAt && s.repeats(f) {
@@ -315,7 +315,7 @@
 // stands says whether f stands out among the candidates of an incident: more
 // speaks against it than against any other that is not cleared. If more speaks
 // against none, the next run, alone, tells them apart.
-func (s *System) stands(i *incident, f tables.Fingerprint) bool {
+func (s *Detector) stands(i *incident, f tables.Fingerprint) bool {
 	own := s.strength(f)
 	for _, c := range i.candidates {
 		if c.fingerprint != f && !c.cleared && s.strength(c.fingerprint) >= own {
@@ -327,7 +327,7 @@
 
 // explained says whether one of the candidates is convicted, so that the
 // others need not be kept apart on account of this incident.
-func (s *System) explained(i *incident) bool {
+func (s *Detector) explained(i *incident) bool {
 	for _, c := range i.candidates {
 		if _, ok := s.convicted[c.fingerprint]; ok {
 			return true
--- a/systems/quarantine/quarantine.go
+++ b/systems/quarantine/quarantine.go
@@ -29,90 +29,90 @@
 const (
 	// Allow: anywhere.
 	Allow Verdict = iota
-	// Apart: at no endpoint that runs another suspect.
-	Apart
-	// ApartOwn: as Apart, and only at endpoints that fall to this instance. It
+	// AvoidSuspects: at no endpoint that runs another suspect.
+	AvoidSuspects
+	// AvoidSuspectsOwned: as Apart, and only at endpoints that fall to this instance. It
 	// lasts for Options.Own; without it two instances that retry at the same
 	// moment could bring two suspects together again, and the next crash would
 	// not tell which is to blame.
-	ApartOwn
-	// Alone: at an endpoint that runs nothing else of this instance.
-	Alone
-	// AloneOwn: as Alone, and only at endpoints that fall to this instance.
+	AvoidSuspectsOwned
+	// Exclusive: at an endpoint that runs nothing else of this instance.
+	Exclusive
+	// ExclusiveOwned: as Alone, and only at endpoints that fall to this instance.
 	// Without it suspects of several instances would meet at the endpoint that
 	// has just come back and is empty.
-	AloneOwn
-	// Hold: not yet; whether it is convicted is known within Options.Settle.
-	Hold
-	// Refuse: not at all until the conviction is forgotten.
-	Refuse
+	ExclusiveOwned
+	// Defer: not yet; whether it is convicted is known within Options.Settle.
+	Defer
+	// Reject: not at all until the conviction is forgotten.
+	Reject
 )
 
-// Relaxed is what a verdict comes down to when no endpoint is to be had under
+// WithoutOwnership is what a verdict comes down to when no endpoint is to be had under
 // it: an instance may own no endpoint that is up, and a request must not wait
 // for one.
-func (v Verdict) Relaxed() Verdict {
-	if v == ApartOwn {
-		return Apart
+func (v Verdict) WithoutOwnership() Verdict {
+	if v == AvoidSuspectsOwned {
+		return AvoidSuspects
 	}
 	return v
 }
 
 // Options bound a System. Zero fields take the defaults.
 type Options struct {
-	// Young is how long after its first token a request counts as a likely
+	// LikelyWindow is how long after its first token a request counts as a likely
 	// cause of a crash. Older ones are candidates too, but run on without
 	// restriction after their first incident.
-	Young time.Duration
-	// Settle is how long an incident waits for what other instances know of it
+	LikelyWindow time.Duration
+	// SettleDelay is how long an incident waits for what other instances know of it
 	// before anyone is convicted by it.
-	Settle time.Duration
-	// Own is how long after an incident its candidates run only at endpoints
+	SettleDelay time.Duration
+	// OwnershipWindow is how long after an incident its candidates run only at endpoints
 	// that fall to their instance.
-	Own time.Duration
-	// Outlive is how much longer than before a suspect must have run to be no
+	OwnershipWindow time.Duration
+	// OutliveMargin is how much longer than before a suspect must have run to be no
 	// danger to others.
-	Outlive time.Duration
-	// Forget is how long an incident, and a conviction, is remembered.
-	Forget time.Duration
-	// Burst is the time within which several crashes look like a failure of
+	OutliveMargin time.Duration
+	// Retention is how long an incident, and a conviction, is remembered.
+	Retention time.Duration
+	// BurstWindow is the time within which several crashes look like a failure of
 	// something that the endpoints share; see needed.
-	Burst time.Duration
-	// Lag is how long an attempt that broke off is still a candidate when its
+	BurstWindow time.Duration
+	// CrashDetectionLag is how long an attempt that broke off is still a candidate when its
 	// endpoint turns out to have crashed.
-	Lag time.Duration
-	// Incidents, Candidates and Convicted bound what is remembered: incidents,
+	CrashDetectionLag time.Duration
+	// MaxIncidents, Candidates and Convicted bound what is remembered: incidents,
 	// candidates of one incident, and convictions. The oldest go first.
-	Incidents  int
-	Candidates int
-	Convicted  int
+	MaxIncidents  int
+	MaxCandidates int
+	MaxConvictions  int
 }
 
 // The defaults of Options.
 const (
-	DefaultYoung      = 5 * time.Second
-	DefaultSettle     = 500 * time.Millisecond
-	DefaultOwn        = 5 * time.Second
-	DefaultOutlive    = 1500 * time.Millisecond
-	DefaultForget     = 10 * time.Minute
-	DefaultLag        = 2 * time.Second
-	DefaultBurst      = 2 * time.Second
-	DefaultIncidents  = 64
-	DefaultCandidates = 256
-	DefaultConvicted  = 1024
+	DefaultLikelyWindow      = 5 * time.Second
+	DefaultSettleDelay     = 500 * time.Millisecond
+	DefaultOwnershipWindow        = 5 * time.Second
+	DefaultOutliveMargin    = 1500 * time.Millisecond
+	DefaultRetention     = 10 * time.Minute
+	DefaultCrashDetectionLag        = 2 * time.Second
+	DefaultBurstWindow      = 2 * time.Second
+	DefaultMaxIncidents  = 64
+	DefaultMaxCandidates = 256
+	DefaultMaxConvictions  = 1024
 )
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.Young, DefaultYoung)
-	setDefault(&o.Settle, DefaultSettle)
-	setDefault(&o.Own, DefaultOwn)
-	setDefault(&o.Outlive, DefaultOutlive)
-	setDefault(&o.Forget, DefaultForget)
-	setDefault(&o.Lag, DefaultLag)
-	setDefault(&o.Burst, DefaultBurst)
-	setDefault(&o.Incidents, DefaultIncidents)
-	setDefault(&o.Candidates, DefaultCandidates)
-	setDefault(&o.Convicted, DefaultConvicted)
+	setDefault(&o.LikelyWindow, DefaultLikelyWindow)
+	setDefault(&o.SettleDelay, DefaultSettleDelay)
+	setDefault(&o.OwnershipWindow, DefaultOwnershipWindow)
+	setDefault(&o.OutliveMargin, DefaultOutliveMargin)
+	setDefault(&o.Retention, DefaultRetention)
+	setDefault(&o.CrashDetectionLag, DefaultCrashDetectionLag)
+	setDefault(&o.BurstWindow, DefaultBurstWindow)
+	setDefault(&o.MaxIncidents, DefaultMaxIncidents)
+	setDefault(&o.MaxCandidates, DefaultMaxCandidates)
+	setDefault(&o.MaxConvictions, DefaultMaxConvictions)
 	return o
 }
 
@@ -123,8 +123,8 @@
 	}
 }
 
-// Life is one life of an endpoint; it crashes at most once.
-type Life struct {
+// Incarnation is one life of an endpoint; it crashes at most once.
+type Incarnation struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
 }
@@ -134,25 +134,25 @@
 // instants, because clocks of two instances cannot be compared.
 type Suspect struct {
 	Fingerprint tables.Fingerprint
-	// Life is the incident; it is empty for a conviction.
-	Life Life
-	Mark Mark
+	// Incarnation is the incident; it is empty for a conviction.
+	Incarnation Incarnation
+	CrashPoint CrashPoint
 	// Convicted is set in place of Life.
 	Convicted bool
 	Age       time.Duration
 }
 
-// Mark is how far an attempt had come when its endpoint crashed. The same
+// CrashPoint is how far an attempt had come when its endpoint crashed. The same
 // request crashes endpoints at the same point each time; one that is merely
 // there when they crash is at any point.
-type Mark struct {
+type CrashPoint struct {
 	// Likely is set when the attempt was young.
 	Likely bool
-	// Tokens counts those of the attempt, Position those of the whole answer.
-	Tokens   int
-	Position int
-	// Ran is how long ago the attempt's first token was; zero before it.
-	Ran time.Duration
+	// AttemptTokens counts those of the attempt, Position those of the whole answer.
+	AttemptTokens   int
+	AnswerTokens int
+	// SinceFirstToken is how long ago the attempt's first token was; zero before it.
+	SinceFirstToken time.Duration
 }
 
 // markSlack is how far two crashes at the same point may lie apart, in tokens:
@@ -160,9 +160,9 @@
 const markSlack = 4
 
 // matches says whether two crashes happened at the same point.
-func (m Mark) matches(other Mark) bool {
+func (m CrashPoint) matches(other CrashPoint) bool {
 	return m.Likely && other.Likely &&
-		(distance(m.Tokens, other.Tokens) <= markSlack || distance(m.Position, other.Position) <= markSlack)
+		(distance(m.AttemptTokens, other.AttemptTokens) <= markSlack || distance(m.AnswerTokens, other.AnswerTokens) <= markSlack)
 }
 
 func distance(a, b int) int { return max(a-b, b-a) }
@@ -170,7 +170,7 @@
 // running is an attempt that has not ended, or that broke off just now.
 type running struct {
 	fingerprint tables.Fingerprint
-	life        Life
+	life        Incarnation
 	verdict     Verdict
 	// firstToken is zero until there is one.
 	firstToken tables.Instant
@@ -183,9 +183,9 @@
 	position int
 }
 
-// System is the state of one instance. Its methods take readings of one
+// Detector is the state of one instance. Its methods take readings of one
 // monotonic clock that never go back.
-type System struct {
+type Detector struct {
 	options   Options
 	running   map[tables.AttemptID]*running
 	broken    []tables.AttemptID
@@ -198,8 +198,8 @@
 }
 
 // New returns a System that suspects nobody.
-func New(o Options) *System {
-	return &System{
+func New(o Options) *Detector {
+	return &Detector{
 		options:   o.withDefaults(),
 		running:   make(map[tables.AttemptID]*running),
 		convicted: make(map[tables.Fingerprint]tables.Instant),
@@ -210,42 +210,42 @@
 
 // SetRank says which of the instances this one is: rank is at least 0 and less
 // than of. Endpoints are divided among them for suspects.
-func (s *System) SetRank(rank, of int) {
+func (s *Detector) SetRank(rank, of int) {
 	if rank >= 0 && rank < of {
 		s.rank, s.of = rank, of
 	}
 }
 
 // owns says whether an endpoint falls to this instance.
-func (s *System) owns(endpoint tables.EndpointID) bool {
+func (s *Detector) owns(endpoint tables.EndpointID) bool {
 	return s.of == 1 || xxhash.Sum64String(string(endpoint))%uint64(s.of) == uint64(s.rank)
 }
 
 // Started notes that an attempt was dispatched.
-func (s *System) Started(now tables.Instant, id tables.AttemptID, at Life, f tables.Fingerprint) {
+func (s *Detector) Started(now tables.Instant, id tables.AttemptID, at Incarnation, f tables.Fingerprint) {
 	r := &running{fingerprint: f, life: at, verdict: s.Verdict(now, f)}
 	if r.verdict != Allow {
-		r.outlives = s.longest(f) + s.options.Outlive
+		r.outlives = s.longest(f) + s.options.OutliveMargin
 	}
 	s.running[id] = r
 }
 
 // Accepted notes which life of the endpoint runs the attempt.
-func (s *System) Accepted(id tables.AttemptID, boot tables.BootID) {
+func (s *Detector) Accepted(id tables.AttemptID, boot tables.BootID) {
 	if r := s.running[id]; r != nil {
 		r.life.Boot = boot
 	}
 }
 
 // FirstToken notes that an attempt has come as far as its first token.
-func (s *System) FirstToken(now tables.Instant, id tables.AttemptID) {
+func (s *Detector) FirstToken(now tables.Instant, id tables.AttemptID) {
 	if r := s.running[id]; r != nil {
 		r.firstToken = now
 	}
 }
 
 // Completed notes that an attempt ran to its end, which clears its request.
-func (s *System) Completed(id tables.AttemptID) {
+func (s *Detector) Completed(id tables.AttemptID) {
 	r := s.running[id]
 	if r == nil {
 		return
@@ -256,12 +256,12 @@
 
 // Ended notes that an attempt ended for a reason that says nothing about its
 // request: it never started, or it was cancelled.
-func (s *System) Ended(id tables.AttemptID) { delete(s.running, id) }
+func (s *Detector) Ended(id tables.AttemptID) { delete(s.running, id) }
 
-// Broken notes that an attempt broke off. It stays a candidate for a while,
+// Interrupted notes that an attempt broke off. It stays a candidate for a while,
 // since the crash of its endpoint is often noticed a little later. tokens
 // counts those of the attempt, position those of the whole answer so far.
-func (s *System) Broken(now tables.Instant, id tables.AttemptID, tokens, position int) {
+func (s *Detector) Interrupted(now tables.Instant, id tables.AttemptID, tokens, position int) {
 	r := s.running[id]
 	if r == nil || r.brokenAt != 0 {
 		return
@@ -273,14 +273,14 @@
 }
 
 // sweep forgets attempts that broke off long enough ago.
-func (s *System) sweep(now tables.Instant) {
+func (s *Detector) sweep(now tables.Instant) {
 	kept := s.broken[:0]
 	for _, id := range s.broken {
 		r := s.running[id]
 		if r == nil {
 			continue
 		}
-		if now-r.brokenAt > s.options.Lag {
+		if now-r.brokenAt > s.options.CrashDetectionLag {
 			delete(s.running, id)
 			continue
 		}
@@ -292,38 +292,38 @@
 // Crashed notes that a life of an endpoint is over, and returns what the other
 // instances must be told. It may be called again for the same life when more
 // of its attempts have broken off.
-func (s *System) Crashed(now tables.Instant, life Life) []Suspect {
+func (s *Detector) Crashed(now tables.Instant, life Incarnation) []Suspect {
 	s.sweep(now)
 	s.expire(now)
 	var told []Suspect
 	for _, id := range s.candidatesOf(life) {
 		r := s.running[id]
 		delete(s.running, id)
-		mark := Mark{Tokens: r.tokens, Position: r.position}
+		mark := CrashPoint{AttemptTokens: r.tokens, AnswerTokens: r.position}
 		if r.firstToken != 0 {
-			mark.Ran = now - r.firstToken
+			mark.SinceFirstToken = now - r.firstToken
 		}
-		mark.Likely = mark.Ran < s.options.Young
+		mark.Likely = mark.SinceFirstToken < s.options.LikelyWindow
 		if s.note(now, life, r.fingerprint, mark) {
-			told = append(told, Suspect{Fingerprint: r.fingerprint, Life: life, Mark: mark})
+			told = append(told, Suspect{Fingerprint: r.fingerprint, Incarnation: life, CrashPoint: mark})
 		}
 	}
 	return told
 }
 
-// LifeOf returns the life that an attempt ran at. It is known while the attempt runs, and
+// IncarnationOf returns the life that an attempt ran at. It is known while the attempt runs, and
 // for Options.Lag after it broke off.
-func (s *System) LifeOf(id tables.AttemptID) (life Life, known bool) {
+func (s *Detector) IncarnationOf(id tables.AttemptID) (life Incarnation, known bool) {
 	r, known := s.running[id]
 	if !known {
-		return Life{}, false
+		return Incarnation{}, false
 	}
 	return r.life, true
 }
 
 // candidatesOf gives the attempts that the life ran, in a fixed order. An
 // attempt that the endpoint had not yet answered has no boot identity.
-func (s *System) candidatesOf(life Life) []tables.AttemptID {
+func (s *Detector) candidatesOf(life Incarnation) []tables.AttemptID {
 	var ids []tables.AttemptID
 	for id, r := range s.running {
 		if r.life.Endpoint == life.Endpoint && (r.life.Boot == life.Boot || r.life.Boot == "") {
@@ -335,27 +335,27 @@
 }
 
 // Merge takes in what another instance told.
-func (s *System) Merge(now tables.Instant, told Suspect) {
+func (s *Detector) Merge(now tables.Instant, told Suspect) {
 	s.expire(now)
-	if told.Age > s.options.Forget {
+	if told.Age > s.options.Retention {
 		return
 	}
 	if told.Convicted {
 		s.convict(now-told.Age, told.Fingerprint)
 		return
 	}
-	s.note(now-told.Age, told.Life, told.Fingerprint, told.Mark)
+	s.note(now-told.Age, told.Incarnation, told.Fingerprint, told.CrashPoint)
 }
 
 // Suspects returns all that is known, for an instance that has just started or
 // has missed a message.
-func (s *System) Suspects(now tables.Instant) []Suspect {
+func (s *Detector) Suspects(now tables.Instant) []Suspect {
 	s.expire(now)
 	var all []Suspect
 	for _, i := range s.incidents {
 		for _, c := range i.candidates {
 			if !c.cleared {
-				all = append(all, Suspect{Fingerprint: c.fingerprint, Life: i.life, Mark: c.mark, Age: now - i.at})
+				all = append(all, Suspect{Fingerprint: c.fingerprint, Incarnation: i.life, CrashPoint: c.mark, Age: now - i.at})
 			}
 		}
 	}
@@ -367,15 +367,15 @@
 
 // Admits says whether an endpoint may take a request with this verdict, as far
 // as this instance's own attempts are concerned.
-func (s *System) Admits(now tables.Instant, endpoint tables.EndpointID, v Verdict) bool {
-	if v >= Hold || (v == ApartOwn || v == AloneOwn) && !s.owns(endpoint) {
+func (s *Detector) Admits(now tables.Instant, endpoint tables.EndpointID, v Verdict) bool {
+	if v >= Defer || (v == AvoidSuspectsOwned || v == ExclusiveOwned) && !s.owns(endpoint) {
 		return false
 	}
 	for _, r := range s.running {
 		if r.brokenAt != 0 || r.life.Endpoint != endpoint {
 			continue
 		}
-		if v >= Alone || r.verdict >= Alone || v != Allow && r.verdict != Allow && !r.outlived(now) {
+		if v >= Exclusive || r.verdict >= Exclusive || v != Allow && r.verdict != Allow && !r.outlived(now) {
 			return false
 		}
 	}
@@ -387,6 +387,6 @@
 	return r.firstToken != 0 && now-r.firstToken > r.outlives
 }
 
-// Quiet says that there is nothing to look at: every verdict is Allow and every
+// Empty says that there is nothing to look at: every verdict is Allow and every
 // endpoint admits. It costs no search.
-func (s *System) Quiet() bool { return len(s.incidents) == 0 && len(s.convicted) == 0 }
+func (s *Detector) Empty() bool { return len(s.incidents) == 0 && len(s.convicted) == 0 }
