--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -135,7 +135,7 @@
 func (g *Gossip) Share() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.membership.Share()
+	return g.membership.LoadShare()
 }
 
 // SetRevision tells the others which revision is in force here.
@@ -155,7 +155,7 @@
 // SendToOtherZones lets zones that SendHints leaves out know of placements.
 func (g *Gossip) SendToOtherZones(placements []membership.Placement) {
 	g.run(func(m *membership.Membership, now tables.Instant) membership.Output {
-		return m.SendToOtherZones(now, placements)
+		return m.SendPlacementsToOtherZones(now, placements)
 	})
 }
 
@@ -170,18 +170,18 @@
 func (g *Gossip) RemoteSchedulers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.membership.RemoteSchedulers()
+	return g.membership.RemoteSchedulerCount()
 }
 
 // Schedulers lists the schedulers of the own zone, the best first.
-func (g *Gossip) Schedulers() []membership.Entry {
+func (g *Gossip) Schedulers() []membership.EntryInstance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.Schedulers()
 }
 
 // AllSchedulers lists the schedulers of all zones.
-func (g *Gossip) AllSchedulers() []membership.Entry {
+func (g *Gossip) AllSchedulers() []membership.EntryInstance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.AllSchedulers()
@@ -190,7 +190,7 @@
 // SendSchedule sends a message between an entry instance and a scheduler.
 func (g *Gossip) SendSchedule(to netip.AddrPort, message *rpc.ScheduleMessage) {
 	g.mu.Lock()
-	out := g.membership.Schedule(to, message)
+	out := g.membership.EncodeSchedule(to, message)
 	g.mu.Unlock()
 	g.sendAll(out.Datagrams)
 }
@@ -198,13 +198,13 @@
 // SendUsage sends a message about organisations' usage.
 func (g *Gossip) SendUsage(to netip.AddrPort, message *rpc.UsageMessage) {
 	g.mu.Lock()
-	out := g.membership.Usage(to, message)
+	out := g.membership.EncodeUsage(to, message)
 	g.mu.Unlock()
 	g.sendAll(out.Datagrams)
 }
 
 // EntriesByZone lists the living entry instances of each zone. It is not to be changed.
-func (g *Gossip) EntriesByZone() map[tables.Zone][]membership.Entry {
+func (g *Gossip) EntriesByZone() map[tables.Zone][]membership.EntryInstance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.EntriesByZone()
@@ -214,14 +214,14 @@
 func (g *Gossip) HintReceivers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.membership.HintReceivers()
+	return g.membership.HintReceiverCount()
 }
 
 // PlatformList takes the platform's list as a hint.
 func (g *Gossip) PlatformList(list []membership.PlatformInstance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.membership.PlatformList(list)
+	g.membership.SetPlatformList(list)
 }
 
 // Traffic returns the counts since the start.
@@ -276,15 +276,15 @@
 }
 
 func (g *Gossip) tell(out membership.Output, changed []membership.Member) {
-	if out.Usage != nil {
+	if out.UsageMessage != nil {
 		if g.options.Usage != nil {
-			g.options.Usage(out.From, out.Usage)
+			g.options.Usage(out.From, out.UsageMessage)
 		}
 		return
 	}
-	if out.Schedule != nil {
+	if out.ScheduleMessage != nil {
 		if g.options.Schedule != nil {
-			g.options.Schedule(out.From, out.Schedule)
+			g.options.Schedule(out.From, out.ScheduleMessage)
 		}
 		return
 	}
@@ -293,8 +293,8 @@
 	if changed != nil {
 		g.options.Changed(changed)
 	}
-	if out.Newer.IsValid() && g.options.Newer != nil {
-		g.options.Newer(out.Newer)
+	if out.NewerRevisionAt.IsValid() && g.options.Newer != nil {
+		g.options.Newer(out.NewerRevisionAt)
 	}
 	if g.options.Placed != nil {
 		for _, p := range out.Hints.Placements {
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -22,7 +22,7 @@
 	assert.NilError(t, err)
 	options.Ring = ring
 	options.Membership = membership.Options{
-		Self: membership.Row{
+		Self: membership.InstanceInfo{
 			Instance: tables.InstanceID(fmt.Sprint("i", i)),
 			Roles:    membership.RoleEntry,
 			Size:     1,
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -25,13 +25,13 @@
 	p := d.options.Process
 	joined, err := gossip.Start(gossip.Options{
 		Membership: membership.Options{
-			Self: membership.Row{
+			Self: membership.InstanceInfo{
 				Instance: p.Instance, Zone: p.Zone, Roles: membership.Roles(p.Entry, p.Control), Size: p.Size,
 				Address: p.Listen.Membership, Control: p.Listen.Instances,
 				Boot: d.boot,
 			},
 			Seeds: p.Peers,
-			Seed:  d.seed(),
+			RandomSeed:  d.seed(),
 		},
 		Ring:    d.instanceKeys,
 		Log:     d.options.Log,
--- a/daemon/peers_test.go
+++ b/daemon/peers_test.go
@@ -33,7 +33,7 @@
 		t.Cleanup(server.Close)
 		at, err := url.Parse(server.URL)
 		assert.NilError(t, err)
-		members = append(members, membership.Member{Row: membership.Row{Control: netip.MustParseAddrPort(at.Host)}})
+		members = append(members, membership.Member{InstanceInfo: membership.InstanceInfo{Control: netip.MustParseAddrPort(at.Host)}})
 	}
 	p := newPeers(keys.Of("k"), http.DefaultTransport, func() []membership.Member { return members }, zap.NewNop())
 	go p.run(t.Context())
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -40,16 +40,16 @@
 
 // limit has the instances ask each other about rate limits.
 func (l *limitedRigs) limit() {
-	var entries []membership.Entry
+	var entries []membership.EntryInstance
 	clients := map[netip.AddrPort]*usage.Client{}
 	for i := range l.all {
 		at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1))
-		entries = append(entries, membership.Entry{Instance: tables.InstanceID("i" + strconv.Itoa(i)), Address: at})
+		entries = append(entries, membership.EntryInstance{Instance: tables.InstanceID("i" + strconv.Itoa(i)), Address: at})
 	}
 	for i, r := range l.all {
 		self := membership.Sender{Instance: entries[i].Instance, Address: entries[i].Address}
 		send := func(to netip.AddrPort, message *rpc.UsageMessage) { clients[to].Receive(self, message) }
-		zones := func() map[tables.Zone][]membership.Entry { return map[tables.Zone][]membership.Entry{"a": entries} }
+		zones := func() map[tables.Zone][]membership.EntryInstance { return map[tables.Zone][]membership.EntryInstance{"a": entries} }
 		client := usage.NewClient(usage.ClientOptions{
 			Self: self.Instance, Zone: "a", Entries: zones, Instances: func() int { return len(l.all) }, Send: send, Now: l.now,
 			Server: usage.NewServer(usage.ServerOptions{Self: self.Instance, Zone: "a", Entries: zones, Send: send, Now: l.now}),
--- a/internal/datagram/calls.go
+++ b/internal/datagram/calls.go
@@ -106,7 +106,7 @@
 
 // Pick chooses one of several instances by rendezvous hashing: the one with the highest draw
 // for the key of those that are not left out.
-func Pick(key uint64, entries []membership.Entry, left func(tables.InstanceID) bool) (best membership.Entry, found bool) {
+func Pick(key uint64, entries []membership.EntryInstance, left func(tables.InstanceID) bool) (best membership.EntryInstance, found bool) {
 	var highest uint64
 	for _, e := range entries {
 		if left(e.Instance) {
--- a/node/caches.go
+++ b/node/caches.go
@@ -177,7 +177,7 @@
 		hints.Placements = append(hints.Placements, membership.Placement{Endpoint: id, Block: tables.BlockHash(key), Reported: true})
 	}
 	for _, key := range dropped {
-		hints.Placements = append(hints.Placements, membership.Placement{Endpoint: id, Block: tables.BlockHash(key), Dropped: true, Reported: true})
+		hints.Placements = append(hints.Placements, membership.Placement{Endpoint: id, Block: tables.BlockHash(key), Evicted: true, Reported: true})
 	}
 	c.node.hints.Add(hints)
 }
--- a/node/caches_test.go
+++ b/node/caches_test.go
@@ -17,7 +17,7 @@
 	var all []membership.Member
 	for _, zone := range zones {
 		for i := range perZone {
-			all = append(all, membership.Member{Row: membership.Row{
+			all = append(all, membership.Member{InstanceInfo: membership.InstanceInfo{
 				Instance: tables.InstanceID(fmt.Sprintf("%s-%d", zone, i)), Zone: zone,
 			}})
 		}
--- a/node/entry.go
+++ b/node/entry.go
@@ -147,11 +147,11 @@
 	placements, loads := n.entry.News()
 	var hints membership.Hints
 	for _, p := range placements {
-		hints.Placements = append(hints.Placements, membership.Placement{Endpoint: p.Endpoint, Block: tables.BlockHash(p.Key), Dropped: p.Dropped})
+		hints.Placements = append(hints.Placements, membership.Placement{Endpoint: p.Endpoint, Block: tables.BlockHash(p.Key), Evicted: p.Dropped})
 	}
 	for _, l := range loads {
 		hints.Loads = append(hints.Loads, membership.Load{
-			Endpoint: l.Endpoint, Running: l.Running, Tokens: l.Tokens, Prefill: l.Prefill, Link: l.Link, Absent: l.Absent,
+			Endpoint: l.Endpoint, Running: l.Running, CacheTokens: l.Tokens, PrefillTokens: l.Prefill, LinkBusy: l.Link, AbsentFor: l.Absent,
 			Limit: reportedLimit(l.Limit),
 		})
 	}
@@ -167,7 +167,7 @@
 	if n.entry == nil {
 		return
 	}
-	placed := dispatch.Placement{Endpoint: p.Endpoint, Key: parts.Key(p.Block), Dropped: p.Dropped}
+	placed := dispatch.Placement{Endpoint: p.Endpoint, Key: parts.Key(p.Block), Dropped: p.Evicted}
 	if !p.Reported {
 		n.entry.Placed(placed)
 		return
@@ -183,7 +183,7 @@
 func (n *Node) loadedElsewhere(l membership.Load) {
 	if n.entry != nil {
 		n.entry.Loaded(l.Instance, dispatch.Load{
-			Endpoint: l.Endpoint, Running: l.Running, Tokens: l.Tokens, Prefill: l.Prefill, Link: l.Link, Absent: l.Absent,
+			Endpoint: l.Endpoint, Running: l.Running, Tokens: l.CacheTokens, Prefill: l.PrefillTokens, Link: l.LinkBusy, Absent: l.AbsentFor,
 			Limit: receivedLimit(l.Limit),
 		})
 	}
--- a/node/members.go
+++ b/node/members.go
@@ -33,13 +33,13 @@
 	}
 	joined, err := gossip.Start(gossip.Options{
 		Membership: membership.Options{
-			Self: membership.Row{
+			Self: membership.InstanceInfo{
 				Instance: s.Instance, Zone: s.Zone, Roles: membership.Roles(s.Entry, s.Control), Size: sizeOf(s.Processors),
 				Address: s.Advertise.Membership, Control: s.Advertise.Instances, Boot: n.boot,
 			},
 			Seeds:    seeds,
-			Seed:     n.seed(),
-			Schedule: true,
+			RandomSeed:     n.seed(),
+			UseSchedulers: true,
 		},
 		Listen:   s.Listen.Membership,
 		Ring:     keys.Of(datagramKey),
@@ -85,7 +85,7 @@
 	n.sharing.Store(int64(peers))
 	n.entry.Peers(rank, peers)
 	n.noteLostEntries(members)
-	n.entry.Placers(membership.Placers(members, n.options.Settings.Zone))
+	n.entry.Placers(membership.CountSchedulers(members, n.options.Settings.Zone))
 }
 
 // peerMemory is for how long the highest number of peers counts.
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -35,7 +35,7 @@
 }
 
 // schedulers lists those of the own zone; none where each instance chooses for itself.
-func (n *Node) schedulers() []membership.Entry {
+func (n *Node) schedulers() []membership.EntryInstance {
 	if joined := n.members.Load(); joined != nil {
 		return joined.Schedulers()
 	}
@@ -46,7 +46,7 @@
 // instance chooses for itself.
 func (n *Node) choosesItself() bool {
 	schedulers := n.schedulers()
-	return len(schedulers) == 0 || slices.ContainsFunc(schedulers, func(s membership.Entry) bool {
+	return len(schedulers) == 0 || slices.ContainsFunc(schedulers, func(s membership.EntryInstance) bool {
 		return s.Instance == n.options.Settings.Instance
 	})
 }
--- a/node/usage.go
+++ b/node/usage.go
@@ -40,7 +40,7 @@
 	return limits
 }
 
-func (n *Node) entriesByZone() map[tables.Zone][]membership.Entry {
+func (n *Node) entriesByZone() map[tables.Zone][]membership.EntryInstance {
 	if joined := n.members.Load(); joined != nil {
 		return joined.EntriesByZone()
 	}
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -35,7 +35,7 @@
 	// Boot differs between lives of the instance.
 	Boot uint64
 	// Schedulers lists those of the zone; none where each instance chooses for itself.
-	Schedulers func() []membership.Entry
+	Schedulers func() []membership.EntryInstance
 	Send       func(to netip.AddrPort, message *rpc.ScheduleMessage)
 	// Now is a monotonic clock.
 	Now func() tables.Instant
@@ -105,13 +105,13 @@
 }
 
 // pick returns the scheduler of a request of those that answer.
-func (c *Client) pick(key uint64) (membership.Entry, bool) {
+func (c *Client) pick(key uint64) (membership.EntryInstance, bool) {
 	now := c.options.Now()
 	return datagram.Pick(key, c.options.Schedulers(), func(id tables.InstanceID) bool { return c.silent.Left(id, now) })
 }
 
 // askOne asks one scheduler; a nil answer means that none came in time.
-func (c *Client) askOne(ctx context.Context, s membership.Entry, r *dispatch.Request) (*rpc.ScheduleAnswer, uint64) {
+func (c *Client) askOne(ctx context.Context, s membership.EntryInstance, r *dispatch.Request) (*rpc.ScheduleAnswer, uint64) {
 	answer, number, _ := c.calls.Ask(ctx, answerTimeout, func(number uint64) {
 		c.options.Send(s.Address, &rpc.ScheduleMessage{Number: number, Question: question(c.options.Now(), r)})
 	})
@@ -119,7 +119,7 @@
 }
 
 // leave asks others for a while.
-func (c *Client) leave(s membership.Entry, silent bool) {
+func (c *Client) leave(s membership.EntryInstance, silent bool) {
 	pause := unreadyPause
 	if silent {
 		pause = silentPause
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -88,15 +88,15 @@
 
 func newZone(now func() tables.Instant, placers ...*placer) *zone {
 	z := &zone{servers: map[netip.AddrPort]*Server{}, silent: map[netip.AddrPort]bool{}, lost: func(*rpc.ScheduleMessage) bool { return false }}
-	var schedulers []membership.Entry
+	var schedulers []membership.EntryInstance
 	for i, p := range placers {
 		at := address(uint16(1 + i))
-		schedulers = append(schedulers, membership.Entry{Instance: tables.InstanceID(rune('x' + i)), Address: at})
+		schedulers = append(schedulers, membership.EntryInstance{Instance: tables.InstanceID(rune('x' + i)), Address: at})
 		z.servers[at] = NewServer(p, now)
 	}
 	z.client = NewClient(ClientOptions{
 		Self: "asker", Boot: 100, Now: now, Log: zap.NewNop(),
-		Schedulers: func() []membership.Entry { return schedulers },
+		Schedulers: func() []membership.EntryInstance { return schedulers },
 		Send:       z.send,
 	})
 	return z
--- a/systems/membership/fuzz_test.go
+++ b/systems/membership/fuzz_test.go
@@ -22,7 +22,7 @@
 	f.Add([]byte{0x0a, 0x00})
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		self := netip.MustParseAddrPort("127.0.0.1:1")
-		m := New(Options{Self: Row{Instance: "a", Zone: "z", Size: 1, Address: self}, Seed: 1})
+		m := New(Options{Self: InstanceInfo{Instance: "a", Zone: "z", Size: 1, Address: self}, RandomSeed: 1})
 		out, err := m.Receive(time.Second, netip.MustParseAddrPort("127.0.0.1:2"), payload)
 		if err != nil && len(out.Datagrams) > 0 {
 			t.Fatal("answered what it could not read")
@@ -30,12 +30,12 @@
 		for i := range 20 {
 			out = m.Tick(time.Duration(i+2) * time.Second)
 			for _, d := range out.Datagrams {
-				if len(d.Payload) > m.config.DatagramBytes {
+				if len(d.Payload) > m.config.MaxDatagramBytes {
 					t.Fatalf("a datagram of %d bytes", len(d.Payload))
 				}
 			}
 		}
-		if share := m.Share(); !(share > 0 && share <= 1) {
+		if share := m.LoadShare(); !(share > 0 && share <= 1) {
 			t.Fatalf("share %v", share)
 		}
 	})
--- a/systems/membership/hints.go
+++ b/systems/membership/hints.go
@@ -15,8 +15,8 @@
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
 	Block    tables.BlockHash
-	// Dropped is set for a prefix that the endpoint has no longer.
-	Dropped bool
+	// Evicted is set for a prefix that the endpoint has no longer.
+	Evicted bool
 	// Reported is set for the endpoint's own word, which is about prefixes that no
 	// request shares too.
 	Reported bool
@@ -27,14 +27,14 @@
 	// Instance is who told of it; it is not set in what this instance tells.
 	Instance tables.InstanceID
 	Endpoint tables.EndpointID
-	// Running counts requests that have not ended, Tokens their memory, and
-	// Prefill the prompt tokens of those without a first event.
-	Running, Tokens, Prefill int
-	// Link is for how long the endpoint's link is busy with transfers that the
+	// Running counts requests that have not ended, CacheTokens their memory, and
+	// PrefillTokens the prompt tokens of those without a first event.
+	Running, CacheTokens, PrefillTokens int
+	// LinkBusy is for how long the endpoint's link is busy with transfers that the
 	// instance knows of.
-	Link time.Duration
-	// Absent is for how long the instance counts the endpoint as absent from its address.
-	Absent time.Duration
+	LinkBusy time.Duration
+	// AbsentFor is for how long the instance counts the endpoint as absent from its address.
+	AbsentFor time.Duration
 	// Limit is what the instance knows of the endpoint's rate limit; nil for nothing.
 	Limit *RateLimit
 }
@@ -57,11 +57,11 @@
 	Relay bool
 }
 
-// WideGroup is how many living entry instances are told of hints wherever they
+// FullMeshLimit is how many living entry instances are told of hints wherever they
 // are. With more, only those of the own availability zone are, or its schedulers: what
 // is told grows with the square of the group otherwise, and prefixes have their homes
 // in each zone.
-const WideGroup = 24
+const FullMeshLimit = 24
 
 // relayStart spreads which instance of another zone is told first.
 const relayStart = 1 << 16
@@ -76,7 +76,7 @@
 	peers := m.roster.told
 	for len(peers) > 0 && len(hints.Placements)+len(hints.Loads) > 0 {
 		d := m.hints()
-		room := m.config.DatagramBytes - proto.Size(d)
+		room := m.config.MaxDatagramBytes - proto.Size(d)
 		loads := addLoads(d, hints.Loads, &room)
 		placements := addPlacements(d, hints.Placements, &room)
 		if loads+placements == 0 || !m.sendHints(d, peers) {
@@ -87,17 +87,17 @@
 	return m.take()
 }
 
-// SendToOtherZones sends placements to one instance of each zone that SendHints leaves
+// SendPlacementsToOtherZones sends placements to one instance of each zone that SendHints leaves
 // out; it is to pass them on there. A prompt that one zone has read is
 // fetched by the others then and not read once more in each, and little crosses
 // zones.
-func (m *Membership) SendToOtherZones(now tables.Instant, placements []Placement) Output {
+func (m *Membership) SendPlacementsToOtherZones(now tables.Instant, placements []Placement) Output {
 	m.now = now
 	relays := m.relays()
 	for len(relays) > 0 && len(placements) > 0 {
 		d := m.hints()
 		d.Relay = true
-		room := m.config.DatagramBytes - proto.Size(d)
+		room := m.config.MaxDatagramBytes - proto.Size(d)
 		added := addPlacements(d, placements, &room)
 		if added == 0 || !m.sendHints(d, relays) {
 			break
@@ -114,7 +114,7 @@
 	receivers := m.remoteSchedulers()
 	for len(receivers) > 0 && len(loads) > 0 {
 		d := m.hints()
-		room := m.config.DatagramBytes - proto.Size(d)
+		room := m.config.MaxDatagramBytes - proto.Size(d)
 		added := addLoads(d, loads, &room)
 		if added == 0 || !m.sendHints(d, receivers) {
 			break
@@ -124,8 +124,8 @@
 	return m.take()
 }
 
-// RemoteSchedulers counts the schedulers of other zones.
-func (m *Membership) RemoteSchedulers() int { return len(m.remoteSchedulers()) }
+// RemoteSchedulerCount counts the schedulers of other zones.
+func (m *Membership) RemoteSchedulerCount() int { return len(m.remoteSchedulers()) }
 
 func (m *Membership) remoteSchedulers() []netip.AddrPort {
 	m.count()
@@ -169,8 +169,8 @@
 	return true
 }
 
-// HintReceivers is how many instances hints are told to.
-func (m *Membership) HintReceivers() int {
+// HintReceiverCount is how many instances hints are told to.
+func (m *Membership) HintReceiverCount() int {
 	m.count()
 	return len(m.roster.told)
 }
@@ -178,7 +178,7 @@
 // addPlacements adds placements while they fit, and returns how many did.
 func addPlacements(d *rpc.Datagram, placements []Placement, room *int) int {
 	for i, p := range placements {
-		encoded := &rpc.CachePlacement{Endpoint: string(p.Endpoint), Boot: string(p.Boot), Block: uint64(p.Block), Dropped: p.Dropped, Reported: p.Reported}
+		encoded := &rpc.CachePlacement{Endpoint: string(p.Endpoint), Boot: string(p.Boot), Block: uint64(p.Block), Dropped: p.Evicted, Reported: p.Reported}
 		size := proto.Size(encoded) + fieldOverhead
 		if size > *room {
 			return i
@@ -193,8 +193,8 @@
 func addLoads(d *rpc.Datagram, loads []Load, room *int) int {
 	for i, l := range loads {
 		encoded := &rpc.EndpointLoad{
-			Endpoint: string(l.Endpoint), Running: uint32(l.Running), Tokens: uint32(l.Tokens), Prefill: uint32(l.Prefill),
-			LinkMs: uint32(l.Link.Milliseconds()), AbsentMs: uint32(l.Absent.Milliseconds()),
+			Endpoint: string(l.Endpoint), Running: uint32(l.Running), Tokens: uint32(l.CacheTokens), Prefill: uint32(l.PrefillTokens),
+			LinkMs: uint32(l.LinkBusy.Milliseconds()), AbsentMs: uint32(l.AbsentFor.Milliseconds()),
 			Limit: encodeRateLimit(l.Limit),
 		}
 		size := proto.Size(encoded) + fieldOverhead
@@ -214,7 +214,7 @@
 			Endpoint: tables.EndpointID(encoded.GetEndpoint()),
 			Boot:     tables.BootID(encoded.GetBoot()),
 			Block:    tables.BlockHash(encoded.GetBlock()),
-			Dropped:  encoded.GetDropped(),
+			Evicted:  encoded.GetDropped(),
 			Reported: encoded.GetReported(),
 		})
 	}
@@ -223,9 +223,9 @@
 		m.out.Hints.Loads = append(m.out.Hints.Loads, Load{
 			Instance: tables.InstanceID(in.GetSender().GetInstance()),
 			Endpoint: tables.EndpointID(encoded.GetEndpoint()),
-			Running:  int(encoded.GetRunning()), Tokens: int(encoded.GetTokens()), Prefill: int(encoded.GetPrefill()),
-			Link:   time.Duration(encoded.GetLinkMs()) * time.Millisecond,
-			Absent: time.Duration(encoded.GetAbsentMs()) * time.Millisecond,
+			Running:  int(encoded.GetRunning()), CacheTokens: int(encoded.GetTokens()), PrefillTokens: int(encoded.GetPrefill()),
+			LinkBusy:   time.Duration(encoded.GetLinkMs()) * time.Millisecond,
+			AbsentFor: time.Duration(encoded.GetAbsentMs()) * time.Millisecond,
 			Limit:  decodeRateLimit(encoded.GetLimit()),
 		})
 	}
--- a/systems/membership/membership.go
+++ b/systems/membership/membership.go
@@ -41,8 +41,8 @@
 	return roles
 }
 
-// Row describes an instance, as it says itself.
-type Row struct {
+// InstanceInfo describes an instance, as it says itself.
+type InstanceInfo struct {
 	Instance tables.InstanceID
 	Zone     tables.Zone
 	Roles    Role
@@ -74,7 +74,7 @@
 
 // Member is an instance and what is believed of it.
 type Member struct {
-	Row
+	InstanceInfo
 	State State
 	// Incarnation grows when the instance refutes a suspicion.
 	Incarnation uint64
@@ -99,17 +99,17 @@
 // Config holds the times and bounds of the protocol. Zero values mean the
 // defaults.
 type Config struct {
-	// Period is the time between two probes; half a second is enough for the
+	// ProbeInterval is the time between two probes; half a second is enough for the
 	// direct answer, see ProbeTimeout.
-	Period       time.Duration
+	ProbeInterval       time.Duration
 	ProbeTimeout time.Duration
-	// Helpers is how many others are asked to ping one that did not answer.
-	Helpers int
-	// Forget is how long dead instances are kept and tried again, so that zones
+	// IndirectProbes is how many others are asked to ping one that did not answer.
+	IndirectProbes int
+	// DeadRetention is how long dead instances are kept and tried again, so that zones
 	// find each other after they were cut off.
-	Forget time.Duration
-	// DatagramBytes bounds one datagram.
-	DatagramBytes int
+	DeadRetention time.Duration
+	// MaxDatagramBytes bounds one datagram.
+	MaxDatagramBytes int
 	// SyncBytesPerSecond bounds what is sent to joining instances; herds of them
 	// are served in turn.
 	SyncBytesPerSecond int
@@ -143,24 +143,24 @@
 )
 
 func (c *Config) setDefaults() {
-	c.Period = cmp.Or(c.Period, defaultPeriod)
+	c.ProbeInterval = cmp.Or(c.ProbeInterval, defaultPeriod)
 	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, defaultProbeTimeout)
-	c.Helpers = cmp.Or(c.Helpers, defaultHelpers)
-	c.Forget = cmp.Or(c.Forget, defaultForget)
-	c.DatagramBytes = cmp.Or(c.DatagramBytes, defaultDatagramBytes)
+	c.IndirectProbes = cmp.Or(c.IndirectProbes, defaultHelpers)
+	c.DeadRetention = cmp.Or(c.DeadRetention, defaultForget)
+	c.MaxDatagramBytes = cmp.Or(c.MaxDatagramBytes, defaultDatagramBytes)
 	c.SyncBytesPerSecond = cmp.Or(c.SyncBytesPerSecond, defaultSyncBytes)
 }
 
 // Options sets a Membership up.
 type Options struct {
-	Self   Row
+	Self   InstanceInfo
 	Config Config
 	// Seeds are addresses to join through. They are tried as long as they are
 	// not those of living members.
 	Seeds []netip.AddrPort
-	Seed  uint64
-	// Schedule lets schedulers choose endpoints in groups beyond WideGroup.
-	Schedule bool
+	RandomSeed  uint64
+	// UseSchedulers lets schedulers choose endpoints in groups beyond WideGroup.
+	UseSchedulers bool
 }
 
 // Datagram is one to be sent.
@@ -174,15 +174,15 @@
 	Datagrams []Datagram
 	// Hints are what another instance lets this one know.
 	Hints Hints
-	// Schedule is a message between an entry instance and a scheduler, and From who
+	// ScheduleMessage is a message between an entry instance and a scheduler, and From who
 	// sent it.
-	Schedule *rpc.ScheduleMessage
-	// Usage is a message about organisations' usage, from the same.
-	Usage *rpc.UsageMessage
+	ScheduleMessage *rpc.ScheduleMessage
+	// UsageMessage is a message about organisations' usage, from the same.
+	UsageMessage *rpc.UsageMessage
 	From  Sender
-	// Newer is set to the control address of an instance that has a newer
+	// NewerRevisionAt is set to the control address of an instance that has a newer
 	// revision in force than this one.
-	Newer netip.AddrPort
+	NewerRevisionAt netip.AddrPort
 }
 
 // Sender is who sent a datagram.
@@ -223,17 +223,17 @@
 // New returns the view of an instance that knows of nobody yet.
 func New(options Options) *Membership {
 	options.Config.setDefaults()
-	self := &member{Member: Member{Row: options.Self, Incarnation: 1}, hash: hashOf(options.Self.Instance)}
+	self := &member{Member: Member{InstanceInfo: options.Self, Incarnation: 1}, hash: hashOf(options.Self.Instance)}
 	return &Membership{
 		config:     options.Config,
 		self:       self,
 		configured: options.Seeds,
 		seeds:      options.Seeds,
-		random:     rand.New(rand.NewPCG(options.Seed, options.Self.Boot)),
+		random:     rand.New(rand.NewPCG(options.RandomSeed, options.Self.Boot)),
 		roster:     newRoster(self),
-		schedule:   options.Schedule,
+		schedule:   options.UseSchedulers,
 		probes:     newProbes(),
-		relayed:    int(options.Seed % relayStart),
+		relayed:    int(options.RandomSeed % relayStart),
 	}
 }
 
@@ -251,9 +251,9 @@
 // Version grows whenever the set of living instances changes.
 func (m *Membership) Version() uint64 { return m.version }
 
-// Share returns this instance's part of the load that living entry instances
+// LoadShare returns this instance's part of the load that living entry instances
 // share by size, above 0 and at most 1.
-func (m *Membership) Share() float64 {
+func (m *Membership) LoadShare() float64 {
 	all := 0
 	for _, row := range m.roster.order {
 		if row.State <= Suspect && row.Roles&RoleEntry != 0 {
@@ -295,10 +295,10 @@
 	Leaving bool
 }
 
-// PlatformList takes the platform's list as a hint: it may be old. Instances in
+// SetPlatformList takes the platform's list as a hint: it may be old. Instances in
 // it that are not known are tried. One that is suspect and that the list does
 // not have, or has as leaving, is held for dead without further waiting.
-func (m *Membership) PlatformList(list []PlatformInstance) {
+func (m *Membership) SetPlatformList(list []PlatformInstance) {
 	m.gone, m.leaving = map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
 	// Seeds of earlier lists are dropped: instances are replaced every day, and
 	// their former addresses would pile up.
@@ -334,7 +334,7 @@
 // suspectFor is how long a member has to refute a suspicion.
 func (m *Membership) suspectFor() time.Duration {
 	factor := max(1, math.Log10(float64(m.living())))
-	return time.Duration(suspectPeriods * factor * float64(m.config.Period))
+	return time.Duration(suspectPeriods * factor * float64(m.config.ProbeInterval))
 }
 
 // pick returns up to n living members at random, without this one and except.
--- a/systems/membership/membership_test.go
+++ b/systems/membership/membership_test.go
@@ -14,7 +14,7 @@
 	for _, n := range []int{2, 9, 100} {
 		w := newWorld(t, n)
 		w.until(30*time.Second, "find each other", w.allAlive)
-		assert.Equal(t, w.nodes[1].Share(), 1/float64(n))
+		assert.Equal(t, w.nodes[1].LoadShare(), 1/float64(n))
 	}
 }
 
@@ -133,7 +133,7 @@
 		for i, other := range w.nodes {
 			list = append(list, PlatformInstance{Address: other.address, Leaving: i == 4})
 		}
-		node.PlatformList(list)
+		node.SetPlatformList(list)
 	}
 	w.run(10 * time.Second)
 	assert.Assert(t, w.allAlive())
@@ -183,11 +183,11 @@
 // one; were they not told at all, each zone would read every prompt once more.
 // One instance of each other zone passes the placement on, once.
 func TestPlacementsReachOtherZones(t *testing.T) {
-	w := newZones(t, 3*WideGroup, 3)
+	w := newZones(t, 3*FullMeshLimit, 3)
 	w.until(2*time.Minute, "find each other", w.allAlive)
 	placements := []Placement{{Endpoint: "e1", Block: 7}}
 	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
-	w.send(w.nodes[2], w.nodes[2].SendToOtherZones(w.now, placements))
+	w.send(w.nodes[2], w.nodes[2].SendPlacementsToOtherZones(w.now, placements))
 	w.run(time.Second)
 	relays := 0
 	for _, node := range w.nodes {
--- a/systems/membership/network_test.go
+++ b/systems/membership/network_test.go
@@ -75,8 +75,8 @@
 	node := w.nodes[i]
 	node.down = false
 	node.Membership = New(Options{
-		Schedule: w.schedule,
-		Self: Row{
+		UseSchedulers: w.schedule,
+		Self: InstanceInfo{
 			Instance: tables.InstanceID(fmt.Sprintf("accra-a-%03d", i)),
 			Zone:     tables.Zone("accra-" + string(rune('a'+i%w.zones))),
 			Roles:    RoleEntry,
@@ -86,15 +86,15 @@
 			Boot:     w.boots,
 		},
 		Seeds: []netip.AddrPort{w.nodes[0].address},
-		Seed:  uint64(i),
+		RandomSeed:  uint64(i),
 	})
 }
 
 func (w *world) send(from *node, out Output) {
 	from.placements = append(from.placements, out.Hints.Placements...)
 	from.relay = from.relay || out.Hints.Relay
-	if out.Newer.IsValid() {
-		from.newer = out.Newer
+	if out.NewerRevisionAt.IsValid() {
+		from.newer = out.NewerRevisionAt
 	}
 	for _, d := range out.Datagrams {
 		w.sent += len(d.Payload)
--- a/systems/membership/probe.go
+++ b/systems/membership/probe.go
@@ -47,7 +47,7 @@
 	m.expire(now)
 	p := &m.probes
 	switch {
-	case p.periods == 0 || now-p.started >= m.config.Period:
+	case p.periods == 0 || now-p.started >= m.config.ProbeInterval:
 		m.endProbe(now)
 		m.startProbe(now)
 	case p.target != nil && !p.acked && !p.helped && now-p.started >= m.config.ProbeTimeout:
@@ -94,7 +94,7 @@
 func (m *Membership) askHelpers() {
 	p := &m.probes
 	p.helped = true
-	for _, helper := range m.pick(m.config.Helpers, p.target.Instance) {
+	for _, helper := range m.pick(m.config.IndirectProbes, p.target.Instance) {
 		m.sendAbout(helper.Address, datagramPingRequest, p.probe, p.target.Address)
 	}
 	// The first datagram may just have been lost.
@@ -164,7 +164,7 @@
 			private := row.private && m.alone()
 			m.setState(now, row, Dead)
 			row.private = private
-		case row.State >= Dead && now-row.changed >= m.config.Forget:
+		case row.State >= Dead && now-row.changed >= m.config.DeadRetention:
 			forgotten = append(forgotten, row.Instance)
 		}
 	}
@@ -173,7 +173,7 @@
 		m.version++
 	}
 	for sequence, r := range m.probes.relays {
-		if now-r.at >= m.config.Period {
+		if now-r.at >= m.config.ProbeInterval {
 			delete(m.probes.relays, sequence)
 		}
 	}
--- a/systems/membership/receive.go
+++ b/systems/membership/receive.go
@@ -14,30 +14,30 @@
 // maxRelays bounds the pings made for others at one time.
 const maxRelays = 256
 
-// BadDatagram means that a datagram was dropped.
-type BadDatagram struct {
+// DatagramError means that a datagram was dropped.
+type DatagramError struct {
 	From   netip.AddrPort
 	Reason string
 	Cause  error
 }
 
 // Error says whose it was and why.
-func (e *BadDatagram) Error() string {
+func (e *DatagramError) Error() string {
 	return fmt.Sprintf("datagram from %s dropped: %s", e.From, e.Reason)
 }
 
 // Unwrap gives the cause.
-func (e *BadDatagram) Unwrap() error { return e.Cause }
+func (e *DatagramError) Unwrap() error { return e.Cause }
 
 // Receive takes in a datagram. Datagrams may be lost, late, repeated and out of
 // order.
 func (m *Membership) Receive(now tables.Instant, from netip.AddrPort, payload []byte) (Output, error) {
 	in := &rpc.Datagram{}
 	if err := proto.Unmarshal(payload, in); err != nil {
-		return Output{}, trace.Wrap(&BadDatagram{From: from, Reason: "it cannot be read", Cause: err})
+		return Output{}, trace.Wrap(&DatagramError{From: from, Reason: "it cannot be read", Cause: err})
 	}
 	if in.GetSender().GetInstance() == "" {
-		return Output{}, trace.Wrap(&BadDatagram{From: from, Reason: "it has no sender"})
+		return Output{}, trace.Wrap(&DatagramError{From: from, Reason: "it has no sender"})
 	}
 	if in.GetSender().GetInstance() == string(m.self.Instance) {
 		return Output{}, nil
@@ -51,9 +51,9 @@
 	sender := Sender{Instance: tables.InstanceID(in.GetSender().GetInstance()), Address: from}
 	switch in.GetKind() {
 	case datagramSchedule:
-		return Output{Schedule: in.GetSchedule(), From: sender}, nil
+		return Output{ScheduleMessage: in.GetSchedule(), From: sender}, nil
 	case datagramUsage:
-		return Output{Usage: in.GetUsage(), From: sender}, nil
+		return Output{UsageMessage: in.GetUsage(), From: sender}, nil
 	}
 	m.takeSender(now, from, in)
 	m.answer(now, from, in)
@@ -82,7 +82,7 @@
 		return
 	}
 	if sender.Revision > m.self.Revision && sender.Control.IsValid() {
-		m.out.Newer = sender.Control
+		m.out.NewerRevisionAt = sender.Control
 	}
 }
 
--- a/systems/membership/roster.go
+++ b/systems/membership/roster.go
@@ -22,9 +22,9 @@
 	living, entries int
 	// schedulers are those of the own zone; none where each entry instance chooses for
 	// itself.
-	schedulers []Entry
+	schedulers []EntryInstance
 	// byZone lists the living entry instances of each zone; it is made anew at a change.
-	byZone map[tables.Zone][]Entry
+	byZone map[tables.Zone][]EntryInstance
 	// abroad are the entry instances of each other zone, one of which passes hints on.
 	remote [][]*member
 	// told are the addresses that hints go to.
--- a/systems/membership/schedulers.go
+++ b/systems/membership/schedulers.go
@@ -41,8 +41,8 @@
 	return h.Sum64()
 }
 
-// Entry is an entry instance and where it is reached.
-type Entry struct {
+// EntryInstance is an entry instance and where it is reached.
+type EntryInstance struct {
 	Instance tables.InstanceID
 	// Address takes datagrams; Control serves the other instances over TCP.
 	Address netip.AddrPort
@@ -51,14 +51,14 @@
 
 // Schedulers lists those of the own zone, the best first; none where each entry
 // instance chooses for itself.
-func (m *Membership) Schedulers() []Entry {
+func (m *Membership) Schedulers() []EntryInstance {
 	m.count()
 	return m.roster.schedulers
 }
 
 // AllSchedulers lists those of all zones; none where each entry instance chooses for
 // itself.
-func (m *Membership) AllSchedulers() []Entry {
+func (m *Membership) AllSchedulers() []EntryInstance {
 	m.count()
 	all := slices.Clone(m.roster.schedulers)
 	if len(all) == 0 {
@@ -72,8 +72,8 @@
 	return all
 }
 
-func entryOf(row *member) Entry {
-	return Entry{Instance: row.Instance, Address: row.Address, Control: row.Control}
+func entryOf(row *member) EntryInstance {
+	return EntryInstance{Instance: row.Instance, Address: row.Address, Control: row.Control}
 }
 
 // zones lists the living entry instances of each zone.
@@ -92,14 +92,14 @@
 	zones := m.zones()
 	r := &m.roster
 	r.entries, r.schedulers, r.told, r.remote = 0, nil, nil, nil
-	r.byZone = make(map[tables.Zone][]Entry, len(zones))
+	r.byZone = make(map[tables.Zone][]EntryInstance, len(zones))
 	for zone, entries := range zones {
 		r.entries += len(entries)
 		for _, row := range entries {
 			r.byZone[zone] = append(r.byZone[zone], entryOf(row))
 		}
 	}
-	wide := r.entries > WideGroup
+	wide := r.entries > FullMeshLimit
 	schedule := wide && m.schedule
 	for zone, entries := range zones {
 		near := zone == m.self.Zone
@@ -123,21 +123,21 @@
 }
 
 // EntriesByZone lists the living entry instances of each zone.
-func (m *Membership) EntriesByZone() map[tables.Zone][]Entry {
+func (m *Membership) EntriesByZone() map[tables.Zone][]EntryInstance {
 	m.count()
 	return m.roster.byZone
 }
 
-// Schedule encodes a message between an entry instance and a scheduler. It needs no
+// EncodeSchedule encodes a message between an entry instance and a scheduler. It needs no
 // member and no clock.
-func (m *Membership) Schedule(to netip.AddrPort, message *rpc.ScheduleMessage) Output {
+func (m *Membership) EncodeSchedule(to netip.AddrPort, message *rpc.ScheduleMessage) Output {
 	d := m.hints()
 	d.Kind, d.Schedule = datagramSchedule, message
 	return encoded(to, d)
 }
 
-// Usage encodes a message about organisations' usage, as Schedule does.
-func (m *Membership) Usage(to netip.AddrPort, message *rpc.UsageMessage) Output {
+// EncodeUsage encodes a message about organisations' usage, as Schedule does.
+func (m *Membership) EncodeUsage(to netip.AddrPort, message *rpc.UsageMessage) Output {
 	d := m.hints()
 	d.Kind, d.Usage = datagramUsage, message
 	return encoded(to, d)
@@ -151,9 +151,9 @@
 	return Output{Datagrams: []Datagram{{To: to, Payload: payload}}}
 }
 
-// Placers counts the instances that choose endpoints beside one of a zone: those that
+// CountSchedulers counts the instances that choose endpoints beside one of a zone: those that
 // it tells of each choice, and those that hear of it through others.
-func Placers(members []Member, zone tables.Zone) (near, remote int) {
+func CountSchedulers(members []Member, zone tables.Zone) (near, remote int) {
 	zones, entries := map[tables.Zone]int{}, 0
 	for _, m := range members {
 		if m.State <= Suspect && m.Roles&RoleEntry != 0 {
@@ -161,7 +161,7 @@
 			entries++
 		}
 	}
-	if entries <= WideGroup {
+	if entries <= FullMeshLimit {
 		return entries - 1, 0
 	}
 	for name, n := range zones {
--- a/systems/membership/schedulers_test.go
+++ b/systems/membership/schedulers_test.go
@@ -22,9 +22,9 @@
 // TestInstancesOfAZoneAgreeOnTheirSchedulers guards against choices that are spread
 // over instances which do not know of each other's.
 func TestInstancesOfAZoneAgreeOnTheirSchedulers(t *testing.T) {
-	w := newGroup(t, 4*WideGroup, 3, true)
+	w := newGroup(t, 4*FullMeshLimit, 3, true)
 	w.until(2*time.Minute, "find each other", w.allAlive)
-	byZone := map[tables.Zone][]Entry{}
+	byZone := map[tables.Zone][]EntryInstance{}
 	for _, node := range w.nodes {
 		zone := node.self.Zone
 		if byZone[zone] == nil {
@@ -40,18 +40,18 @@
 // TestASmallGroupHasNoSchedulers guards against a detour where each instance hears of
 // all others' choices anyway.
 func TestASmallGroupHasNoSchedulers(t *testing.T) {
-	w := newGroup(t, WideGroup, 3, true)
+	w := newGroup(t, FullMeshLimit, 3, true)
 	w.until(2*time.Minute, "find each other", w.allAlive)
 	for _, node := range w.nodes {
 		assert.Equal(t, len(node.Schedulers()), 0)
-		assert.Equal(t, node.HintReceivers(), WideGroup-1)
+		assert.Equal(t, node.HintReceiverCount(), FullMeshLimit-1)
 	}
 }
 
 // TestADeadSchedulerIsReplaced guards against a zone that goes on asking an instance
 // that is gone.
 func TestADeadSchedulerIsReplaced(t *testing.T) {
-	w := newGroup(t, 4*WideGroup, 3, true)
+	w := newGroup(t, 4*FullMeshLimit, 3, true)
 	w.until(2*time.Minute, "find each other", w.allAlive)
 	gone := w.nodes[0].Schedulers()[0].Instance
 	for i, node := range w.nodes {
@@ -71,11 +71,11 @@
 // once more since those that choose there were not told of it, and against instances
 // that are told though they do not choose.
 func TestSchedulersOfOtherZonesHearOfPlacements(t *testing.T) {
-	w := newGroup(t, 3*WideGroup, 3, true)
+	w := newGroup(t, 3*FullMeshLimit, 3, true)
 	w.until(2*time.Minute, "find each other", w.allAlive)
 	placements := []Placement{{Endpoint: "e1", Block: 7}}
 	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
-	w.send(w.nodes[2], w.nodes[2].SendToOtherZones(w.now, placements))
+	w.send(w.nodes[2], w.nodes[2].SendPlacementsToOtherZones(w.now, placements))
 	w.run(time.Second)
 	relays := 0
 	for _, node := range w.nodes {
@@ -102,7 +102,7 @@
 	var entries []*member
 	for i, size := range []int{1, 1, 3, 1, 3, 1} {
 		id := tables.InstanceID(rune('a' + i))
-		entries = append(entries, &member{Member: Member{Row: Row{Instance: id, Size: size}}, hash: hashOf(id)})
+		entries = append(entries, &member{Member: Member{InstanceInfo: InstanceInfo{Instance: id, Size: size}}, hash: hashOf(id)})
 	}
 	picked := schedulersOf(entries)
 	assert.Equal(t, len(picked), 2)
--- a/systems/membership/send.go
+++ b/systems/membership/send.go
@@ -50,7 +50,7 @@
 // that gets no or few asks again, and gets the rest with the pings.
 func (m *Membership) sync(to netip.AddrPort) {
 	rows := m.roster.order
-	for len(rows) > 0 && m.syncBytes >= float64(m.config.DatagramBytes) {
+	for len(rows) > 0 && m.syncBytes >= float64(m.config.MaxDatagramBytes) {
 		sent := m.sendRows(to, rows)
 		if sent == 0 {
 			return
@@ -68,7 +68,7 @@
 // finish fills the datagram up and sends it. It returns how many of the rows
 // fitted; without rows, it takes new ones first, then hints, then others.
 func (m *Membership) finish(to netip.AddrPort, d *rpc.Datagram, rows []*member) int {
-	room := m.config.DatagramBytes - proto.Size(d)
+	room := m.config.MaxDatagramBytes - proto.Size(d)
 	added := 0
 	if rows != nil {
 		added = m.addRows(d, rows, &room)
@@ -152,7 +152,7 @@
 // decodeRow returns the row, with an invalid address where that cannot be read.
 func decodeRow(encoded *rpc.InstanceRow) Member {
 	row := Member{
-		Row: Row{
+		InstanceInfo: InstanceInfo{
 			Instance: tables.InstanceID(encoded.GetInstance()),
 			Zone:     tables.Zone(encoded.GetZone()),
 			Roles:    Role(encoded.GetRoles()),
--- a/usage/client.go
+++ b/usage/client.go
@@ -66,7 +66,7 @@
 	Server *Server
 	// Entries lists the living entry instances of each zone, and Instances says how many
 	// of them share limits, those that are cut off included.
-	Entries   func() map[tables.Zone][]membership.Entry
+	Entries   func() map[tables.Zone][]membership.EntryInstance
 	Instances func() int
 	Send      func(to netip.AddrPort, message *rpc.UsageMessage)
 	// Now is a monotonic clock.
@@ -231,7 +231,7 @@
 }
 
 // pick returns the accountant of the own zone that is to be asked.
-func (c *Client) pick(id Subject) (membership.Entry, bool) {
+func (c *Client) pick(id Subject) (membership.EntryInstance, bool) {
 	now := c.options.Now()
 	return datagram.Pick(keyOf(id), c.options.Entries()[c.options.Zone], func(other tables.InstanceID) bool {
 		return c.silent.Left(other, now)
--- a/usage/endpoints_test.go
+++ b/usage/endpoints_test.go
@@ -78,11 +78,11 @@
 // Guards against requests at an endpoint that names a limit while nobody counts them.
 func TestNothingIsSentToALimitedEndpointWhileNobodyCounts(t *testing.T) {
 	now := func() tables.Instant { return time.Second }
-	self := membership.Entry{Instance: "i1", Address: netip.MustParseAddrPort("127.0.0.1:1")}
-	other := membership.Entry{Instance: "i2", Address: netip.MustParseAddrPort("127.0.0.1:2")}
+	self := membership.EntryInstance{Instance: "i1", Address: netip.MustParseAddrPort("127.0.0.1:1")}
+	other := membership.EntryInstance{Instance: "i2", Address: netip.MustParseAddrPort("127.0.0.1:2")}
 	c := NewClient(ClientOptions{
 		Self: self.Instance, Zone: "a", Now: now, Log: zap.NewNop(), Instances: func() int { return 2 },
-		Entries: func() map[tables.Zone][]membership.Entry { return map[tables.Zone][]membership.Entry{"a": {other}} },
+		Entries: func() map[tables.Zone][]membership.EntryInstance { return map[tables.Zone][]membership.EntryInstance{"a": {other}} },
 		Send:    func(netip.AddrPort, *rpc.UsageMessage) {},
 	})
 	decision := c.Admit(context.Background(), engine, EndpointLimit(5), 1)
--- a/usage/server.go
+++ b/usage/server.go
@@ -30,7 +30,7 @@
 	// Life tells lives of the instance apart.
 	Life uint64
 	// Entries lists the living entry instances of each zone.
-	Entries func() map[tables.Zone][]membership.Entry
+	Entries func() map[tables.Zone][]membership.EntryInstance
 	Send    func(to netip.AddrPort, message *rpc.UsageMessage)
 	// Now is a monotonic clock.
 	Now func() tables.Instant
@@ -143,7 +143,7 @@
 
 // receivers are the accountants of a subject in all zones, and those that have
 // reported of it.
-func (s *Server) receivers(id Subject, zones map[tables.Zone][]membership.Entry) []netip.AddrPort {
+func (s *Server) receivers(id Subject, zones map[tables.Zone][]membership.EntryInstance) []netip.AddrPort {
 	at := map[tables.InstanceID]netip.AddrPort{}
 	for _, entries := range zones {
 		if first, found := draw(id, entries); found {
@@ -164,6 +164,6 @@
 }
 
 // draw picks a subject's accountant among entry instances.
-func draw(id Subject, entries []membership.Entry) (membership.Entry, bool) {
+func draw(id Subject, entries []membership.EntryInstance) (membership.EntryInstance, bool) {
 	return datagram.Pick(keyOf(id), entries, func(tables.InstanceID) bool { return false })
 }
--- a/usage/sim_test.go
+++ b/usage/sim_test.go
@@ -120,11 +120,11 @@
 	})
 }
 
-func (s *sim) entries(zone string) []membership.Entry {
-	var all []membership.Entry
+func (s *sim) entries(zone string) []membership.EntryInstance {
+	var all []membership.EntryInstance
 	for _, m := range s.members {
 		if m.zone == zone && !m.down {
-			all = append(all, membership.Entry{Instance: m.name})
+			all = append(all, membership.EntryInstance{Instance: m.name})
 		}
 	}
 	return all
