--- a/router/watch.go
+++ b/router/watch.go
@@ -87,7 +87,7 @@
 	var overdue []waiting.Item
 	for p := range r.classes {
 		for f := range r.classes[p].queues {
-			overdue = r.classes[p].queues[f].Overdue(overdue, now)
+			overdue = r.classes[p].queues[f].Expired(overdue, now)
 		}
 	}
 	for _, item := range overdue {
@@ -103,7 +103,7 @@
 			r.abort(now, a)
 			continue
 		}
-		if r.wantsHedge(now, row, a) && r.budget.Spend() {
+		if r.wantsHedge(now, row, a) && r.budget.TryWithdraw() {
 			r.place(now, row, true)
 			return
 		}
