--- a/schedule/server.go
+++ b/schedule/server.go
@@ -15,9 +15,9 @@
 	// Service returns a service of the configuration in force, nil if there is none
 	// of that name.
 	Service(name string) *routes.Service
-	PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.Reason)
+	PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.RejectReason)
 	AttemptStarted(a *dispatch.Attempt)
-	AttemptEnded(a *dispatch.Attempt, how dispatch.End)
+	AttemptEnded(a *dispatch.Attempt, how dispatch.Outcome)
 }
 
 const (
@@ -60,7 +60,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, repeated := s.open[key]; repeated {
-		return encodeChoice(known.attempt.Choice(now))
+		return encodeChoice(known.attempt.Decision(now))
 	}
 	service := s.placer.Service(q.GetService())
 	if service == nil {
@@ -72,7 +72,7 @@
 		return &rpc.ScheduleAnswer{Ready: true, Reason: string(reason)}
 	}
 	s.open[key] = assigned{attempt: chosen, until: r.Deadline + endMargin}
-	return encodeChoice(chosen.Choice(now))
+	return encodeChoice(chosen.Decision(now))
 }
 
 // HandleProgress takes how an attempt of another instance goes on.
@@ -89,7 +89,7 @@
 	}
 	if p.GetEnded() {
 		delete(s.open, key)
-		s.placer.AttemptEnded(known.attempt, dispatch.DecodeEnd(p.GetEnd()))
+		s.placer.AttemptEnded(known.attempt, dispatch.DecodeOutcome(p.GetEnd()))
 	}
 }
 
