--- a/demo/added_test.go
+++ b/demo/added_test.go
@@ -130,7 +130,7 @@
 	return r
 }
 
-var benchPrompt = strings.Repeat("words ", 2*prefix.PieceBytes/len("words ")) + strings.Repeat("document ", 400)
+var benchPrompt = strings.Repeat("words ", 2*prefix.BlockBytes/len("words ")) + strings.Repeat("document ", 400)
 
 // timing is what one stream took.
 type timing struct {
--- a/demo/load.go
+++ b/demo/load.go
@@ -187,7 +187,7 @@
 
 // writePiece writes exactly one cache piece of text.
 func writePiece(b *strings.Builder, about string) {
-	end := b.Len() + prefix.PieceBytes
+	end := b.Len() + prefix.BlockBytes
 	for b.Len() < end {
 		line := about + "\n"
 		b.WriteString(line[:min(len(line), end-b.Len())])
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -77,11 +77,11 @@
 func TestCachedPrefixIsReported(t *testing.T) {
 	e := startEngine(t, nil)
 	c := engine.NewHTTPClient(engine.Options{})
-	prompt := strings.Repeat("p", 2*prefix.PieceBytes+100)
+	prompt := strings.Repeat("p", 2*prefix.BlockBytes+100)
 	for i, attempt := range []string{"a1", "a2"} {
 		s, err := c.Generate(context.Background(), e.Address(), request(attempt, prompt, 1))
 		assert.NilError(t, err)
-		assert.Equal(t, s.Accepted().CachedTokens, i*2*prefix.PieceTokens)
+		assert.Equal(t, s.Accepted().CachedTokens, i*2*prefix.BlockTokens)
 		readAll(t, s)
 		assert.NilError(t, s.Close())
 	}
--- a/engine/feed/feed_test.go
+++ b/engine/feed/feed_test.go
@@ -136,7 +136,7 @@
 	defer g.Close()
 	g.Configure(&tables.Configuration{Endpoints: []tables.Endpoint{{ID: "e1", Address: e.Address()}}})
 
-	prompt := string(make([]byte, prefix.PieceBytes))
+	prompt := string(make([]byte, prefix.BlockBytes))
 	s, err := client.Generate(t.Context(), e.Address(), engine.GenerateRequest{
 		Attempt: "a", Model: "m", Prompt: prompt, MaxToken: 1, Salt: "org",
 	})
@@ -146,7 +146,7 @@
 	assert.NilError(t, s.Close())
 
 	scope := prefix.Scope{Organisation: "org", Model: "m", Weights: "v1"}
-	want := prefix.Blocks(nil, scope.Root(), prompt)
+	want := prefix.BlockHashes(nil, scope.RootHash(), prompt)
 	for in := range inputs {
 		if event, ok := in.(router.CacheEvent); ok {
 			assert.DeepEqual(t, event.Stored, want)
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -81,11 +81,11 @@
 func (s *Server) newCompletion(d *directory, org *tables.Organisation, p *tables.Profile, ask completionAsk) *flight {
 	f := s.newFlight(org, p)
 	f.prompt = ask.prompt
-	f.row.PromptTokens = prefix.Tokens(len(ask.prompt))
+	f.row.PromptTokens = prefix.EstimateTokens(len(ask.prompt))
 	f.row.MaxTokens = ask.maxTokens
 	f.weights = d.weights(p.Model)
 	scope := prefix.Scope{Organisation: org.ID, Model: p.Model, Adapter: p.Adapter, Weights: f.weights}
-	f.row.Blocks = prefix.Blocks(nil, scope.Root(), ask.prompt)
+	f.row.Blocks = prefix.BlockHashes(nil, scope.RootHash(), ask.prompt)
 	f.row.Fingerprint = fingerprint(org.ID, p.Name, ask.prompt)
 	return f
 }
--- a/entry/news_test.go
+++ b/entry/news_test.go
@@ -25,7 +25,7 @@
 		close(tokens)
 		return r.client.stream(ctx, req, tokens, nil), nil
 	}}
-	prompt := strings.Repeat("a", 2*prefix.PieceBytes+10)
+	prompt := strings.Repeat("a", 2*prefix.BlockBytes+10)
 	resp := r.post(t, t.Context(), "/v1/completions", `{"model":"m","prompt":"`+prompt+`"}`)
 	assert.Equal(t, resp.StatusCode, 200)
 	assert.Equal(t, <-told, 2)
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -140,7 +140,7 @@
 		return
 	}
 	e.skipCached(j)
-	chunk := min(prefix.PieceTokens, j.request.PromptTokens-j.done)
+	chunk := min(prefix.BlockTokens, j.request.PromptTokens-j.done)
 	e.prefilling = j
 	took := e.seconds(float64(chunk) / e.spec.PrefillRate)
 	if e.time.counted(e.time.now) {
@@ -155,11 +155,11 @@
 
 func (e *engine) skipCached(j *job) {
 	blocks := j.request.Blocks
-	for i := j.done / prefix.PieceTokens; i < len(blocks) && e.cache.has(blocks[i]); i++ {
-		j.done += prefix.PieceTokens
-		j.cached += prefix.PieceTokens
+	for i := j.done / prefix.BlockTokens; i < len(blocks) && e.cache.has(blocks[i]); i++ {
+		j.done += prefix.BlockTokens
+		j.cached += prefix.BlockTokens
 	}
-	e.cache.touch(blocks[:min(len(blocks), j.done/prefix.PieceTokens)])
+	e.cache.touch(blocks[:min(len(blocks), j.done/prefix.BlockTokens)])
 }
 
 func (e *engine) chunkDone(j *job, chunk int) {
@@ -179,7 +179,7 @@
 	if e.time.now >= warmUp {
 		e.computed += chunk
 	}
-	level := j.done / prefix.PieceTokens
+	level := j.done / prefix.BlockTokens
 	if level < len(j.request.Blocks) {
 		hash := j.request.Blocks[level]
 		if e.known[hash] && e.time.now >= warmUp {
@@ -261,7 +261,7 @@
 
 // uncached is the prefill work of a job that is not done.
 func (e *engine) uncached(j *job) int {
-	held := e.cache.prefix(j.request.Blocks) * prefix.PieceTokens
+	held := e.cache.prefix(j.request.Blocks) * prefix.BlockTokens
 	return max(0, j.request.PromptTokens-max(held, j.done))
 }
 
--- a/measure/oracle.go
+++ b/measure/oracle.go
@@ -53,7 +53,7 @@
 		}
 	}
 	held := max(e.cache.prefix(r.Blocks), planned)
-	own := r.PromptTokens - prefix.PieceTokens*held
+	own := r.PromptTokens - prefix.BlockTokens*held
 	wait := float64(ahead) / e.spec.PrefillRate
 	if excess := active - e.spec.Slots + 1; excess > 0 {
 		wait += float64(excess) / float64(e.spec.Slots) * 2
@@ -64,12 +64,12 @@
 
 // work is the prefill work of a job; a block that several need is counted once.
 func (o *oracle) work(e *engine, j *job) int {
-	tokens := j.request.PromptTokens - prefix.PieceTokens*len(j.request.Blocks)
-	for i := j.done / prefix.PieceTokens; i < len(j.request.Blocks); i++ {
+	tokens := j.request.PromptTokens - prefix.BlockTokens*len(j.request.Blocks)
+	for i := j.done / prefix.BlockTokens; i < len(j.request.Blocks); i++ {
 		hash := j.request.Blocks[i]
 		if !e.cache.has(hash) && !o.counted[hash] {
 			o.counted[hash] = true
-			tokens += prefix.PieceTokens
+			tokens += prefix.BlockTokens
 		}
 	}
 	return tokens
--- a/measure/report.go
+++ b/measure/report.go
@@ -144,7 +144,7 @@
 	if r.firstAt == 0 {
 		return
 	}
-	t.blockTokens += len(r.request.Blocks) * prefix.PieceTokens
+	t.blockTokens += len(r.request.Blocks) * prefix.BlockTokens
 	t.hits += r.cached
 	wait := r.firstAt - r.request.Arrived
 	t.ttft[name] = append(t.ttft[name], wait)
--- a/measure/workload.go
+++ b/measure/workload.go
@@ -218,17 +218,17 @@
 		MaxTokens:   k.answer.draw(t.random), Arrived: now, Deadline: now + k.profile.Timeout,
 	}
 	r.Blocks = t.blocks(k, org, subject)
-	r.PromptTokens = len(r.Blocks)*prefix.PieceTokens + k.tail.draw(t.random)
+	r.PromptTokens = len(r.Blocks)*prefix.BlockTokens + k.tail.draw(t.random)
 	return r
 }
 
 // blocks names the pieces of a prompt level by level.
 func (t *traffic) blocks(k *class, org, subject int) []tables.BlockHash {
-	hash := prefix.Scope{Organisation: organisationID(org), Model: modelName, Weights: weightsVersion}.Root()
+	hash := prefix.Scope{Organisation: organisationID(org), Model: modelName, Weights: weightsVersion}.RootHash()
 	var list []tables.BlockHash
 	extend := func(level string, id, n int) {
 		for i := range n {
-			hash = prefix.Next(hash, fmt.Sprintf("%s %d %d", level, id, i))
+			hash = prefix.ChainHash(hash, fmt.Sprintf("%s %d %d", level, id, i))
 			list = append(list, hash)
 		}
 	}
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -14,10 +14,10 @@
 const (
 	// BytesPerToken estimates tokens from the length of a text.
 	BytesPerToken = 4
-	// PieceTokens is the size of the pieces in which engines hold their cache.
-	PieceTokens = 4000
-	// PieceBytes is PieceTokens in bytes of text.
-	PieceBytes = PieceTokens * BytesPerToken
+	// BlockTokens is the size of the pieces in which engines hold their cache.
+	BlockTokens = 4000
+	// BlockBytes is PieceTokens in bytes of text.
+	BlockBytes = BlockTokens * BytesPerToken
 )
 
 // Scope is what cache entries may be shared within. A difference in any field
@@ -30,10 +30,10 @@
 	Weights      tables.WeightsVersion
 }
 
-// Root is the hash that the first piece of the scope is chained to. Fields are
+// RootHash is the hash that the first piece of the scope is chained to. Fields are
 // separated by a byte that identifiers cannot hold, so that two scopes cannot
 // run together into one text.
-func (s Scope) Root() tables.BlockHash {
+func (s Scope) RootHash() tables.BlockHash {
 	var d xxhash.Digest
 	d.Reset()
 	for _, field := range []string{string(s.Organisation), string(s.Model), string(s.Adapter), string(s.Weights)} {
@@ -43,8 +43,8 @@
 	return tables.BlockHash(d.Sum64())
 }
 
-// Next chains one piece of text to the hash before it.
-func Next(before tables.BlockHash, piece string) tables.BlockHash {
+// ChainHash chains one piece of text to the hash before it.
+func ChainHash(before tables.BlockHash, piece string) tables.BlockHash {
 	var d xxhash.Digest
 	d.Reset()
 	var head [8]byte
@@ -54,16 +54,16 @@
 	return tables.BlockHash(d.Sum64())
 }
 
-// Blocks appends to dst the hashes of all full pieces of text.
-func Blocks(dst []tables.BlockHash, root tables.BlockHash, text string) []tables.BlockHash {
+// BlockHashes appends to dst the hashes of all full pieces of text.
+func BlockHashes(dst []tables.BlockHash, root tables.BlockHash, text string) []tables.BlockHash {
 	hash := root
-	for len(text) >= PieceBytes {
-		hash = Next(hash, text[:PieceBytes])
+	for len(text) >= BlockBytes {
+		hash = ChainHash(hash, text[:BlockBytes])
 		dst = append(dst, hash)
-		text = text[PieceBytes:]
+		text = text[BlockBytes:]
 	}
 	return dst
 }
 
-// Tokens estimates the tokens of a text of n bytes.
-func Tokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
+// EstimateTokens estimates the tokens of a text of n bytes.
+func EstimateTokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -11,9 +11,9 @@
 
 func TestBlocksAreNestedAndScoped(t *testing.T) {
 	scope := Scope{Organisation: "a", Model: "m", Weights: "v1"}
-	style := strings.Repeat("s", PieceBytes)
-	short := Blocks(nil, scope.Root(), style+"tail")
-	long := Blocks(nil, scope.Root(), style+strings.Repeat("d", PieceBytes))
+	style := strings.Repeat("s", BlockBytes)
+	short := BlockHashes(nil, scope.RootHash(), style+"tail")
+	long := BlockHashes(nil, scope.RootHash(), style+strings.Repeat("d", BlockBytes))
 	assert.Equal(t, len(short), 1)
 	assert.Equal(t, len(long), 2)
 	assert.Equal(t, short[0], long[0])
@@ -24,7 +24,7 @@
 		{Organisation: "a", Model: "m", Adapter: "x", Weights: "v1"},
 		{Organisation: "am", Weights: "v1"},
 	} {
-		got := Blocks([]tables.BlockHash(nil), other.Root(), style)
+		got := BlockHashes([]tables.BlockHash(nil), other.RootHash(), style)
 		assert.Assert(t, got[0] != short[0], "scope %+v shares a hash", other)
 	}
 }
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -126,12 +126,12 @@
 	for i, index := range g.members {
 		c := placement.Candidate{Row: r.endpoints.Row(index)}
 		if len(blocks) > 0 {
-			c.KnownTokens = r.matches.Blocks(index) * prefix.PieceTokens
+			c.KnownTokens = r.matches.Blocks(index) * prefix.BlockTokens
 			c.Turnover = g.turnovers[i]
 		}
 		c.CachedTokens = c.KnownTokens
 		if index == home {
-			c.HomeTokens = float64(level * prefix.PieceTokens)
+			c.HomeTokens = float64(level * prefix.BlockTokens)
 			c.CachedTokens = max(c.KnownTokens, trust*c.HomeTokens)
 		}
 		r.scratch = append(r.scratch, c)
--- a/router/learn.go
+++ b/router/learn.go
@@ -81,7 +81,7 @@
 		return
 	}
 	if a.FirstToken == 0 && a.Boot == row.Boot {
-		known := min(len(a.Request.Request.Blocks), a.KnownTokens/prefix.PieceTokens)
+		known := min(len(a.Request.Request.Blocks), a.KnownTokens/prefix.BlockTokens)
 		r.view.Forget(a.Endpoint, a.Request.Request.Blocks[known:])
 	}
 }
@@ -113,7 +113,7 @@
 	if uncached == 0 {
 		return
 	}
-	weight := learnWork * min(1, float64(uncached)/prefix.PieceTokens)
+	weight := learnWork * min(1, float64(uncached)/prefix.BlockTokens)
 	for i := range r.mix {
 		r.mix[i] -= weight * r.mix[i]
 	}
--- a/router/news.go
+++ b/router/news.go
@@ -23,7 +23,7 @@
 	if n.seen == nil {
 		n.seen = make(map[PeerPlacement]bool)
 	}
-	known := min(len(blocks), int(c.KnownTokens+0.5)/prefix.PieceTokens)
+	known := min(len(blocks), int(c.KnownTokens+0.5)/prefix.BlockTokens)
 	for _, hash := range blocks[known:] {
 		row := PeerPlacement{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot, Block: hash}
 		if n.seen[row] {
--- a/router/router.go
+++ b/router/router.go
@@ -109,7 +109,7 @@
 		view:         cacheview.New(cacheview.Options{Rows: options.CacheRows}),
 		homeTrust:    initialHomeTrust,
 		levels:       make(map[tables.ProfileName]*levels),
-		meanUncached: prefix.PieceTokens,
+		meanUncached: prefix.BlockTokens,
 		explained:    newRing(options.Explanations),
 		share:        1,
 	}
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -39,7 +39,7 @@
 		e.Lie(func(l *engine.Load) { l.Running, l.Queued, l.QueuedTokens, l.Attempts = 0, 0, 0, nil })
 	case "full":
 		e.Lie(func(l *engine.Load) {
-			l.Running, l.Queued, l.QueuedTokens = standin.DefaultSlots, falseQueue, falseQueue*prefix.PieceTokens
+			l.Running, l.Queued, l.QueuedTokens = standin.DefaultSlots, falseQueue, falseQueue*prefix.BlockTokens
 		})
 	case "no":
 		e.Lie(nil)
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -44,11 +44,11 @@
 	assert.NilError(t, s.Close())
 }
 
-func piece(text string) string { return strings.Repeat(text, prefix.PieceBytes) }
+func piece(text string) string { return strings.Repeat(text, prefix.BlockBytes) }
 
 func blocksOf(prompt string) []tables.BlockHash {
 	scope := prefix.Scope{Organisation: "org", Model: "m", Weights: "v1"}
-	return prefix.Blocks(nil, scope.Root(), prompt)
+	return prefix.BlockHashes(nil, scope.RootHash(), prompt)
 }
 
 // The cache holds two pieces. A third pushes the least recently used one out,
@@ -67,7 +67,7 @@
 	run(t, c, e, ask("4", piece("a")))
 	totals := e.Records().Totals()
 	assert.Equal(t, totals.CachedTokens, 0)
-	assert.Equal(t, totals.RecomputedTokens, prefix.PieceTokens)
+	assert.Equal(t, totals.RecomputedTokens, prefix.BlockTokens)
 }
 
 // Cache events are lost on the way. The reader sees a jump in the sequence.
@@ -238,13 +238,13 @@
 	_, err = c.ImportCache(t.Context(), to.Address(), have)
 	assert.NilError(t, err)
 	run(t, c, to, ask("2", prompt))
-	assert.Equal(t, to.Records().Totals().CachedTokens, 2*prefix.PieceTokens)
+	assert.Equal(t, to.Records().Totals().CachedTokens, 2*prefix.BlockTokens)
 }
 
 // The records must notice a request that profits from another organisation's
 // cache; here two organisations come with one salt.
 func TestForeignCacheIsNoticed(t *testing.T) {
-	owner := func(prompt string) string { return prompt[prefix.PieceBytes:] }
+	owner := func(prompt string) string { return prompt[prefix.BlockBytes:] }
 	e, c := newEngine(t, func(o *EngineOptions) { o.Owner = owner })
 	run(t, c, e, ask("1", piece("a")+"one"))
 	run(t, c, e, ask("2", piece("a")+"two"))
--- a/standin/handlers.go
+++ b/standin/handlers.go
@@ -77,8 +77,8 @@
 		weights:      weights,
 		owner:        owner,
 		text:         NewText(req.Model, req.Adapter, weights, req.Prompt),
-		blocks:       prefix.Blocks(nil, scope.Root(), req.Prompt),
-		promptTokens: prefix.Tokens(len(req.Prompt)),
+		blocks:       prefix.BlockHashes(nil, scope.RootHash(), req.Prompt),
+		promptTokens: prefix.EstimateTokens(len(req.Prompt)),
 		notify:       make(chan struct{}, 1),
 		gone:         make(chan struct{}),
 	}
--- a/standin/life.go
+++ b/standin/life.go
@@ -170,7 +170,7 @@
 		b.pins++
 	}
 	a.pinned = used
-	a.cachedTokens = len(used) * prefix.PieceTokens
+	a.cachedTokens = len(used) * prefix.BlockTokens
 	a.prefillLeft = a.promptTokens - a.cachedTokens + a.req.ResumeFrom
 	l.running = append(l.running, a)
 	l.engine.options.Records.started(a, used, l.boot)
@@ -255,7 +255,7 @@
 		}
 		return -1
 	})
-	a.foundTokens = len(l.cache.match(a.blocks, time.Now())) * prefix.PieceTokens
+	a.foundTokens = len(l.cache.match(a.blocks, time.Now())) * prefix.BlockTokens
 	l.engine.options.Records.accepted(AttemptRecord{
 		Attempt: a.req.Attempt, Endpoint: l.engine.options.ID, Boot: l.boot,
 		Weights: a.weights, Owner: a.owner, ResumeFrom: a.req.ResumeFrom,
--- a/standin/records.go
+++ b/standin/records.go
@@ -137,7 +137,7 @@
 	}
 	for _, hash := range a.blocks[len(used):] {
 		if _, ok := r.computed[hash]; ok {
-			r.totals.RecomputedTokens += prefix.PieceTokens
+			r.totals.RecomputedTokens += prefix.BlockTokens
 		}
 		r.computed[hash] = struct{}{}
 	}
