--- a/control/client/claims.go
+++ b/control/client/claims.go
@@ -65,12 +65,12 @@
 
 type claimKey struct {
 	organisation tables.OrganisationID
-	key          tables.Key
+	key          tables.IdempotencyKey
 }
 
 type claimID struct {
 	claimKey
-	fence tables.Fence
+	fence tables.FencingToken
 }
 
 // ClaimsFull means that the control state keeps as many claims as it can.
@@ -125,7 +125,7 @@
 }
 
 // Claim asks for the right to run the work named by the organisation's key.
-func (c *Claims) Claim(ctx context.Context, organisation tables.OrganisationID, key tables.Key, body tables.BodyHash) (tables.Grant, error) {
+func (c *Claims) Claim(ctx context.Context, organisation tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
 	at := claimKey{organisation, key}
 	token, sent := c.token(), c.options.Now()
 	result, err := c.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_Claim{Claim: &rpc.Claim{
@@ -141,21 +141,21 @@
 	}
 	if err != nil {
 		c.abandon(at, token)
-		return tables.Grant{}, trace.Wrap(err)
+		return tables.ClaimResult{}, trace.Wrap(err)
 	}
 	answer := result.GetClaim()
 	if answer == nil {
-		return tables.Grant{}, trace.Wrap(refusal("claim", result, organisation, key, 0))
+		return tables.ClaimResult{}, trace.Wrap(refusal("claim", result, organisation, key, 0))
 	}
-	grant := tables.Grant{
+	grant := tables.ClaimResult{
 		Organisation: organisation,
 		Key:          key,
 		State:        grantState(answer.GetState()),
-		Fence:        tables.Fence(answer.GetFence()),
-		Answer:       decodeAnswer(answer.GetAnswer()),
+		FencingToken:        tables.FencingToken(answer.GetFence()),
+		Response:       decodeAnswer(answer.GetAnswer()),
 	}
-	if grant.State == tables.GrantNew {
-		grant.Until = sent + safe(state.DefaultLimits().ClaimedFor)
+	if grant.State == tables.ClaimGranted {
+		grant.ExpiresAt = sent + safe(state.DefaultLimits().ClaimedFor)
 		c.opened(grant)
 	}
 	return grant, nil
@@ -163,15 +163,15 @@
 
 // MarkDispatched records that the work may run from now on. It is called before
 // the call leaves, and once per grant: a second one would be a second dispatch.
-func (c *Claims) MarkDispatched(ctx context.Context, grant tables.Grant) error {
-	if c.options.Now() >= grant.Until {
-		return trace.Wrap(&tables.GrantLost{Organisation: grant.Organisation, Key: grant.Key, Fence: grant.Fence})
+func (c *Claims) MarkDispatched(ctx context.Context, grant tables.ClaimResult) error {
+	if c.options.Now() >= grant.ExpiresAt {
+		return trace.Wrap(&tables.ClaimLostError{Organisation: grant.Organisation, Key: grant.Key, FencingToken: grant.FencingToken})
 	}
 	result, err := c.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_MarkDispatched{
 		MarkDispatched: &rpc.MarkDispatched{
 			Organisation:   string(grant.Organisation),
 			Key:            string(grant.Key),
-			Fence:          uint64(grant.Fence),
+			Fence:          uint64(grant.FencingToken),
 			Token:          c.token(),
 			LostAfterNanos: int64(lostAfter),
 		},
@@ -180,21 +180,21 @@
 		return trace.Wrap(err)
 	}
 	if result.GetDone() == nil {
-		return trace.Wrap(refusal("mark claim dispatched", result, grant.Organisation, grant.Key, grant.Fence))
+		return trace.Wrap(refusal("mark claim dispatched", result, grant.Organisation, grant.Key, grant.FencingToken))
 	}
 	return nil
 }
 
 // Finish stores the answer that resends get. When no quorum takes it, it is
 // sent again in the background for as long as the process lives.
-func (c *Claims) Finish(ctx context.Context, grant tables.Grant, answer tables.Answer) error {
+func (c *Claims) Finish(ctx context.Context, grant tables.ClaimResult, answer tables.StoredResponse) error {
 	return c.end(ctx, grant, &rpc.Command{Action: &rpc.Command_FinishClaim{FinishClaim: &rpc.FinishClaim{
 		Organisation: string(grant.Organisation),
 		Key:          string(grant.Key),
-		Fence:        uint64(grant.Fence),
+		Fence:        uint64(grant.FencingToken),
 		Answer: &rpc.StoredAnswer{
 			Status: int32(answer.Status),
-			Type:   answer.Type,
+			Type:   answer.ContentType,
 			Body:   answer.Body,
 			Tokens: int64(answer.Tokens),
 		},
@@ -203,15 +203,15 @@
 
 // Release gives the claim back. The caller has proof that the work did not run,
 // and will not dispatch it under this grant any more.
-func (c *Claims) Release(ctx context.Context, grant tables.Grant) error {
+func (c *Claims) Release(ctx context.Context, grant tables.ClaimResult) error {
 	return c.end(ctx, grant, &rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
 		Organisation: string(grant.Organisation),
 		Key:          string(grant.Key),
-		Fence:        uint64(grant.Fence),
+		Fence:        uint64(grant.FencingToken),
 	}}})
 }
 
-func (c *Claims) end(ctx context.Context, grant tables.Grant, command *rpc.Command) error {
+func (c *Claims) end(ctx context.Context, grant tables.ClaimResult, command *rpc.Command) error {
 	c.closed(grant)
 	result, err := c.options.Executor.Execute(ctx, command)
 	if err != nil {
@@ -219,7 +219,7 @@
 		return trace.Wrap(err)
 	}
 	if result.GetDone() == nil {
-		return trace.Wrap(refusal(asked(command), result, grant.Organisation, grant.Key, grant.Fence))
+		return trace.Wrap(refusal(asked(command), result, grant.Organisation, grant.Key, grant.FencingToken))
 	}
 	return nil
 }
@@ -265,14 +265,14 @@
 	}}})
 }
 
-func (c *Claims) opened(grant tables.Grant) {
+func (c *Claims) opened(grant tables.ClaimResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open[claimID{claimKey{grant.Organisation, grant.Key}, grant.Fence}] = true
+	c.open[claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}] = true
 }
 
-func (c *Claims) closed(grant tables.Grant) {
-	id := claimID{claimKey{grant.Organisation, grant.Key}, grant.Fence}
+func (c *Claims) closed(grant tables.ClaimResult) {
+	id := claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}
 	c.mu.Lock()
 	known := c.open[id]
 	delete(c.open, id)
@@ -334,38 +334,38 @@
 	return time.Duration(float64(d) * (1 - driftMargin))
 }
 
-func grantState(s rpc.ClaimState) tables.GrantState {
+func grantState(s rpc.ClaimState) tables.ClaimState {
 	switch s {
 	case rpc.ClaimState_CLAIM_NEW:
-		return tables.GrantNew
+		return tables.ClaimGranted
 	case rpc.ClaimState_CLAIM_IN_PROGRESS:
-		return tables.GrantInProgress
+		return tables.ClaimInProgress
 	case rpc.ClaimState_CLAIM_DONE:
-		return tables.GrantDone
+		return tables.ClaimCompleted
 	default:
-		return tables.GrantUnknown
+		return tables.ClaimOutcomeUnknown
 	}
 }
 
-func decodeAnswer(answer *rpc.StoredAnswer) tables.Answer {
-	return tables.Answer{
+func decodeAnswer(answer *rpc.StoredAnswer) tables.StoredResponse {
+	return tables.StoredResponse{
 		Status: int(answer.GetStatus()),
-		Type:   answer.GetType(),
+		ContentType:   answer.GetType(),
 		Body:   answer.GetBody(),
 		Tokens: int(answer.GetTokens()),
 	}
 }
 
-func refusal(asked string, result *rpc.Result, organisation tables.OrganisationID, key tables.Key, fence tables.Fence) error {
+func refusal(asked string, result *rpc.Result, organisation tables.OrganisationID, key tables.IdempotencyKey, fence tables.FencingToken) error {
 	switch reason := result.GetRefusal().GetReason(); reason {
 	case rpc.RefusalReason_REFUSED_KEY_REUSED:
-		return &tables.KeyReused{Organisation: organisation, Key: key}
+		return &tables.KeyReusedError{Organisation: organisation, Key: key}
 	case rpc.RefusalReason_REFUSED_CLAIMS_FULL:
 		return &ClaimsFull{Organisation: organisation}
 	case rpc.RefusalReason_REFUSED_CLAIMS_HELD:
 		return &ClaimsHeld{For: time.Duration(result.GetRefusal().GetRetryAfterNanos())}
 	case rpc.RefusalReason_REFUSED_CLAIM_LOST, rpc.RefusalReason_REFUSED_ALREADY_DISPATCHED:
-		return &tables.GrantLost{Organisation: organisation, Key: key, Fence: fence}
+		return &tables.ClaimLostError{Organisation: organisation, Key: key, FencingToken: fence}
 	default:
 		return &Unexpected{Asked: asked, Reason: reason}
 	}
--- a/control/client/executor.go
+++ b/control/client/executor.go
@@ -56,7 +56,7 @@
 			break
 		}
 	}
-	return nil, trace.Wrap(&tables.NoQuorum{Asked: asked(command), Cause: last})
+	return nil, trace.Wrap(&tables.NoQuorumError{Operation: asked(command), Cause: last})
 }
 
 // retryPause is the time between two tries.
--- a/control/client/lease.go
+++ b/control/client/lease.go
@@ -32,7 +32,7 @@
 	options LeaseOptions
 
 	mu    sync.Mutex
-	fence tables.Fence
+	fence tables.FencingToken
 	until tables.Instant
 	// announced are the orders of other holders, by when they were announced.
 	announced map[tables.EndpointID]tables.Instant
@@ -78,7 +78,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if fence := tables.Fence(answer.GetFence()); fence != l.fence {
+	if fence := tables.FencingToken(answer.GetFence()); fence != l.fence {
 		l.fence = fence
 		l.announced = announcedAt(answer, l.options.Now())
 	}
@@ -126,7 +126,7 @@
 // Held returns the fencing number and how much longer the lease is held, by the
 // own clock alone. It is not held if that is not above zero. An instance that
 // is cut off needs no message to know that it must stop.
-func (l *Lease) Held() (tables.Fence, time.Duration) {
+func (l *Lease) Held() (tables.FencingToken, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence, l.until - l.options.Now()
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -133,7 +133,7 @@
 func TestOneClaimThroughManyInstances(t *testing.T) {
 	c := newCluster(t, 3, 6)
 	body := tables.BodyHash{1}
-	grants := make(chan tables.Grant, len(c.instances))
+	grants := make(chan tables.ClaimResult, len(c.instances))
 	for _, in := range c.instances {
 		go func() {
 			grant, err := in.claims.Claim(c.long(), "press", "note", body)
@@ -141,26 +141,26 @@
 			grants <- grant
 		}()
 	}
-	var owner []tables.Grant
+	var owner []tables.ClaimResult
 	for range c.instances {
 		grant := <-grants
-		if grant.State == tables.GrantNew {
+		if grant.State == tables.ClaimGranted {
 			owner = append(owner, grant)
 			continue
 		}
-		assert.Equal(t, grant.State, tables.GrantInProgress)
+		assert.Equal(t, grant.State, tables.ClaimInProgress)
 	}
 	assert.Equal(t, len(owner), 1)
 	claims := c.instances[0].claims
 	assert.NilError(t, claims.MarkDispatched(c.long(), owner[0]))
 	assert.ErrorContains(t, claims.MarkDispatched(c.long(), owner[0]), "is lost")
-	answer := tables.Answer{Status: 200, Type: "text/plain", Body: []byte("published"), Tokens: 3}
+	answer := tables.StoredResponse{Status: 200, ContentType: "text/plain", Body: []byte("published"), Tokens: 3}
 	assert.NilError(t, claims.Finish(c.long(), owner[0], answer))
 	for _, in := range c.instances {
 		resend, err := in.claims.Claim(c.long(), "press", "note", body)
 		assert.NilError(t, err)
-		assert.Equal(t, resend.State, tables.GrantDone)
-		assert.DeepEqual(t, resend.Answer, answer)
+		assert.Equal(t, resend.State, tables.ClaimCompleted)
+		assert.DeepEqual(t, resend.Response, answer)
 	}
 	_, err := claims.Claim(c.long(), "press", "note", tables.BodyHash{2})
 	assert.ErrorContains(t, err, "different request")
@@ -179,7 +179,7 @@
 	}
 	short, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	err = in.claims.Finish(short, grant, tables.Answer{Status: 200})
+	err = in.claims.Finish(short, grant, tables.StoredResponse{Status: 200})
 	assert.ErrorContains(t, err, "no quorum")
 	_, err = in.claims.Claim(short, "press", "other", tables.BodyHash{1})
 	assert.ErrorContains(t, err, "no quorum")
@@ -190,7 +190,7 @@
 	for {
 		resend, err := c.instances[0].claims.Claim(ctx, "press", "note", tables.BodyHash{1})
 		assert.NilError(t, err)
-		if resend.State == tables.GrantDone {
+		if resend.State == tables.ClaimCompleted {
 			return
 		}
 	}
@@ -214,7 +214,7 @@
 		Executor: lossy, Instance: "lossy", Boot: 1, Now: func() tables.Instant { return 0 },
 	})
 	t.Cleanup(claims.Close)
-	for _, key := range []tables.Key{"same", "other"} {
+	for _, key := range []tables.IdempotencyKey{"same", "other"} {
 		lossy.lose.Store(true)
 		_, err := claims.Claim(c.long(), "press", key, tables.BodyHash{1})
 		assert.ErrorContains(t, err, "lost")
@@ -222,15 +222,15 @@
 	}
 	again, err := claims.Claim(c.long(), "press", "same", tables.BodyHash{1})
 	assert.NilError(t, err)
-	assert.Equal(t, again.State, tables.GrantNew)
+	assert.Equal(t, again.State, tables.ClaimGranted)
 	second, err := claims.Claim(c.long(), "press", "same", tables.BodyHash{1})
 	assert.NilError(t, err)
-	assert.Equal(t, second.State, tables.GrantInProgress)
+	assert.Equal(t, second.State, tables.ClaimInProgress)
 	assert.NilError(t, claims.MarkDispatched(c.long(), again))
 	for {
 		elsewhere, err := in.claims.Claim(c.long(), "press", "other", tables.BodyHash{1})
 		assert.NilError(t, err)
-		if elsewhere.State == tables.GrantNew {
+		if elsewhere.State == tables.ClaimGranted {
 			return
 		}
 	}
@@ -245,7 +245,7 @@
 func (l *lossyExecutor) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	result, err := l.Executor.Execute(ctx, command)
 	if l.lose.Load() {
-		return nil, &tables.NoQuorum{Asked: "claim", Cause: &lostAnswer{}}
+		return nil, &tables.NoQuorumError{Operation: "claim", Cause: &lostAnswer{}}
 	}
 	return result, err
 }
--- a/control/measure_test.go
+++ b/control/measure_test.go
@@ -93,13 +93,13 @@
 }
 
 type claimer interface {
-	Claim(context.Context, tables.OrganisationID, tables.Key, tables.BodyHash) (tables.Grant, error)
-	MarkDispatched(context.Context, tables.Grant) error
+	Claim(context.Context, tables.OrganisationID, tables.IdempotencyKey, tables.BodyHash) (tables.ClaimResult, error)
+	MarkDispatched(context.Context, tables.ClaimResult) error
 }
 
 func claimOnce(b *testing.B, claims claimer, n int64) {
 	organisation := tables.OrganisationID(fmt.Sprint("o", n%8))
-	grant, err := claims.Claim(context.Background(), organisation, tables.Key(fmt.Sprint(n)), tables.BodyHash{1})
+	grant, err := claims.Claim(context.Background(), organisation, tables.IdempotencyKey(fmt.Sprint(n)), tables.BodyHash{1})
 	assert.Check(b, err)
 	assert.Check(b, claims.MarkDispatched(context.Background(), grant))
 }
--- a/control/orders/orders_test.go
+++ b/control/orders/orders_test.go
@@ -97,7 +97,7 @@
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	if s.cut {
-		return nil, &tables.NoQuorum{Asked: "command"}
+		return nil, &tables.NoQuorumError{Operation: "command"}
 	}
 	s.fleet.index++
 	command.Stamp = int64(s.fleet.now)
--- a/control/orders/runner.go
+++ b/control/orders/runner.go
@@ -198,7 +198,7 @@
 }
 
 // count takes a place at the weight store for the load.
-func (r *Runner) count(ctx context.Context, fence tables.Fence, load Load) bool {
+func (r *Runner) count(ctx context.Context, fence tables.FencingToken, load Load) bool {
 	result, err := r.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_StartLoad{
 		StartLoad: &rpc.StartLoad{
 			Lease:    LeaseName,
--- a/control/rollout/plan.go
+++ b/control/rollout/plan.go
@@ -45,7 +45,7 @@
 	Version  uint64
 	Strategy Strategy
 	Holder   string
-	Fence    tables.Fence
+	Fence    tables.FencingToken
 	// Sequence is the one that the engine must have; with any other it takes the
 	// order for outdated.
 	Sequence uint64
--- a/control/rollout/runner_test.go
+++ b/control/rollout/runner_test.go
@@ -37,7 +37,7 @@
 	}
 	if announce := command.GetAnnounceOrders(); announce != nil {
 		if g.deaf {
-			return nil, &tables.NoQuorum{}
+			return nil, &tables.NoQuorumError{}
 		}
 		for _, id := range announce.GetEndpoints() {
 			g.announced[id] = true
@@ -56,7 +56,7 @@
 // engineStub takes orders from one fence on.
 type engineStub struct {
 	mu     sync.Mutex
-	least  tables.Fence
+	least  tables.FencingToken
 	orders []Order
 	at     []tables.Instant
 	now    func() tables.Instant
@@ -115,7 +115,7 @@
 func TestAFencedHolderTakesANewNumber(t *testing.T) {
 	engine := &engineStub{least: 2}
 	runUntil(t, engine, &leaseGroup{}, true)
-	assert.Equal(t, engine.orders[0].Fence, tables.Fence(1))
+	assert.Equal(t, engine.orders[0].Fence, tables.FencingToken(1))
 	for _, order := range engine.orders[1:] {
 		assert.Assert(t, order.Fence >= 2, "fence %d after a refusal", order.Fence)
 	}
--- a/control/server/execute.go
+++ b/control/server/execute.go
@@ -139,7 +139,7 @@
 func (s *Server) Barrier(ctx context.Context) error {
 	result, err := s.Execute(ctx, &rpc.Command{Action: &rpc.Command_PassTime{PassTime: &rpc.PassTime{}}})
 	if err != nil {
-		return trace.Wrap(&tables.NoQuorum{Asked: "read", Cause: err})
+		return trace.Wrap(&tables.NoQuorumError{Operation: "read", Cause: err})
 	}
 	return trace.Wrap(s.until(ctx, func() bool { return s.applied >= result.GetIndex() }))
 }
--- a/demo/caller.go
+++ b/demo/caller.go
@@ -98,7 +98,7 @@
 func (c *caller) send(ctx context.Context, i *item, address string) result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := result{item: i, ending: unreached, outcome: tables.Unknown}
+	r := result{item: i, ending: unreached, outcome: tables.OutcomeUnknown}
 	req, err := i.request(ctx, address)
 	if err != nil {
 		return r
@@ -133,7 +133,7 @@
 		return
 	}
 	r.ending, r.code, r.outcome = failed, failure.Error.Code, failure.Error.Outcome
-	if r.outcome == tables.NotRun {
+	if r.outcome == tables.OutcomeNotRun {
 		r.ending = refused
 	}
 }
--- a/demo/check_test.go
+++ b/demo/check_test.go
@@ -51,7 +51,7 @@
 		"another's text": {result: result{item: prompt, ending: left, text: "other"}, want: "not the beginning"},
 		"silent end":     {result: result{item: prompt, ending: silent, text: whole[:5]}, want: "without an end mark"},
 		"not run, but ran": {
-			result:  result{item: note, ending: refused, outcome: tables.NotRun},
+			result:  result{item: note, ending: refused, outcome: tables.OutcomeNotRun},
 			prepare: func(f *fleet) { call(t, f, "a1", note) },
 			want:    "refused as not run",
 		},
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -198,13 +198,13 @@
 }
 
 // whole waits for a plain service's answer.
-func (r *reader) whole() (tables.Answer, error) {
+func (r *reader) whole() (tables.StoredResponse, error) {
 	if err := r.await(); err != nil {
-		return tables.Answer{}, err
+		return tables.StoredResponse{}, err
 	}
 	got := r.current.answer
 	r.complete()
-	return tables.Answer{Status: got.Status, Type: got.Type, Body: got.Body}, nil
+	return tables.StoredResponse{Status: got.Status, ContentType: got.Type, Body: got.Body}, nil
 }
 
 // text collects the whole answer; it is for callers who do not stream.
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -29,7 +29,7 @@
 		body    string
 		headers []string
 		status  int
-		code    tables.Code
+		code    tables.ErrorCode
 	}{
 		{"no token", completions, `{"prompt":"p"}`, []string{"Authorization", ""}, 401, tables.CodeUnauthorised},
 		{"other scheme", completions, `{"prompt":"p"}`, []string{"Authorization", "Basic abc"}, 401, tables.CodeUnauthorised},
@@ -58,8 +58,8 @@
 			content := read(t, resp)
 			assert.Equal(t, resp.StatusCode, c.status, content)
 			failure := failureIn(t, content)
-			assert.Equal(t, tables.Code(failure.Code), c.code, content)
-			assert.Equal(t, string(failure.Outcome), string(tables.NotRun))
+			assert.Equal(t, tables.ErrorCode(failure.Code), c.code, content)
+			assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
 			assert.Equal(t, len(r.client.seen()), 0)
 			assert.Equal(t, len(r.client.calls), 0)
 		})
@@ -81,8 +81,8 @@
 	content := read(t, resp)
 	assert.Equal(t, resp.StatusCode, 503, content)
 	failure := failureIn(t, content)
-	assert.Equal(t, tables.Code(failure.Code), tables.CodeOverloaded)
-	assert.Equal(t, string(failure.Outcome), string(tables.NotRun))
+	assert.Equal(t, tables.ErrorCode(failure.Code), tables.CodeOverloaded)
+	assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
 	assert.Assert(t, resp.Header.Get("Retry-After") != "")
 	assert.Equal(t, r.server.held.Load(), int64(0))
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -196,13 +196,13 @@
 		return nil, &engine.NotStarted{Attempt: req.Attempt, Declined: true}
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
-	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.NotRun))
+	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeNotRun))
 
 	r.client.generate = []script{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return nil, &engine.Interrupted{Attempt: req.Attempt, Cause: context.DeadlineExceeded}
 	}}
 	got = read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
-	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.Unknown))
+	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeUnknown))
 }
 
 // again is a Decider without judgement: it retries at once, up to most attempts.
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -24,7 +24,7 @@
 type claim struct {
 	claimer Claimer
 	wait    time.Duration
-	grant   tables.Grant
+	grant   tables.ClaimResult
 	// marked is set once the work may have been handed to an endpoint. Attempts
 	// of one flight follow each other, so nothing guards it.
 	marked bool
@@ -32,7 +32,7 @@
 
 // take asks for the claim. It gives the stored answer if the work has run, a
 // failure if it must not run now, and neither if it may.
-func (c *claim) take(ctx context.Context, f *flight, key tables.Key, body tables.BodyHash) (*tables.Answer, *outcome.Failure) {
+func (c *claim) take(ctx context.Context, f *flight, key tables.IdempotencyKey, body tables.BodyHash) (*tables.StoredResponse, *outcome.Failure) {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
 	grant, err := c.claimer.Claim(ctx, f.row.Organisation, key, body)
@@ -41,11 +41,11 @@
 	}
 	c.grant = grant
 	switch grant.State {
-	case tables.GrantNew:
+	case tables.ClaimGranted:
 		return nil, nil
-	case tables.GrantDone:
-		return &grant.Answer, nil
-	case tables.GrantInProgress:
+	case tables.ClaimCompleted:
+		return &grant.Response, nil
+	case tables.ClaimInProgress:
 		return nil, elsewhere(f.row.ID, tables.CodeKeyInProgress, retryInProgress)
 	default:
 		return nil, elsewhere(f.row.ID, tables.CodeOutcomeUnknown, 0)
@@ -54,7 +54,7 @@
 
 // claimFailure is for a claim that was not made: this request did not run.
 func claimFailure(id tables.RequestID, err error) *outcome.Failure {
-	var reused *tables.KeyReused
+	var reused *tables.KeyReusedError
 	if errors.As(err, &reused) {
 		return notRun(id, tables.CodeKeyReused, 0)
 	}
@@ -62,7 +62,7 @@
 }
 
 // elsewhere is for work that another request under the same key has begun.
-func elsewhere(id tables.RequestID, code tables.Code, retryAfter time.Duration) *outcome.Failure {
+func elsewhere(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
 	return outcome.New(id).Dispatch("").Fail(code, outcome.MayHaveRun, retryAfter)
 }
 
@@ -99,7 +99,7 @@
 
 // finish stores the answer for resends. The caller gets it also when it could
 // not be stored; a resend is then told that the outcome is unknown.
-func (c *claim) finish(f *flight, answer tables.Answer) {
+func (c *claim) finish(f *flight, answer tables.StoredResponse) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.wait)
 	defer cancel()
 	if err := c.claimer.Finish(ctx, c.grant, answer); err != nil {
@@ -109,7 +109,7 @@
 
 // release gives the claim back if the work did not run.
 func (c *claim) release(f *flight, failure *outcome.Failure) {
-	if failure.Outcome() != tables.NotRun || c.grant.State != tables.GrantNew {
+	if failure.Outcome() != tables.OutcomeNotRun || c.grant.State != tables.ClaimGranted {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.wait)
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -14,7 +14,7 @@
 // fakeClaimer is a control state of one process.
 type fakeClaimer struct {
 	mu       sync.Mutex
-	claims   map[tables.Key]*fakeClaim
+	claims   map[tables.IdempotencyKey]*fakeClaim
 	noQuorum bool
 	// markFails makes MarkDispatched fail.
 	markFails bool
@@ -22,48 +22,48 @@
 
 type fakeClaim struct {
 	body   tables.BodyHash
-	state  tables.GrantState
+	state  tables.ClaimState
 	marked bool
-	answer tables.Answer
+	answer tables.StoredResponse
 }
 
-func (c *fakeClaimer) Claim(_ context.Context, org tables.OrganisationID, key tables.Key, body tables.BodyHash) (tables.Grant, error) {
+func (c *fakeClaimer) Claim(_ context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.noQuorum {
-		return tables.Grant{}, &tables.NoQuorum{Asked: "claim"}
+		return tables.ClaimResult{}, &tables.NoQuorumError{Operation: "claim"}
 	}
-	g := tables.Grant{Organisation: org, Key: key}
+	g := tables.ClaimResult{Organisation: org, Key: key}
 	known := c.claims[key]
 	if known == nil {
-		c.claims[key] = &fakeClaim{body: body, state: tables.GrantInProgress}
+		c.claims[key] = &fakeClaim{body: body, state: tables.ClaimInProgress}
 		return g, nil
 	}
 	if known.body != body {
-		return g, &tables.KeyReused{Organisation: org, Key: key}
+		return g, &tables.KeyReusedError{Organisation: org, Key: key}
 	}
-	g.State, g.Answer = known.state, known.answer
+	g.State, g.Response = known.state, known.answer
 	return g, nil
 }
 
-func (c *fakeClaimer) MarkDispatched(_ context.Context, g tables.Grant) error {
+func (c *fakeClaimer) MarkDispatched(_ context.Context, g tables.ClaimResult) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.markFails {
-		return &tables.NoQuorum{Asked: "mark"}
+		return &tables.NoQuorumError{Operation: "mark"}
 	}
 	c.claims[g.Key].marked = true
 	return nil
 }
 
-func (c *fakeClaimer) Finish(_ context.Context, g tables.Grant, a tables.Answer) error {
+func (c *fakeClaimer) Finish(_ context.Context, g tables.ClaimResult, a tables.StoredResponse) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.claims[g.Key].state, c.claims[g.Key].answer = tables.GrantDone, a
+	c.claims[g.Key].state, c.claims[g.Key].answer = tables.ClaimCompleted, a
 	return nil
 }
 
-func (c *fakeClaimer) Release(_ context.Context, g tables.Grant) error {
+func (c *fakeClaimer) Release(_ context.Context, g tables.ClaimResult) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.claims, g.Key)
@@ -89,7 +89,7 @@
 		name    string
 		prepare func(*fakeClaimer)
 		calls   []callScript
-		code    tables.Code
+		code    tables.ErrorCode
 		outcome tables.Outcome
 		ran     int
 		// held says whether the key is still claimed afterwards.
@@ -99,31 +99,31 @@
 		// The service answers, the answer is lost on its way. Whether the note
 		// is published is not known, and it must not be published again.
 		{name: "answer lost", calls: []callScript{cutOff, publishes},
-			code: tables.CodeOutcomeUnknown, outcome: tables.Unknown, ran: 1, held: true},
+			code: tables.CodeOutcomeUnknown, outcome: tables.OutcomeUnknown, ran: 1, held: true},
 		// The first server does not listen: nothing has run, the next may.
 		{name: "first server down", calls: []callScript{refused, publishes}, ran: 2, held: true},
 		// The zone is cut off from the other replicas of the control state.
 		{name: "no quorum", prepare: func(f *fakeClaimer) { f.noQuorum = true }, calls: []callScript{publishes},
-			code: tables.CodeNoQuorum, outcome: tables.NotRun},
+			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
 		// It is cut off between the claim and the call.
 		{name: "quorum lost after claim", prepare: func(f *fakeClaimer) { f.markFails = true }, calls: []callScript{publishes},
-			code: tables.CodeNoQuorum, outcome: tables.NotRun},
+			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
 		{name: "first run in progress", prepare: func(f *fakeClaimer) {
-			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.GrantInProgress}
-		}, calls: []callScript{publishes}, code: tables.CodeKeyInProgress, outcome: tables.Unknown, held: true},
+			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.ClaimInProgress}
+		}, calls: []callScript{publishes}, code: tables.CodeKeyInProgress, outcome: tables.OutcomeUnknown, held: true},
 		{name: "first run unknown", prepare: func(f *fakeClaimer) {
-			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.GrantUnknown}
-		}, calls: []callScript{publishes}, code: tables.CodeOutcomeUnknown, outcome: tables.Unknown, held: true},
+			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.ClaimOutcomeUnknown}
+		}, calls: []callScript{publishes}, code: tables.CodeOutcomeUnknown, outcome: tables.OutcomeUnknown, held: true},
 		{name: "key reused", prepare: func(f *fakeClaimer) {
-			f.claims["k"] = &fakeClaim{state: tables.GrantDone}
-		}, calls: []callScript{publishes}, code: tables.CodeKeyReused, outcome: tables.NotRun, held: true},
+			f.claims["k"] = &fakeClaim{state: tables.ClaimCompleted}
+		}, calls: []callScript{publishes}, code: tables.CodeKeyReused, outcome: tables.OutcomeNotRun, held: true},
 		{name: "resend", prepare: func(f *fakeClaimer) {
-			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.GrantDone,
-				answer: tables.Answer{Status: 201, Body: []byte("published")}}
+			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.ClaimCompleted,
+				answer: tables.StoredResponse{Status: 201, Body: []byte("published")}}
 		}, calls: []callScript{publishes}, held: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			claims := &fakeClaimer{claims: map[tables.Key]*fakeClaim{}}
+			claims := &fakeClaimer{claims: map[tables.IdempotencyKey]*fakeClaim{}}
 			if c.prepare != nil {
 				c.prepare(claims)
 			}
@@ -136,7 +136,7 @@
 				assert.Equal(t, resp.Header.Get("X-Service-Status"), "201")
 			} else {
 				failure := failureIn(t, content)
-				assert.Equal(t, tables.Code(failure.Code), c.code, content)
+				assert.Equal(t, tables.ErrorCode(failure.Code), c.code, content)
 				assert.Equal(t, string(failure.Outcome), string(c.outcome))
 			}
 			assert.Equal(t, len(r.client.calls), c.ran)
@@ -152,7 +152,7 @@
 // The caller's connection breaks while its note is being published. The note is
 // published all the same, and the caller's resend gets the answer.
 func TestCallerGoneWhileWorkRuns(t *testing.T) {
-	claims := &fakeClaimer{claims: map[tables.Key]*fakeClaim{}}
+	claims := &fakeClaimer{claims: map[tables.IdempotencyKey]*fakeClaim{}}
 	r := newRig(t, func(o *Options) { o.Claimer = claims })
 	gone, goOn, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	r.client.call = []callScript{func(q engine.CallRequest) (engine.CallAnswer, error) {
@@ -179,7 +179,7 @@
 			assert.Equal(t, content, "published")
 			break
 		}
-		assert.Equal(t, tables.Code(failureIn(t, content).Code), tables.CodeKeyInProgress, content)
+		assert.Equal(t, tables.ErrorCode(failureIn(t, content).Code), tables.CodeKeyInProgress, content)
 	}
 	assert.Equal(t, len(r.client.calls), 1)
 }
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -124,11 +124,11 @@
 }
 
 // callService runs a call to a plain service to its end.
-func (s *Server) callService(ctx context.Context, ask serviceAsk) (tables.Answer, error) {
+func (s *Server) callService(ctx context.Context, ask serviceAsk) (tables.StoredResponse, error) {
 	org := organisationOf(ctx)
 	p, code := s.directory.Load().resolve(org, target{kind: tables.PlainService, profile: ask.profile, service: ask.service})
 	if code != 0 {
-		return tables.Answer{}, notRun("", code, 0)
+		return tables.StoredResponse{}, notRun("", code, 0)
 	}
 	f := s.newFlight(org, p)
 	f.call = &engine.CallRequest{Path: callPath + ask.call, Type: typeData, Key: ask.key, Body: ask.body}
@@ -157,16 +157,16 @@
 
 // once runs work that must run at most once. It goes on when its caller goes
 // away, so that the answer is there for the resend.
-func (s *Server) once(ctx context.Context, f *flight, key string, body tables.BodyHash) (tables.Answer, error) {
+func (s *Server) once(ctx context.Context, f *flight, key string, body tables.BodyHash) (tables.StoredResponse, error) {
 	if key == "" {
-		return tables.Answer{}, notRun(f.row.ID, tables.CodeKeyMissing, 0)
+		return tables.StoredResponse{}, notRun(f.row.ID, tables.CodeKeyMissing, 0)
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.profile.Timeout+onceMargin)
 	defer cancel()
 	f.claim = &claim{claimer: s.claimer, wait: s.limits.ClaimWait}
-	answer, failure := f.claim.take(ctx, f, tables.Key(key), body)
+	answer, failure := f.claim.take(ctx, f, tables.IdempotencyKey(key), body)
 	if failure != nil {
-		return tables.Answer{}, failure
+		return tables.StoredResponse{}, failure
 	}
 	if answer != nil {
 		return *answer, nil
@@ -175,22 +175,22 @@
 	defer r.close()
 	got, err := r.onceAnswer()
 	if err != nil {
-		return tables.Answer{}, f.unfinished(err)
+		return tables.StoredResponse{}, f.unfinished(err)
 	}
 	f.claim.finish(f, got)
 	return got, nil
 }
 
 // onceAnswer gives the whole answer in the form that is stored.
-func (r *reader) onceAnswer() (tables.Answer, error) {
+func (r *reader) onceAnswer() (tables.StoredResponse, error) {
 	if r.flight.call != nil {
 		return r.whole()
 	}
 	text, tokens, err := r.text()
 	if err != nil {
-		return tables.Answer{}, err
+		return tables.StoredResponse{}, err
 	}
-	return tables.Answer{Type: typeText, Body: []byte(text), Tokens: tokens}, nil
+	return tables.StoredResponse{ContentType: typeText, Body: []byte(text), Tokens: tokens}, nil
 }
 
 // unfinished ends work that must run once and gave no answer.
@@ -205,7 +205,7 @@
 
 // stored gives a stored completion as one piece.
 type stored struct {
-	answer tables.Answer
+	answer tables.StoredResponse
 	limit  int
 	given  bool
 }
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -98,7 +98,7 @@
 // resolve finds the profile that a request is treated by: the named one, or
 // the only one of the organisation's that fits. It gives the code of the
 // failure otherwise.
-func (d *directory) resolve(o *tables.Organisation, t target) (*tables.Profile, tables.Code) {
+func (d *directory) resolve(o *tables.Organisation, t target) (*tables.Profile, tables.ErrorCode) {
 	if t.profile != "" {
 		return d.named(o, t)
 	}
@@ -118,7 +118,7 @@
 	return found, 0
 }
 
-func (d *directory) named(o *tables.Organisation, t target) (*tables.Profile, tables.Code) {
+func (d *directory) named(o *tables.Organisation, t target) (*tables.Profile, tables.ErrorCode) {
 	p := d.profiles[tables.ProfileName(t.profile)]
 	if p == nil || p.Kind != t.kind {
 		return nil, tables.CodeUnknownProfile
@@ -133,7 +133,7 @@
 }
 
 // unknown is the code for a target that nothing fits.
-func (t target) unknown() tables.Code {
+func (t target) unknown() tables.ErrorCode {
 	switch {
 	case t.kind == tables.PlainService:
 		return tables.CodeUnknownService
--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -63,8 +63,8 @@
 	}
 	refused := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p"}`)
 	failure := failureIn(t, read(t, refused))
-	assert.Equal(t, tables.Code(failure.Code), tables.CodeDraining)
-	assert.Equal(t, string(failure.Outcome), string(tables.NotRun))
+	assert.Equal(t, tables.ErrorCode(failure.Code), tables.CodeDraining)
+	assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
 
 	select {
 	case <-done:
@@ -100,5 +100,5 @@
 	assert.Assert(t, !r.ready(t))
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p"}`)
 	failure := failureIn(t, read(t, resp))
-	assert.Equal(t, tables.Code(failure.Code), tables.CodeNotReady)
+	assert.Equal(t, tables.ErrorCode(failure.Code), tables.CodeNotReady)
 }
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -17,7 +17,7 @@
 
 // explanations holds every code that a caller can meet. The sentences are
 // explained further in docs/operating/requests.md.
-var explanations = map[tables.Code]explanation{
+var explanations = map[tables.ErrorCode]explanation{
 	tables.CodeMalformed:        {http.StatusBadRequest, "The request is not well formed."},
 	tables.CodeUnauthorised:     {http.StatusUnauthorized, "The bearer token is missing or not known."},
 	tables.CodeForbiddenProfile: {http.StatusForbidden, "The organisation may not use this profile."},
@@ -29,14 +29,14 @@
 	tables.CodeKeyReused:        {http.StatusConflict, "The Idempotency-Key was used for a different request."},
 	tables.CodeKeyInProgress:    {http.StatusConflict, "The first request with this Idempotency-Key is still running."},
 	tables.CodeTooLarge:         {http.StatusRequestEntityTooLarge, "The request is too large."},
-	tables.CodeSuspect:          {http.StatusUnprocessableEntity, "Equal requests have crashed endpoints; this one is not run for a while."},
-	tables.CodeOrganisationRate: {http.StatusTooManyRequests, "The organisation has reached its limit."},
+	tables.CodeQuarantined:          {http.StatusUnprocessableEntity, "Equal requests have crashed endpoints; this one is not run for a while."},
+	tables.CodeOrganisationLimit: {http.StatusTooManyRequests, "The organisation has reached its limit."},
 	tables.CodeOverloaded:       {http.StatusServiceUnavailable, "The system has too much work of this kind now."},
 	tables.CodeRetryBudget:      {http.StatusServiceUnavailable, "Endpoints fail too often to try again now."},
 	tables.CodeInternal:         {http.StatusInternalServerError, "The instance failed."},
 	tables.CodeEndpointFailed:   {http.StatusBadGateway, "The endpoint failed before the answer was whole."},
 	tables.CodeStreamBroken:     {http.StatusBadGateway, "The stream cannot be completed."},
-	tables.CodeWrongAnswer:      {http.StatusBadGateway, "The endpoint gave an answer that does not belong to the request."},
+	tables.CodeInvalidResponse:      {http.StatusBadGateway, "The endpoint gave an answer that does not belong to the request."},
 	tables.CodeNoEndpoint:       {http.StatusServiceUnavailable, "No endpoint can run the request now."},
 	tables.CodeDraining:         {http.StatusServiceUnavailable, "The instance is going out of service; ask again."},
 	tables.CodeNoQuorum:         {http.StatusServiceUnavailable, "Work that must run once cannot be agreed on now."},
@@ -46,7 +46,7 @@
 }
 
 // explain gives the status and sentence of a code.
-func explain(code tables.Code) explanation {
+func explain(code tables.ErrorCode) explanation {
 	if e, ok := explanations[code]; ok {
 		return e
 	}
--- a/entry/flight.go
+++ b/entry/flight.go
@@ -137,6 +137,6 @@
 }
 
 // notRun ends a flight that was never submitted.
-func notRun(id tables.RequestID, code tables.Code, retryAfter time.Duration) *outcome.Failure {
+func notRun(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
 	return outcome.New(id).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter})
 }
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -323,7 +323,7 @@
 		return
 	}
 	possible := outcome.MayHaveRun
-	if a.Outcome == tables.Ran {
+	if a.Outcome == tables.OutcomeRan {
 		possible = outcome.HasRun
 	}
 	switch state := f.state.(type) {
--- a/entry/lost_test.go
+++ b/entry/lost_test.go
@@ -100,6 +100,6 @@
 	r.server.Configure(c)
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","max_tokens":1}`)
 	failure := failureIn(t, read(t, resp))
-	assert.Equal(t, tables.Code(failure.Code), tables.CodeTimeout)
-	assert.Equal(t, string(failure.Outcome), string(tables.NotRun))
+	assert.Equal(t, tables.ErrorCode(failure.Code), tables.CodeTimeout)
+	assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -23,7 +23,7 @@
 func (NoMetrics) ObserveHit(tables.OrganisationID, tables.Priority, int, int) {}
 
 // CountRefused does nothing.
-func (NoMetrics) CountRefused(tables.OrganisationID, tables.Code, tables.Outcome) {}
+func (NoMetrics) CountRefused(tables.OrganisationID, tables.ErrorCode, tables.Outcome) {}
 
 // CountDropped does nothing.
 func (NoMetrics) CountDropped(Dropped) {}
--- a/entry/options.go
+++ b/entry/options.go
@@ -36,14 +36,14 @@
 type Claimer interface {
 	// Claim asks for the organisation's key. The same key with another body is
 	// *tables.KeyReused.
-	Claim(ctx context.Context, org tables.OrganisationID, key tables.Key, body tables.BodyHash) (tables.Grant, error)
+	Claim(ctx context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error)
 	// MarkDispatched records that the work may run from now on. Nothing may be
 	// sent to an endpoint unless it returned nil.
-	MarkDispatched(ctx context.Context, g tables.Grant) error
+	MarkDispatched(ctx context.Context, g tables.ClaimResult) error
 	// Finish stores the answer that resends get.
-	Finish(ctx context.Context, g tables.Grant, a tables.Answer) error
+	Finish(ctx context.Context, g tables.ClaimResult, a tables.StoredResponse) error
 	// Release gives the claim back; the caller knows that the work did not run.
-	Release(ctx context.Context, g tables.Grant) error
+	Release(ctx context.Context, g tables.ClaimResult) error
 }
 
 // Metrics takes the measurements of requests. Calls come from many goroutines.
@@ -57,7 +57,7 @@
 	// ObserveHit takes how many prompt tokens came from a cache, of how many.
 	ObserveHit(org tables.OrganisationID, p tables.Priority, cached, total int)
 	// CountRefused counts failures by number and outcome.
-	CountRefused(org tables.OrganisationID, code tables.Code, o tables.Outcome)
+	CountRefused(org tables.OrganisationID, code tables.ErrorCode, o tables.Outcome)
 	// CountDropped counts answers and tokens that were dropped.
 	CountDropped(d Dropped)
 	// CountResumed counts streams that went on at another endpoint.
--- a/entry/outcome/outcome.go
+++ b/entry/outcome/outcome.go
@@ -20,7 +20,7 @@
 // outcome can be set by this package only.
 type Failure struct {
 	Request tables.RequestID
-	Code    tables.Code
+	Code    tables.ErrorCode
 	// RetryAfter is when it is worth asking again; zero means never.
 	RetryAfter time.Duration
 	// Detail adds a short sentence for malformed requests; may be empty.
@@ -42,8 +42,8 @@
 
 // The outcomes of work that has been handed to an endpoint.
 var (
-	MayHaveRun = Possible{tables.Unknown}
-	HasRun     = Possible{tables.Ran}
+	MayHaveRun = Possible{tables.OutcomeUnknown}
+	HasRun     = Possible{tables.OutcomeRan}
 )
 
 // State is Undispatched or Dispatched.
@@ -67,9 +67,9 @@
 // Refuse ends the request as not run. A value that has been dispatched gives
 // an unknown outcome instead.
 func (u *Undispatched) Refuse(r tables.Refusal) *Failure {
-	f := &Failure{Request: u.request, Code: r.Code, RetryAfter: r.RetryAfter, outcome: tables.NotRun}
+	f := &Failure{Request: u.request, Code: r.Code, RetryAfter: r.RetryAfter, outcome: tables.OutcomeNotRun}
 	if u.spent {
-		f.outcome = tables.Unknown
+		f.outcome = tables.OutcomeUnknown
 	}
 	return f
 }
@@ -110,7 +110,7 @@
 }
 
 // Fail ends the request with an outcome other than not run.
-func (d *Dispatched) Fail(code tables.Code, p Possible, retryAfter time.Duration) *Failure {
+func (d *Dispatched) Fail(code tables.ErrorCode, p Possible, retryAfter time.Duration) *Failure {
 	return &Failure{Request: d.request, Code: code, RetryAfter: retryAfter, outcome: p.outcome}
 }
 
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -57,7 +57,7 @@
 		return func() {}, nil
 	}
 	if !s.quota.enter(organisation.ID) {
-		return nil, notRun("", tables.CodeOrganisationRate, retryFull)
+		return nil, notRun("", tables.CodeOrganisationLimit, retryFull)
 	}
 	return func() { s.quota.leave(organisation.ID) }, nil
 }
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -22,8 +22,8 @@
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","max_tokens":1}`)
 	failure := failureIn(t, read(t, resp))
 	assert.Equal(t, resp.StatusCode, http.StatusTooManyRequests)
-	assert.Equal(t, tables.Code(failure.Code), tables.CodeOrganisationRate)
-	assert.Equal(t, string(failure.Outcome), string(tables.NotRun))
+	assert.Equal(t, tables.ErrorCode(failure.Code), tables.CodeOrganisationLimit)
+	assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
 	assert.Equal(t, len(r.client.seen()), 0)
 
 	r.server.quota.leave(id)
--- a/forward/failure.go
+++ b/forward/failure.go
@@ -28,7 +28,7 @@
 )
 
 // giveUp ends the request with what is certain about its work.
-func (j *job) giveUp(code tables.Code) {
+func (j *job) giveUp(code tables.ErrorCode) {
 	if j.r.Context().Err() != nil {
 		j.gone(j.r.Context().Err())
 		return
@@ -50,7 +50,7 @@
 }
 
 // refuse ends a request that was never dispatched.
-func (j *job) refuse(code tables.Code, after time.Duration) {
+func (j *job) refuse(code tables.ErrorCode, after time.Duration) {
 	j.answer(outcome.New(tables.RequestID(j.id)).Refuse(tables.Refusal{Code: code, RetryAfter: after}))
 }
 
@@ -59,14 +59,14 @@
 func (j *job) answer(f *outcome.Failure) {
 	status := http.StatusBadGateway
 	switch {
-	case f.Code == tables.CodeOrganisationRate:
+	case f.Code == tables.CodeOrganisationLimit:
 		status = http.StatusTooManyRequests
-	case f.Outcome() == tables.NotRun:
+	case f.Outcome() == tables.OutcomeNotRun:
 		status = http.StatusServiceUnavailable
 	case j.ctx != nil && errors.Is(j.ctx.Err(), context.DeadlineExceeded):
 		status = http.StatusGatewayTimeout
 	}
-	if f.Outcome() == tables.NotRun && f.RetryAfter > 0 {
+	if f.Outcome() == tables.OutcomeNotRun && f.RetryAfter > 0 {
 		after := f.RetryAfter.Seconds() * (1 + retrySpread*rand.Float64())
 		j.w.Header().Set("Retry-After", strconv.FormatFloat(after, 'f', 3, 64))
 	}
@@ -74,9 +74,9 @@
 }
 
 // reject ends a request that must not be sent again as it is.
-func (j *job) reject(status int, code tables.Code) { j.fail(status, code, tables.NotRun) }
+func (j *job) reject(status int, code tables.ErrorCode) { j.fail(status, code, tables.OutcomeNotRun) }
 
-func (j *job) fail(status int, code tables.Code, result tables.Outcome) {
+func (j *job) fail(status int, code tables.ErrorCode, result tables.Outcome) {
 	header := j.w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header.Set("X-Content-Type-Options", "nosniff")
@@ -107,7 +107,7 @@
 // the mark that an answer is whole.
 func (j *job) cut() {
 	j.finished = true
-	j.server.metrics.failed(j, tables.CodeStreamBroken, tables.Unknown)
+	j.server.metrics.failed(j, tables.CodeStreamBroken, tables.OutcomeUnknown)
 	events.StreamCut.Log(j.server.log, append(j.fields(), zap.NamedError("cause", j.failed))...)
 	panic(http.ErrAbortHandler)
 }
--- a/forward/measure.go
+++ b/forward/measure.go
@@ -26,7 +26,7 @@
 
 // class is a request's rank among the classes that are measured.
 func (j *job) class() tables.Priority {
-	return tables.Priority(min(max(j.ask.Priority, 0), int(tables.Priorities)-1))
+	return tables.Priority(min(max(j.ask.Priority, 0), int(tables.PriorityCount)-1))
 }
 
 // first takes the time to a stream's first event.
@@ -90,7 +90,7 @@
 }
 
 // failed takes a request that got none.
-func (m *measurements) failed(j *job, code tables.Code, result tables.Outcome) {
+func (m *measurements) failed(j *job, code tables.ErrorCode, result tables.Outcome) {
 	if m != nil {
 		m.requests.CountRefused(j.organisation(), code, result)
 	}
--- a/forward/place.go
+++ b/forward/place.go
@@ -25,7 +25,7 @@
 )
 
 // place finds an endpoint, waiting a moment for room.
-func (j *job) place() (*dispatch.Attempt, tables.Code) {
+func (j *job) place() (*dispatch.Attempt, tables.ErrorCode) {
 	s := j.server
 	patience := j.target() / patiencePart
 	if j.sends > 0 || len(j.ask.Tried) > 0 {
@@ -39,7 +39,7 @@
 		}
 		code := codeOf(reason)
 		if reason == "" {
-			return nil, tables.CodeSuspect
+			return nil, tables.CodeQuarantined
 		}
 		final := reason == dispatch.TooLarge || reason == dispatch.TooLate
 		if final || reason != dispatch.Pending && s.options.Now() >= until {
@@ -84,7 +84,7 @@
 	s.dispatch.Arrived(s.options.Now(), service)
 }
 
-func codeOf(reason dispatch.Reason) tables.Code {
+func codeOf(reason dispatch.Reason) tables.ErrorCode {
 	switch reason {
 	case dispatch.TooLarge:
 		return tables.CodeTooLarge
@@ -97,7 +97,7 @@
 
 // mayTryAgain returns 0 if the request may go to another endpoint, and else the
 // reason why not.
-func (j *job) mayTryAgain(how dispatch.End) tables.Code {
+func (j *job) mayTryAgain(how dispatch.End) tables.ErrorCode {
 	_, unrun := j.state.(*outcome.Undispatched)
 	if !unrun && !j.route.Repeatable() {
 		return tables.CodeOutcomeUnknown
--- a/forward/usage.go
+++ b/forward/usage.go
@@ -44,7 +44,7 @@
 	j.charge.decision = limiter.Admit(j.ctx, j.charge.subject, limit, j.charge.cost)
 	j.server.metrics.usageDecided(j)
 	if !j.charge.decision.Admitted {
-		j.refuse(tables.CodeOrganisationRate, max(j.charge.decision.RetryAfter, retryElsewhere))
+		j.refuse(tables.CodeOrganisationLimit, max(j.charge.decision.RetryAfter, retryElsewhere))
 		return false
 	}
 	j.charge.unused = true
--- a/logs/trail/story.go
+++ b/logs/trail/story.go
@@ -13,12 +13,12 @@
 )
 
 // meanings of the codes that refusals and failures carry.
-var meanings = map[tables.Code]string{
+var meanings = map[tables.ErrorCode]string{
 	tables.CodeUnknownRoute:   "no route has this host and path",
 	tables.CodeUnauthorised:   "its key is not known",
 	tables.CodeTooLarge:       "it is larger than the limits or than any endpoint allows",
 	tables.CodeMalformed:      "its body was not proper, or not sent whole",
-	tables.CodeSuspect:        "it is suspected of crashing endpoints",
+	tables.CodeQuarantined:        "it is suspected of crashing endpoints",
 	tables.CodeOverloaded:     "every endpoint had as much as it can bear",
 	tables.CodeRetryBudget:    "the budget for second sends was used up",
 	tables.CodeNoEndpoint:     "no endpoint could be used",
@@ -36,7 +36,7 @@
 	if err != nil {
 		return ""
 	}
-	return meanings[tables.Code(n)]
+	return meanings[tables.ErrorCode(n)]
 }
 
 // Write tells the trail in order, then what happened around it.
--- a/measure/baseline.go
+++ b/measure/baseline.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if len(usable) == 0 {
-		b.actions = append(b.actions, router.Fail{Request: r.ID, Code: tables.CodeNoEndpoint, Outcome: tables.Unknown})
+		b.actions = append(b.actions, router.Fail{Request: r.ID, Code: tables.CodeNoEndpoint, Outcome: tables.OutcomeUnknown})
 		return
 	}
 	at := b.chooser.choose(b, r, usable)
@@ -101,7 +101,7 @@
 	}
 	b.down[f.endpoint] = now + baselineDown
 	if f.tries >= baselineTries {
-		b.actions = append(b.actions, router.Fail{Request: f.request.ID, Code: tables.CodeEndpointFailed, Outcome: tables.Unknown})
+		b.actions = append(b.actions, router.Fail{Request: f.request.ID, Code: tables.CodeEndpointFailed, Outcome: tables.OutcomeUnknown})
 		return
 	}
 	b.send(now, f.request, f.tries+1, ended.Delivered)
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -21,11 +21,11 @@
 	slow   float64
 	hangs  bool
 	cache  *cache
-	queue  [tables.Priorities][]*job
+	queue  [tables.PriorityCount][]*job
 	active map[tables.AttemptID]*job
 	// prefilling is the job whose chunk is being computed.
 	prefilling *job
-	ready      [tables.Priorities][]*job
+	ready      [tables.PriorityCount][]*job
 	sequence   uint64
 	// computed is the prompt tokens that were prefilled, recomputed those that
 	// some engine of the site had prefilled before.
@@ -117,7 +117,7 @@
 	e.compute()
 }
 
-func pop(queues *[tables.Priorities][]*job) *job {
+func pop(queues *[tables.PriorityCount][]*job) *job {
 	for p := range queues {
 		for len(queues[p]) > 0 {
 			j := queues[p][0]
@@ -238,7 +238,7 @@
 	for _, j := range e.sorted() {
 		e.end(j, router.Crashed)
 	}
-	e.queue, e.ready = [tables.Priorities][]*job{}, [tables.Priorities][]*job{}
+	e.queue, e.ready = [tables.PriorityCount][]*job{}, [tables.PriorityCount][]*job{}
 	e.time.after(back, func() {
 		e.up = true
 		e.boot++
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -19,7 +19,7 @@
 	requests := NewRequests(registry)
 	requests.ObserveTTFT("o1", "p", tables.Urgent, 300*time.Microsecond)
 	requests.ObserveTTFT("o1", "p", tables.Urgent, time.Hour*2)
-	requests.CountRefused("o1", tables.CodeOverloaded, tables.NotRun)
+	requests.CountRefused("o1", tables.CodeOverloaded, tables.OutcomeNotRun)
 	var b strings.Builder
 	assert.NilError(t, registry.WriteText(&b))
 	for _, line := range []string{
--- a/metrics/requests.go
+++ b/metrics/requests.go
@@ -31,7 +31,7 @@
 )
 
 // priorityNames are the values of the label class.
-var priorityNames = [tables.Priorities]string{"urgent", "normal", "background"}
+var priorityNames = [tables.PriorityCount]string{"urgent", "normal", "background"}
 
 // group is the histograms of one class or organisation.
 type group struct {
@@ -42,7 +42,7 @@
 // concurrent use.
 type Requests struct {
 	registry *Registry
-	classes  [tables.Priorities]*group
+	classes  [tables.PriorityCount]*group
 
 	mu            sync.RWMutex
 	organisations map[tables.OrganisationID]*group
@@ -133,7 +133,7 @@
 
 // CountRefused counts failures by number and outcome. The organisation is not a
 // label here: numbers times organisations would have no useful bound.
-func (r *Requests) CountRefused(_ tables.OrganisationID, code tables.Code, o tables.Outcome) {
+func (r *Requests) CountRefused(_ tables.OrganisationID, code tables.ErrorCode, o tables.Outcome) {
 	r.registry.Counter(familyFailed, "Requests that got no answer.",
 		Label{"code", strconv.Itoa(int(code))}, Label{"outcome", string(o)}).Inc(1)
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -33,7 +33,7 @@
 	mu       sync.Mutex
 	version  uint64
 	sequence uint64
-	fences   []tables.Fence
+	fences   []tables.FencingToken
 	draining bool
 }
 
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -83,7 +83,7 @@
 	var members []homes.Member
 	for i := range r.endpoints.Len() {
 		row := r.endpoints.Row(tables.EndpointIndex(i))
-		if row.Leaving() || !key.accepts(&row.Endpoint) {
+		if row.Draining() || !key.accepts(&row.Endpoint) {
 			continue
 		}
 		g.members = append(g.members, row.Index)
--- a/router/classes.go
+++ b/router/classes.go
@@ -94,14 +94,14 @@
 // ownGroup is a group that a request that failed has for itself, so that it
 // does not hold up others that can be placed.
 func ownGroup(row *tables.RequestRow) tables.BlockHash {
-	return tables.BlockHash(placement.Mix(uint64(row.Submitted) + uint64(row.Retries)<<56))
+	return tables.BlockHash(placement.Mix(uint64(row.SubmittedAt) + uint64(row.Retries)<<56))
 }
 
 // enqueue makes a request wait in its class.
 func (r *Router) enqueue(now tables.Instant, row *tables.RequestRow, key tables.BlockHash) {
 	row.State = tables.Pending
-	row.Waiting = true
-	row.Group = key
+	row.Queued = true
+	row.QueueGroup = key
 	c := &r.classes[row.Priority]
 	flow := row.Organisation
 	c.queues[flow].Add(waiting.Item{Row: row, Key: key, StartBy: row.StartBy})
@@ -111,12 +111,12 @@
 
 // dequeue takes a request out of its class, if it waits there.
 func (r *Router) dequeue(row *tables.RequestRow) {
-	if !row.Waiting {
+	if !row.Queued {
 		return
 	}
-	row.Waiting = false
+	row.Queued = false
 	c := &r.classes[row.Priority]
-	c.queues[row.Organisation].Remove(row, row.Group)
+	c.queues[row.Organisation].Remove(row, row.QueueGroup)
 	c.schedule.Remove(row.Organisation)
 	c.backlog[row.Organisation].Left()
 }
@@ -158,7 +158,7 @@
 			r.failures++
 			continue
 		}
-		c.recent[flow] = row.Group
+		c.recent[flow] = row.QueueGroup
 		r.dequeue(row)
 		r.started(now, row)
 		return true
@@ -173,8 +173,8 @@
 	cost := r.costOf(row)
 	c.schedule.Charge(row.Organisation, cost)
 	r.pressure.work(now, cost, row.Profile.MaxWait > 0)
-	if !row.Counted {
-		row.Counted = true
+	if !row.HoldsConcurrencySlot {
+		row.HoldsConcurrencySlot = true
 		r.organisations.rows[row.Organisation].limiter.Start()
 	}
 }
--- a/router/contract.go
+++ b/router/contract.go
@@ -163,7 +163,7 @@
 // Fail ends a request that was dispatched and cannot be completed.
 type Fail struct {
 	Request    tables.RequestID
-	Code       tables.Code
+	Code       tables.ErrorCode
 	Outcome    tables.Outcome
 	RetryAfter time.Duration
 }
--- a/router/failure_test.go
+++ b/router/failure_test.go
@@ -50,7 +50,7 @@
 	assert.Equal(t, count[router.Dispatch](actions), 0)
 	f := only[router.Fail](t, actions)
 	assert.Equal(t, f.Code, tables.CodeStreamBroken)
-	assert.Equal(t, f.Outcome, tables.Unknown)
+	assert.Equal(t, f.Outcome, tables.OutcomeUnknown)
 }
 
 // An engine hangs: it takes requests and its connections stay open, but no
--- a/router/finish.go
+++ b/router/finish.go
@@ -26,11 +26,11 @@
 	if !in.End.provesNotRun() {
 		row.MayHaveRun = true
 	}
-	if in.Delivered > row.Delivered {
-		row.Delivered = in.Delivered
+	if in.Delivered > row.DeliveredTokens {
+		row.DeliveredTokens = in.Delivered
 		row.Weights = a.Weights
 	}
-	if row.State == tables.Final {
+	if row.State == tables.Finished {
 		r.forget(row)
 		return
 	}
@@ -39,7 +39,7 @@
 		r.finish(row)
 		return
 	}
-	row.Tried = append(row.Tried, a.Endpoint)
+	row.FailedEndpoints = append(row.FailedEndpoints, a.Endpoint)
 	if len(row.Attempts) == 0 {
 		r.afterFailure(now, a, in)
 	}
@@ -50,7 +50,7 @@
 	row := r.endpoints.Row(a.Endpoint)
 	switch end {
 	case Completed:
-		row.Progress = now
+		row.LastProgress = now
 		health.Succeeded(&row.Health)
 	case Broken:
 		health.Failed(now, &row.Health)
@@ -85,8 +85,8 @@
 // release removes an attempt from its endpoint, request and table.
 func (r *Router) release(a *tables.AttemptRow) {
 	delete(r.attempts, a.ID)
-	r.endpoints.Row(a.Endpoint).Load.Own--
-	if a.FirstToken == 0 {
+	r.endpoints.Row(a.Endpoint).Load.LocalAttempts--
+	if a.FirstTokenAt == 0 {
 		r.prefillOver(a)
 	}
 	kept := a.Request.Attempts[:0]
@@ -106,10 +106,10 @@
 		// The shell gave the request up itself and tells its caller.
 		r.finish(row)
 	case r.convicted(now, row.Request.Fingerprint):
-		r.fail(row, tables.CodeSuspect, 0)
+		r.fail(row, tables.CodeQuarantined, 0)
 	case !retry.Allowed(row):
 		r.fail(row, tables.CodeOutcomeUnknown, 0)
-	case in.End == Unreachable && len(row.Tried) < maxUnreachable:
+	case in.End == Unreachable && len(row.FailedEndpoints) < maxUnreachable:
 		// Nothing reached an endpoint, so trying another adds no load to the
 		// fleet. When a zone is cut off, two thirds of the endpoints are gone at
 		// once: counted like other retries, these would use up the request's
@@ -117,7 +117,7 @@
 		// own zone's endpoints are idle.
 		r.again(now, row)
 	case row.Retries+1 >= retry.MaxAttempts && holdable(now, row):
-		row.Tried = row.Tried[:0]
+		row.FailedEndpoints = row.FailedEndpoints[:0]
 		r.again(now, row)
 		row.NotBefore = now + heldRetryPause
 	case row.Retries+1 >= retry.MaxAttempts:
@@ -138,7 +138,7 @@
 // longer. Its tries are over within a tenth of a second. Were it refused then, a
 // crash of a few endpoints would refuse work that had an hour to wait for them.
 func holdable(now tables.Instant, row *tables.RequestRow) bool {
-	return !row.MayHaveRun && float64(now-row.Submitted) < promoteAfter*float64(row.Profile.MaxWait)
+	return !row.MayHaveRun && float64(now-row.SubmittedAt) < promoteAfter*float64(row.Profile.MaxWait)
 }
 
 // again lets a request wait for its next attempt.
@@ -156,17 +156,17 @@
 
 // budgetCode is the code of a request that was not tried again for want of
 // budget. A stream that broke is called that, whatever the reason.
-func (r *Router) budgetCode(row *tables.RequestRow) tables.Code {
-	if row.Delivered > 0 {
+func (r *Router) budgetCode(row *tables.RequestRow) tables.ErrorCode {
+	if row.DeliveredTokens > 0 {
 		return tables.CodeStreamBroken
 	}
 	return tables.CodeRetryBudget
 }
 
 // failureCode is the code of a request whose attempts have all failed.
-func failureCode(row *tables.RequestRow) tables.Code {
+func failureCode(row *tables.RequestRow) tables.ErrorCode {
 	switch {
-	case row.Delivered > 0:
+	case row.DeliveredTokens > 0:
 		return tables.CodeStreamBroken
 	case row.MayHaveRun:
 		return tables.CodeEndpointFailed
@@ -178,12 +178,12 @@
 // outcome is what is certain about the work of a request that is given up.
 func outcome(row *tables.RequestRow) tables.Outcome {
 	if row.MayHaveRun || len(row.Attempts) > 0 {
-		return tables.Unknown
+		return tables.OutcomeUnknown
 	}
-	return tables.NotRun
+	return tables.OutcomeNotRun
 }
 
-func (r *Router) fail(row *tables.RequestRow, code tables.Code, after time.Duration) {
+func (r *Router) fail(row *tables.RequestRow, code tables.ErrorCode, after time.Duration) {
 	r.actions = append(r.actions, Fail{
 		Request:    row.Request.ID,
 		Code:       code,
@@ -216,10 +216,10 @@
 		return
 	}
 	c := &r.classes[row.Priority]
-	refusal := tables.Refusal{Code: tables.CodeOverloaded, RetryAfter: c.backlog[row.Organisation].RetryAfter(now, row.StartBy-row.Submitted)}
+	refusal := tables.Refusal{Code: tables.CodeOverloaded, RetryAfter: c.backlog[row.Organisation].RetryAfter(now, row.StartBy-row.SubmittedAt)}
 	switch {
 	case r.organisations.rows[row.Organisation].limiter.Full(r.share):
-		refusal.Code = tables.CodeOrganisationRate
+		refusal.Code = tables.CodeOrganisationLimit
 	case !r.anyServes(now, row):
 		refusal.Code = tables.CodeNoEndpoint
 	}
@@ -233,10 +233,10 @@
 // finish marks the request as answered. Its row stays until the last attempt
 // has ended.
 func (r *Router) finish(row *tables.RequestRow) {
-	row.State = tables.Final
+	row.State = tables.Finished
 	r.dequeue(row)
-	if row.Counted {
-		row.Counted = false
+	if row.HoldsConcurrencySlot {
+		row.HoldsConcurrencySlot = false
 		r.organisations.rows[row.Organisation].limiter.Stop()
 	}
 	r.forget(row)
--- a/router/learn.go
+++ b/router/learn.go
@@ -40,8 +40,8 @@
 		r.homeTrust += learnHome * (part - r.homeTrust)
 	}
 	uncached := max(0, a.Request.Request.PromptTokens-found)
-	if a.WorkAhead <= uncached {
-		r.learnPrefill(row, a.WorkAhead+uncached, now-a.Dispatched)
+	if a.PrefillTokensAhead <= uncached {
+		r.learnPrefill(row, a.PrefillTokensAhead+uncached, now-a.DispatchedAt)
 	}
 }
 
@@ -51,14 +51,14 @@
 	if tokens < minSampleTokens || took <= 0 {
 		return
 	}
-	speed := &row.Speed
-	rate := speed.Prefill
+	speed := &row.Throughput
+	rate := speed.PrefillRate
 	if rate <= 0 {
 		rate = placement.DefaultPrefillRate
 	}
 	seconds := took.Seconds() / float64(tokens)
-	speed.Prefill = 1 / (1/rate + sampleWeight(row)*(seconds-1/rate))
-	speed.Samples++
+	speed.PrefillRate = 1 / (1/rate + sampleWeight(row)*(seconds-1/rate))
+	speed.PrefillSamples++
 }
 
 // sampleWeight is the weight of the next sample of an endpoint's speed. A
@@ -70,28 +70,28 @@
 	if row.Endpoint.PrefillRate > 0 {
 		return learnSpeed
 	}
-	return max(learnSpeed, 1/float64(row.Speed.Samples+1))
+	return max(learnSpeed, 1/float64(row.Throughput.PrefillSamples+1))
 }
 
 // learnEnd takes in what the end of an attempt shows.
 func (r *Router) learnEnd(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
 	row := r.endpoints.Row(a.Endpoint)
 	if in.End == Completed {
-		r.learnService(row, now-a.Dispatched)
+		r.learnService(row, now-a.DispatchedAt)
 		return
 	}
-	if a.FirstToken == 0 && a.Boot == row.Boot {
+	if a.FirstTokenAt == 0 && a.Boot == row.Boot {
 		known := min(len(a.Request.Request.Blocks), a.KnownTokens/prefix.BlockTokens)
 		r.view.Forget(a.Endpoint, a.Request.Request.Blocks[known:])
 	}
 }
 
 func (r *Router) learnService(row *tables.EndpointRow, took time.Duration) {
-	if row.Speed.Service == 0 {
-		row.Speed.Service = took
+	if row.Throughput.MeanServiceTime == 0 {
+		row.Throughput.MeanServiceTime = took
 		return
 	}
-	row.Speed.Service += time.Duration(learnService * float64(took-row.Speed.Service))
+	row.Throughput.MeanServiceTime += time.Duration(learnService * float64(took-row.Throughput.MeanServiceTime))
 }
 
 // busyWindow is the time constant over which the use of endpoints is averaged.
@@ -104,7 +104,7 @@
 	if busy {
 		target = 1
 	}
-	row.Load.Busy += passed * (target - row.Load.Busy)
+	row.Load.BusyFraction += passed * (target - row.Load.BusyFraction)
 }
 
 // learnMix takes in the prefill work of a dispatch.
--- a/router/observe.go
+++ b/router/observe.go
@@ -49,7 +49,7 @@
 
 func (r *Router) loadReport(now tables.Instant, in LoadReport) {
 	row := r.find(in.Endpoint)
-	if row == nil || r.seeBoot(now, row, in.Boot) == tables.BootOld {
+	if row == nil || r.seeBoot(now, row, in.Boot) == tables.BootStale {
 		return
 	}
 	own := 0
@@ -60,17 +60,17 @@
 	}
 	total := in.Running + in.Queued
 	if len(in.Attempts) == 0 {
-		own = min(total, row.Load.Own)
+		own = min(total, row.Load.LocalAttempts)
 	}
-	if total < row.Load.ReportedTotal || in.QueuedTokens < row.Load.ReportedTokens {
-		row.Progress = now
+	if total < row.Load.ReportedAttempts || in.QueuedTokens < row.Load.ReportedPrefillTokens {
+		row.LastProgress = now
 	}
-	row.Load.ReportedTotal, row.Load.ReportedTokens = total, in.QueuedTokens
+	row.Load.ReportedAttempts, row.Load.ReportedPrefillTokens = total, in.QueuedTokens
 	r.learnBusy(now, row, in.QueuedTokens > 0)
-	row.Load.Reported = true
+	row.Load.HasReport = true
 	row.Load.ReportedAt = now
 	others := max(0, total-own)
-	row.Load.Others.Report(now, others, min(othersTokens(in, own, total), int(r.meanUncached*otherMargin)*others))
+	row.Load.Remote.Observe(now, others, min(othersTokens(in, own, total), int(r.meanUncached*otherMargin)*others))
 	if in.CacheBlocks > 0 {
 		row.CacheBlocks = in.CacheBlocks
 		r.view.SetEndpoint(row.Index, in.CacheBlocks)
@@ -102,9 +102,9 @@
 // seeBoot compares a boot identity. A new boot has an empty cache. The first
 // one heard of changes nothing: what was placed so far went to it.
 func (r *Router) seeBoot(now tables.Instant, row *tables.EndpointRow, boot tables.BootID) tables.BootChange {
-	first := row.Boot == "" && len(row.Former) == 0
+	first := row.Boot == "" && len(row.FormerBoots) == 0
 	former := quarantine.Life{Endpoint: row.Endpoint.ID, Boot: row.Boot}
-	change := row.SeeBoot(boot)
+	change := row.ObserveBoot(boot)
 	if change == tables.BootNew && !first {
 		r.view.Reset(row.Index)
 	}
@@ -116,7 +116,7 @@
 
 func (r *Router) cacheEvent(now tables.Instant, in CacheEvent) {
 	row := r.find(in.Endpoint)
-	if row == nil || r.seeBoot(now, row, in.Boot) == tables.BootOld {
+	if row == nil || r.seeBoot(now, row, in.Boot) == tables.BootStale {
 		return
 	}
 	r.heardAt = now
@@ -140,7 +140,7 @@
 	if !ok {
 		return
 	}
-	a.Started = now
+	a.StartedAt = now
 	r.suspects.Accepted(a.ID, in.Boot)
 	if in.Weights != "" {
 		a.Weights = in.Weights
@@ -153,12 +153,12 @@
 
 func (r *Router) firstToken(now tables.Instant, in FirstToken) {
 	a, ok := r.attempts[in.Attempt]
-	if !ok || a.FirstToken != 0 {
+	if !ok || a.FirstTokenAt != 0 {
 		return
 	}
-	a.FirstToken = now
+	a.FirstTokenAt = now
 	r.suspects.FirstToken(now, a.ID)
-	r.endpoints.Row(a.Endpoint).Progress = now
+	r.endpoints.Row(a.Endpoint).LastProgress = now
 	r.prefillOver(a)
 	r.learn(now, a, in.CachedTokens)
 	r.abortOthers(now, a)
@@ -167,8 +167,8 @@
 // prefillOver takes an attempt's prefill work off the endpoint.
 func (r *Router) prefillOver(a *tables.AttemptRow) {
 	load := &r.endpoints.Row(a.Endpoint).Load
-	load.OwnPrefilling--
-	load.OwnTokens[a.Priority] -= a.UncachedTokens
+	load.LocalPrefilling--
+	load.LocalPrefillTokens[a.Priority] -= a.UncachedTokens
 }
 
 func (r *Router) endpointGone(in EndpointGone) {
@@ -176,8 +176,8 @@
 	if row == nil {
 		return
 	}
-	if !row.Gone || in.Life > row.GoneLife {
-		row.Gone = true
-		row.GoneLife = in.Life
+	if !row.Withdrawn || in.Life > row.WithdrawnLife {
+		row.Withdrawn = true
+		row.WithdrawnLife = in.Life
 	}
 }
--- a/router/place.go
+++ b/router/place.go
@@ -79,7 +79,7 @@
 
 // place dispatches an attempt of the request if any endpoint may take it now.
 func (r *Router) place(now tables.Instant, row *tables.RequestRow, hedge bool) bool {
-	if row.Profile.MaxWait > 0 && row.Delivered == 0 && r.pressure.on(now) && !r.pressure.room() {
+	if row.Profile.MaxWait > 0 && row.DeliveredTokens == 0 && r.pressure.on(now) && !r.pressure.room() {
 		return false
 	}
 	q := r.query(now, row, hedge)
@@ -107,17 +107,17 @@
 // better says whether it is better to wait for the chosen endpoint than to add
 // to its queue. Work that can wait keeps out of the way of work that cannot.
 func (r *Router) better(q *placement.Query, choice *placement.Choice) bool {
-	if q.Request.Delivered > 0 {
+	if q.Request.DeliveredTokens > 0 {
 		return false
 	}
 	if q.Request.Profile.MaxWait <= 0 || q.Promoted {
-		ahead := choice.Row.Load.Ahead(priority(q), &q.Mix) / choice.PrefillRate()
+		ahead := choice.Row.Load.PrefillTokensAhead(priority(q), &q.Mix) / choice.PrefillRate()
 		return q.WaitWeight*(ahead+delayWeight*compute.Delay(q, &choice.Candidate)) > maxAhead
 	}
 	if r.gathers(q, choice) {
 		return true
 	}
-	return float64(choice.Row.Load.Backlog())/choice.PrefillRate() > maxBacklog
+	return float64(choice.Row.Load.PrefillBacklog())/choice.PrefillRate() > maxBacklog
 }
 
 // gathers says whether held work stays held so that more of its group comes
@@ -127,25 +127,25 @@
 	if choice.UncachedTokens(q) <= coldPart*float64(q.Request.Request.PromptTokens) {
 		return false
 	}
-	return float64(q.Now-q.Request.Submitted) < gatherFor*float64(q.Request.Profile.MaxWait)
+	return float64(q.Now-q.Request.SubmittedAt) < gatherFor*float64(q.Request.Profile.MaxWait)
 }
 
 // promoted says whether work has been held for so long that it no longer
 // yields. Without it a steady stream of urgent work would keep every endpoint
 // just busy enough for held work never to start.
 func promoted(now tables.Instant, row *tables.RequestRow) bool {
-	if row.Profile.MaxWait <= 0 || !row.Waiting {
+	if row.Profile.MaxWait <= 0 || !row.Queued {
 		return false
 	}
-	return float64(now-row.Submitted) > promoteAfter*float64(row.Profile.MaxWait)
+	return float64(now-row.SubmittedAt) > promoteAfter*float64(row.Profile.MaxWait)
 }
 
 // lastChance says whether a request has waited almost as long as it may.
 func lastChance(now tables.Instant, row *tables.RequestRow) bool {
-	if !row.Waiting || row.Profile.MaxWait > 0 {
+	if !row.Queued || row.Profile.MaxWait > 0 {
 		return false
 	}
-	return float64(now-row.Submitted) > lastChanceAfter*float64(row.StartBy-row.Submitted)
+	return float64(now-row.SubmittedAt) > lastChanceAfter*float64(row.StartBy-row.SubmittedAt)
 }
 
 // priority is the urgency with which the endpoint is asked to run the request.
@@ -192,7 +192,7 @@
 		WaitWeight: waitWeight(row.Profile),
 		Promoted:   promoted(now, row),
 	}
-	if row.Delivered > 0 {
+	if row.DeliveredTokens > 0 {
 		q.Weights = row.Weights
 	}
 	return q
@@ -210,22 +210,22 @@
 		Priority:       priority(q),
 		Boot:           endpoint.Boot,
 		Weights:        q.Weights,
-		Dispatched:     q.Now,
+		DispatchedAt:     q.Now,
 		UncachedTokens: uncached,
 		KnownTokens:    int(choice.KnownTokens),
 		HomeTokens:     int(choice.HomeTokens),
-		WorkAhead:      load.Backlog(),
+		PrefillTokensAhead:      load.PrefillBacklog(),
 
-		ExpectedFirstToken: expectedFirstToken(q, &choice.Candidate),
+		ExpectedTTFT: expectedFirstToken(q, &choice.Candidate),
 		Hedge:              q.Hedge,
 	}
 	r.attempts[attempt.ID] = attempt
 	row.Attempts = append(row.Attempts, attempt)
-	row.State = tables.Flying
+	row.State = tables.InFlight
 	row.Dispatched = true
-	load.Own++
-	load.OwnPrefilling++
-	load.OwnTokens[attempt.Priority] += uncached
+	load.LocalAttempts++
+	load.LocalPrefilling++
+	load.LocalPrefillTokens[attempt.Priority] += uncached
 	r.learnMix(row.Priority, uncached)
 	life := quarantine.Life{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot}
 	r.suspects.Started(q.Now, attempt.ID, life, row.Request.Fingerprint)
@@ -238,7 +238,7 @@
 		Boot:       endpoint.Boot,
 		Weights:    q.Weights,
 		Priority:   attempt.Priority,
-		ResumeFrom: row.Delivered,
+		ResumeFrom: row.DeliveredTokens,
 		Hedge:      q.Hedge,
 	})
 }
--- a/router/property_test.go
+++ b/router/property_test.go
@@ -217,7 +217,7 @@
 		s := w.requests[a.Request]
 		assert.Equal(w.t, s.final, "")
 		assert.Assert(w.t, s.dispatched, "failed without a dispatch")
-		if a.Outcome == tables.NotRun {
+		if a.Outcome == tables.OutcomeNotRun {
 			assert.Assert(w.t, !s.mayHaveRun && s.live == 0, "said not run, but it may have")
 		}
 		s.final = "failed"
--- a/router/router.go
+++ b/router/router.go
@@ -54,7 +54,7 @@
 	requests      map[tables.RequestID]*tables.RequestRow
 	attempts      map[tables.AttemptID]*tables.AttemptRow
 	organisations organisations
-	classes       [tables.Priorities]class
+	classes       [tables.PriorityCount]class
 	// fresh holds new requests until the next Tick.
 	fresh    []*tables.RequestRow
 	budget   retry.Budget
@@ -74,7 +74,7 @@
 	heardAt tables.Instant
 	// mix is the part of each priority in recent prefill work, meanUncached
 	// the mean prefill work of an attempt in tokens.
-	mix          [tables.Priorities]float64
+	mix          [tables.PriorityCount]float64
 	meanUncached float64
 	scratch      []placement.Candidate
 	heads        []heading
@@ -157,8 +157,8 @@
 		Profile:      profile,
 		Priority:     profile.Priority,
 		Organisation: r.flow(request.Organisation),
-		Submitted:    now,
-		Delivered:    request.Delivered,
+		SubmittedAt:    now,
+		DeliveredTokens:    request.DeliveredTokens,
 		Weights:      request.Weights,
 	}
 	if refusal, ok := r.admit(now, row); !ok {
@@ -185,10 +185,10 @@
 // organisation's rate.
 func (r *Router) admit(now tables.Instant, row *tables.RequestRow) (tables.Refusal, bool) {
 	if r.convicted(now, row.Request.Fingerprint) {
-		return tables.Refusal{Code: tables.CodeSuspect}, false
+		return tables.Refusal{Code: tables.CodeQuarantined}, false
 	}
 	if wait := r.organisations.rows[row.Organisation].limiter.Admit(now, r.share); wait > 0 {
-		return tables.Refusal{Code: tables.CodeOrganisationRate, RetryAfter: wait}, false
+		return tables.Refusal{Code: tables.CodeOrganisationLimit, RetryAfter: wait}, false
 	}
 	return tables.Refusal{}, true
 }
@@ -198,7 +198,7 @@
 func (r *Router) Cancel(now tables.Instant, id tables.RequestID) {
 	r.withdraw(id)
 	row, ok := r.requests[id]
-	if !ok || row.State == tables.Final {
+	if !ok || row.State == tables.Finished {
 		return
 	}
 	r.abortAll(now, row)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -102,7 +102,7 @@
 	d := dispatched(t, r, ms, request("r1", "publish", ms))
 	r.Observe(2*ms, router.AttemptEnded{Attempt: d.Attempt, End: router.Broken})
 	f := only[router.Fail](t, r.Tick(100*ms))
-	assert.Equal(t, f.Outcome, tables.Unknown)
+	assert.Equal(t, f.Outcome, tables.OutcomeUnknown)
 	assert.Equal(t, f.Code, tables.CodeOutcomeUnknown)
 }
 
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -74,10 +74,10 @@
 		return row.State == tables.Pending && r.convicted(now, row.Request.Fingerprint)
 	}) {
 		if row.Dispatched {
-			r.fail(row, tables.CodeSuspect, 0)
+			r.fail(row, tables.CodeQuarantined, 0)
 			continue
 		}
-		r.refuse(row.Request, tables.Refusal{Code: tables.CodeSuspect})
+		r.refuse(row.Request, tables.Refusal{Code: tables.CodeQuarantined})
 		r.finish(row)
 	}
 }
--- a/router/watch.go
+++ b/router/watch.go
@@ -28,7 +28,7 @@
 	for i := range r.endpoints.Len() {
 		row := r.endpoints.Row(tables.EndpointIndex(i))
 		health.Renew(now, &row.Health)
-		row.Load.Others.Age(now)
+		row.Load.Remote.Advance(now)
 	}
 	if now >= r.turnoverAt {
 		r.turnoverAt = now + turnoverPeriod
@@ -56,7 +56,7 @@
 func (r *Router) sortedRequests(wanted func(*tables.RequestRow) bool) []*tables.RequestRow {
 	var rows []*tables.RequestRow
 	for _, row := range r.requests {
-		if row.State != tables.Final && wanted(row) {
+		if row.State != tables.Finished && wanted(row) {
 			rows = append(rows, row)
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 func (r *Router) hanging(now tables.Instant, a *tables.AttemptRow) bool {
-	return health.Hanging(now, r.endpoints.Row(a.Endpoint).Progress, a)
+	return health.Hanging(now, r.endpoints.Row(a.Endpoint).LastProgress, a)
 }
 
 // refuseOverdue ends the waiting requests that had to start by now.
@@ -114,10 +114,10 @@
 	if !row.Profile.Hedge || !row.Profile.Idempotent || len(row.Attempts) > 1 {
 		return false
 	}
-	if a.FirstToken != 0 || a.Aborted || row.Delivered > 0 {
+	if a.FirstTokenAt != 0 || a.Aborted || row.DeliveredTokens > 0 {
 		return false
 	}
-	return now-a.Dispatched > hedgeFactor*a.ExpectedFirstToken+hedgeMargin
+	return now-a.DispatchedAt > hedgeFactor*a.ExpectedTTFT+hedgeMargin
 }
 
 // dropLost ends aborted attempts of which nothing more was heard. Without it a
--- a/scenario/request.go
+++ b/scenario/request.go
@@ -114,7 +114,7 @@
 	r.mu.Lock()
 	f := r.failure
 	r.mu.Unlock()
-	if f == nil || f.Outcome != oas.FailureErrorOutcomeNotRun && tables.Code(f.Code) != tables.CodeKeyInProgress {
+	if f == nil || f.Outcome != oas.FailureErrorOutcomeNotRun && tables.ErrorCode(f.Code) != tables.CodeKeyInProgress {
 		return false
 	}
 	after, ok := f.RetryAfterMs.Get()
--- a/soak/check.go
+++ b/soak/check.go
@@ -303,10 +303,10 @@
 // judgeOrders checks that one instance at a time gives orders.
 func (l *ledger) judgeOrders() {
 	type use struct {
-		fence tables.Fence
+		fence tables.FencingToken
 		from  netip.Addr
 	}
-	holders := map[tables.Fence]use{}
+	holders := map[tables.FencingToken]use{}
 	for _, o := range l.orders {
 		before, known := holders[o.Fence]
 		if known && before.from != o.From {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -102,7 +102,7 @@
 	boots   int
 	life    *life
 	closed  bool
-	fence   tables.Fence
+	fence   tables.FencingToken
 	weights map[tables.ModelName]tables.WeightsVersion
 	// adapters are loaded on top of the models.
 	adapters map[tables.ModelName][]tables.AdapterName
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -210,7 +210,7 @@
 		if checks {
 			var old *engine.OldFence
 			assert.Assert(t, errors.As(err, &old), "%v", err)
-			assert.Equal(t, old.Seen, tables.Fence(7))
+			assert.Equal(t, old.Seen, tables.FencingToken(7))
 			assert.Equal(t, state.Weights["m"], tables.WeightsVersion("v2"))
 			continue
 		}
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -67,7 +67,7 @@
 // admitOrder checks and notes a fencing number. An engine that checks them
 // remembers the highest over crashes; one that does not carries old orders out
 // and only records that it did.
-func (e *Engine) admitOrder(fence tables.Fence) (seen tables.Fence, ok bool) {
+func (e *Engine) admitOrder(fence tables.FencingToken) (seen tables.FencingToken, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	seen = e.fence
--- a/systems/admission/admission.go
+++ b/systems/admission/admission.go
@@ -46,9 +46,9 @@
 	if wait <= 0 {
 		wait = Patience(row.Profile)
 	}
-	by := row.Submitted + wait
+	by := row.SubmittedAt + wait
 	if row.Request.Deadline > 0 {
-		by = min(by, max(row.Submitted, row.Request.Deadline-service))
+		by = min(by, max(row.SubmittedAt, row.Request.Deadline-service))
 	}
 	return by
 }
--- a/systems/admission/admission_test.go
+++ b/systems/admission/admission_test.go
@@ -47,7 +47,7 @@
 	row := &tables.RequestRow{
 		Request:   &tables.Request{Deadline: 10 * time.Second},
 		Profile:   &tables.Profile{MaxWait: time.Hour},
-		Submitted: time.Second,
+		SubmittedAt: time.Second,
 	}
 	assert.Equal(t, admission.StartBy(row, 3*time.Second), 7*time.Second)
 }
--- a/systems/health/health.go
+++ b/systems/health/health.go
@@ -25,12 +25,12 @@
 
 // Succeeded takes in an attempt that was answered.
 func Succeeded(h *tables.Health) {
-	h.Failures = 0
+	h.ConsecutiveFailures = 0
 	if h.State != tables.Probation {
 		return
 	}
-	h.Successes++
-	if h.Successes >= successesToTrust {
+	h.ProbationSuccesses++
+	if h.ProbationSuccesses >= successesToTrust {
 		h.State = tables.Healthy
 		h.Ejections = 0
 	}
@@ -39,29 +39,29 @@
 // Failed takes in an attempt that broke or could not be started. An endpoint on
 // probation is ejected again by one failure.
 func Failed(now tables.Instant, h *tables.Health) {
-	h.Failures++
-	if h.State == tables.Probation || h.Failures >= failuresToEject {
+	h.ConsecutiveFailures++
+	if h.State == tables.Probation || h.ConsecutiveFailures >= failuresToEject {
 		Eject(now, h)
 	}
 }
 
 // Eject takes an endpoint out at once, as after a crash.
 func Eject(now tables.Instant, h *tables.Health) {
-	if h.State == tables.Ejected && h.Until > now {
+	if h.State == tables.Ejected && h.EjectedUntil > now {
 		return
 	}
 	wait := min(firstEjection<<min(h.Ejections, 8), maxEjection)
 	h.Ejections++
 	h.State = tables.Ejected
-	h.Until = now + wait
-	h.Failures = 0
+	h.EjectedUntil = now + wait
+	h.ConsecutiveFailures = 0
 }
 
 // Renew puts an ejected endpoint on probation when its time is over.
 func Renew(now tables.Instant, h *tables.Health) {
-	if h.State == tables.Ejected && now >= h.Until {
+	if h.State == tables.Ejected && now >= h.EjectedUntil {
 		h.State = tables.Probation
-		h.Successes = 0
+		h.ProbationSuccesses = 0
 	}
 }
 
@@ -71,8 +71,8 @@
 // open and breaks nothing; only what does not happen shows it. An attempt that
 // waits while more urgent ones are answered does not hang.
 func Hanging(now, progress tables.Instant, a *tables.AttemptRow) bool {
-	if a.FirstToken != 0 || a.Aborted {
+	if a.FirstTokenAt != 0 || a.Aborted {
 		return false
 	}
-	return now-max(a.Dispatched, progress) > hangFactor*a.ExpectedFirstToken+hangMargin
+	return now-max(a.DispatchedAt, progress) > hangFactor*a.ExpectedTTFT+hangMargin
 }
--- a/systems/health/health_test.go
+++ b/systems/health/health_test.go
@@ -18,10 +18,10 @@
 	last := time.Duration(0)
 	for range 4 {
 		health.Eject(now, &h)
-		out := h.Until - now
+		out := h.EjectedUntil - now
 		assert.Assert(t, out > last)
 		last = out
-		now = h.Until
+		now = h.EjectedUntil
 		health.Renew(now, &h)
 		assert.Equal(t, h.State, tables.Probation)
 	}
@@ -30,7 +30,7 @@
 	}
 	assert.Equal(t, h.State, tables.Healthy)
 	health.Eject(now, &h)
-	assert.Equal(t, h.Until-now, time.Second)
+	assert.Equal(t, h.EjectedUntil-now, time.Second)
 }
 
 func TestOneFailureEjectsOnProbationOnly(t *testing.T) {
@@ -50,7 +50,7 @@
 // A request waits long for its first token because more urgent ones are served
 // before it. The endpoint does not hang, and must not be taken out.
 func TestProgressForOthersIsNotHanging(t *testing.T) {
-	a := &tables.AttemptRow{Dispatched: time.Second, ExpectedFirstToken: time.Second}
+	a := &tables.AttemptRow{DispatchedAt: time.Second, ExpectedTTFT: time.Second}
 	assert.Assert(t, !health.Hanging(9*time.Second, 0, a))
 	assert.Assert(t, health.Hanging(15*time.Second, 0, a))
 	assert.Assert(t, !health.Hanging(15*time.Second, 14*time.Second, a))
--- a/systems/placement/filter/capacity/capacity.go
+++ b/systems/placement/filter/capacity/capacity.go
@@ -10,7 +10,7 @@
 // requests of each priority. Urgent work may queue at the endpoint, which
 // honours priorities; work that can wait waits here, where it can still be
 // placed elsewhere.
-var Limits = [tables.Priorities]float64{
+var Limits = [tables.PriorityCount]float64{
 	tables.Urgent:     2,
 	tables.Normal:     1.25,
 	tables.Background: 0.75,
@@ -29,5 +29,5 @@
 		part = Limits[tables.Urgent]
 	}
 	limit := part * float64(c.Row.Slots())
-	return float64(c.Row.Load.Active()) < max(1, limit)
+	return float64(c.Row.Load.TotalAttempts()) < max(1, limit)
 }
--- a/systems/placement/filter/health/health.go
+++ b/systems/placement/filter/health/health.go
@@ -23,7 +23,7 @@
 	case tables.Ejected:
 		return false
 	case tables.Probation:
-		return c.Row.Load.Own < ProbationAttempts
+		return c.Row.Load.LocalAttempts < ProbationAttempts
 	default:
 		return true
 	}
--- a/systems/placement/filter/idle/idle.go
+++ b/systems/placement/filter/idle/idle.go
@@ -26,5 +26,5 @@
 		return true
 	}
 	load := &c.Row.Load
-	return load.Busy < maxBusy && float64(load.Backlog()) < maxQueue*c.PrefillRate()
+	return load.BusyFraction < maxBusy && float64(load.PrefillBacklog()) < maxQueue*c.PrefillRate()
 }
--- a/systems/placement/filter/leaving/leaving.go
+++ b/systems/placement/filter/leaving/leaving.go
@@ -11,4 +11,4 @@
 func (Filter) Name() string { return "leaving" }
 
 // Keep drops endpoints that any source called leaving.
-func (Filter) Keep(_ *placement.Query, c *placement.Candidate) bool { return !c.Row.Leaving() }
+func (Filter) Keep(_ *placement.Query, c *placement.Candidate) bool { return !c.Row.Draining() }
--- a/systems/placement/filter/tried/tried.go
+++ b/systems/placement/filter/tried/tried.go
@@ -12,7 +12,7 @@
 
 // Keep drops endpoints of failed and of running attempts.
 func (Filter) Keep(q *placement.Query, c *placement.Candidate) bool {
-	if q.Request.WasTried(c.Row.Index) {
+	if q.Request.HasFailedAt(c.Row.Index) {
 		return false
 	}
 	for _, a := range q.Request.Attempts {
--- a/systems/placement/placement.go
+++ b/systems/placement/placement.go
@@ -24,7 +24,7 @@
 	// Share is this instance's part of all traffic, above 0 and at most 1.
 	Share float64
 	// Mix is the part of each priority in the prefill work of this instance.
-	Mix [tables.Priorities]float64
+	Mix [tables.PriorityCount]float64
 	// WaitWeight is how much a second of waiting counts: 1 for work that cannot
 	// wait, less for work that can.
 	WaitWeight float64
@@ -73,8 +73,8 @@
 
 // PrefillRate is the endpoint's prefill speed in tokens per second.
 func (c *Candidate) PrefillRate() float64 {
-	if c.Row.Speed.Prefill > 0 {
-		return c.Row.Speed.Prefill
+	if c.Row.Throughput.PrefillRate > 0 {
+		return c.Row.Throughput.PrefillRate
 	}
 	return DefaultPrefillRate
 }
--- a/systems/placement/score/compute/compute.go
+++ b/systems/placement/score/compute/compute.go
@@ -28,6 +28,6 @@
 
 // Delay is the wait in seconds that the request's prefill means for others.
 func Delay(q *placement.Query, c *placement.Candidate) float64 {
-	busy := min(c.Row.Load.Busy, maxBusy)
+	busy := min(c.Row.Load.BusyFraction, maxBusy)
 	return busy / (1 - busy) * c.UncachedTokens(q) / c.PrefillRate()
 }
--- a/systems/placement/score/queue/queue.go
+++ b/systems/placement/score/queue/queue.go
@@ -25,17 +25,17 @@
 
 // Wait is the expected wait in seconds.
 func Wait(q *placement.Query, c *placement.Candidate) float64 {
-	prefill := c.Row.Load.Ahead(q.Request.Priority, &q.Mix) / c.PrefillRate()
+	prefill := c.Row.Load.PrefillTokensAhead(q.Request.Priority, &q.Mix) / c.PrefillRate()
 	return prefill + slotWait(c)
 }
 
 func slotWait(c *placement.Candidate) float64 {
 	slots := c.Row.Slots()
-	excess := c.Row.Load.Active() - slots + 1
+	excess := c.Row.Load.TotalAttempts() - slots + 1
 	if excess <= 0 {
 		return 0
 	}
-	service := c.Row.Speed.Service
+	service := c.Row.Throughput.MeanServiceTime
 	if service <= 0 {
 		service = DefaultService
 	}
--- a/tables/claimerrors.go
+++ b/tables/claimerrors.go
@@ -2,43 +2,43 @@
 
 import "fmt"
 
-// KeyReused means that the organisation used the same idempotency key for a
+// KeyReusedError means that the organisation used the same idempotency key for a
 // different request. Nothing was claimed.
-type KeyReused struct {
+type KeyReusedError struct {
 	Organisation OrganisationID
-	Key          Key
+	Key          IdempotencyKey
 }
 
 // Error says whose key it is.
-func (e *KeyReused) Error() string {
+func (e *KeyReusedError) Error() string {
 	return fmt.Sprintf("organisation %s used idempotency key %q for a different request", e.Organisation, string(e.Key))
 }
 
-// NoQuorum means that too few replicas of the control state answered in time.
+// NoQuorumError means that too few replicas of the control state answered in time.
 // The change may or may not be made later; nothing may be dispatched on it.
-type NoQuorum struct {
-	// Asked names what was to be done.
-	Asked string
+type NoQuorumError struct {
+	// Operation names what was to be done.
+	Operation string
 	Cause error
 }
 
 // Error says what was asked.
-func (e *NoQuorum) Error() string {
-	return fmt.Sprintf("%s: no quorum of control replicas: %v", e.Asked, e.Cause)
+func (e *NoQuorumError) Error() string {
+	return fmt.Sprintf("%s: no quorum of control replicas: %v", e.Operation, e.Cause)
 }
 
 // Unwrap gives the cause.
-func (e *NoQuorum) Unwrap() error { return e.Cause }
+func (e *NoQuorumError) Unwrap() error { return e.Cause }
 
-// GrantLost means that a claim expired or was taken over before the call it
+// ClaimLostError means that a claim expired or was taken over before the call it
 // was made with; nothing may be dispatched on it.
-type GrantLost struct {
+type ClaimLostError struct {
 	Organisation OrganisationID
-	Key          Key
-	Fence        Fence
+	Key          IdempotencyKey
+	FencingToken        FencingToken
 }
 
 // Error says which claim was lost.
-func (e *GrantLost) Error() string {
-	return fmt.Sprintf("claim %d of organisation %s on key %q is lost", e.Fence, e.Organisation, string(e.Key))
+func (e *ClaimLostError) Error() string {
+	return fmt.Sprintf("claim %d of organisation %s on key %q is lost", e.FencingToken, e.Organisation, string(e.Key))
 }
--- a/tables/endpoints.go
+++ b/tables/endpoints.go
@@ -12,64 +12,64 @@
 // Load is what is known of the work at an endpoint. The reported part is old
 // by the reporting lag; the own part is exact.
 type Load struct {
-	// Reported is set once a load report of the current boot has been seen.
-	Reported bool
+	// HasReport is set once a load report of the current boot has been seen.
+	HasReport bool
 	// ReportedAt is when the last report arrived.
 	ReportedAt Instant
-	// Others is what other instances have at the endpoint.
-	Others Others
-	// ReportedTotal and ReportedTokens are the attempts and the prefill work of
+	// Remote is what other instances have at the endpoint.
+	Remote RemoteLoad
+	// ReportedAttempts and ReportedTokens are the attempts and the prefill work of
 	// the last report.
-	ReportedTotal  int
-	ReportedTokens int
-	// Busy is the part of recent load reports in which there was prefill work,
+	ReportedAttempts  int
+	ReportedPrefillTokens int
+	// BusyFraction is the part of recent load reports in which there was prefill work,
 	// 0 to 1.
-	Busy float64
-	// Own counts attempts of this instance that have not ended.
-	Own int
-	// OwnTokens is prefill work of own attempts that have no first token yet,
+	BusyFraction float64
+	// LocalAttempts counts attempts of this instance that have not ended.
+	LocalAttempts int
+	// LocalPrefillTokens is prefill work of own attempts that have no first token yet,
 	// by priority.
-	OwnTokens [Priorities]int
-	// OwnPrefilling counts own attempts that have no first token yet.
-	OwnPrefilling int
+	LocalPrefillTokens [PriorityCount]int
+	// LocalPrefilling counts own attempts that have no first token yet.
+	LocalPrefilling int
 }
 
-// Active is the estimate of attempts at the endpoint, queued ones included.
-func (l *Load) Active() int { return int(l.Others.Attempts+0.5) + l.Own }
+// TotalAttempts is the estimate of attempts at the endpoint, queued ones included.
+func (l *Load) TotalAttempts() int { return int(l.Remote.Attempts+0.5) + l.LocalAttempts }
 
-// Ahead is the prefill work, in tokens, that an endpoint does before that of a
+// PrefillTokensAhead is the prefill work, in tokens, that an endpoint does before that of a
 // new request: all of the same or a more urgent priority. The part of others'
 // work that is so is not reported; mix is the part that each priority has in
 // this instance's own work, and is taken to hold for others too.
-func (l *Load) Ahead(p Priority, mix *[Priorities]float64) float64 {
+func (l *Load) PrefillTokensAhead(p Priority, mix *[PriorityCount]float64) float64 {
 	ahead := 0.0
 	part := 0.0
 	for i := range int(p) + 1 {
-		ahead += float64(l.OwnTokens[i])
+		ahead += float64(l.LocalPrefillTokens[i])
 		part += mix[i]
 	}
-	return ahead + part*l.Others.Tokens
+	return ahead + part*l.Remote.Tokens
 }
 
-// Backlog is all prefill work at the endpoint in tokens.
-func (l *Load) Backlog() int {
-	sum := int(l.Others.Tokens)
-	for _, tokens := range l.OwnTokens {
+// PrefillBacklog is all prefill work at the endpoint in tokens.
+func (l *Load) PrefillBacklog() int {
+	sum := int(l.Remote.Tokens)
+	for _, tokens := range l.LocalPrefillTokens {
 		sum += tokens
 	}
 	return sum
 }
 
-// Speed holds what was learned of an endpoint's speed.
-type Speed struct {
-	// Prefill is in prompt tokens per second over the whole endpoint, Decode
+// Throughput holds what was learned of an endpoint's speed.
+type Throughput struct {
+	// PrefillRate is in prompt tokens per second over the whole endpoint, Decode
 	// in tokens per second for one attempt.
-	Prefill float64
-	Decode  float64
-	// Service is the mean time from dispatch to the end of an attempt.
-	Service time.Duration
-	// Samples counts the measurements behind Prefill.
-	Samples int
+	PrefillRate float64
+	DecodeRate  float64
+	// MeanServiceTime is the mean time from dispatch to the end of an attempt.
+	MeanServiceTime time.Duration
+	// PrefillSamples counts the measurements behind Prefill.
+	PrefillSamples int
 }
 
 // HealthState says how far an endpoint is trusted.
@@ -88,14 +88,14 @@
 // Health is what traffic has shown of an endpoint.
 type Health struct {
 	State HealthState
-	// Until is when an ejected endpoint may be tried again.
-	Until Instant
-	// Failures counts failures in a row; Ejections counts ejections without
+	// EjectedUntil is when an ejected endpoint may be tried again.
+	EjectedUntil Instant
+	// ConsecutiveFailures counts failures in a row; Ejections counts ejections without
 	// full recovery between them and lengthens the next one.
-	Failures  int
+	ConsecutiveFailures  int
 	Ejections int
-	// Successes counts successes on probation.
-	Successes int
+	// ProbationSuccesses counts successes on probation.
+	ProbationSuccesses int
 }
 
 // EndpointRow is everything the decisions know of one endpoint.
@@ -104,32 +104,32 @@
 	Endpoint Endpoint
 	// Declared is set while the configuration in force names the endpoint.
 	Declared bool
-	// Gone is set once a source said that the endpoint leaves, for GoneLife
+	// Withdrawn is set once a source said that the endpoint leaves, for GoneLife
 	// and every earlier life.
-	Gone     bool
-	GoneLife uint64
+	Withdrawn     bool
+	WithdrawnLife uint64
 	// Boot is the life of the endpoint's process last seen, empty if none.
 	Boot BootID
-	// Former holds boots that ended, newest last, so that late messages of an
+	// FormerBoots holds boots that ended, newest last, so that late messages of an
 	// earlier process are told from those of a new one.
-	Former []BootID
+	FormerBoots []BootID
 	// Weights is what the endpoint said it serves. A model that is missing is
 	// not known, unless WeightsKnown is set.
 	Weights      map[ModelName]WeightsVersion
 	WeightsKnown bool
 	Load         Load
-	// Progress is when the endpoint last showed that it gets work done.
-	Progress Instant
-	Speed    Speed
+	// LastProgress is when the endpoint last showed that it gets work done.
+	LastProgress Instant
+	Throughput    Throughput
 	Health   Health
 	// CacheBlocks is the capacity of its cache in pieces, 0 if not known.
 	CacheBlocks int
 }
 
-// Leaving says whether the endpoint must receive no new work, because any
+// Draining says whether the endpoint must receive no new work, because any
 // source said so for its present life or a later one.
-func (e *EndpointRow) Leaving() bool {
-	return !e.Declared || e.Endpoint.Leaving || (e.Gone && e.GoneLife >= e.Endpoint.Life)
+func (e *EndpointRow) Draining() bool {
+	return !e.Declared || e.Endpoint.Leaving || (e.Withdrawn && e.WithdrawnLife >= e.Endpoint.Life)
 }
 
 // Slots is how many attempts the endpoint runs at once, at least 1.
@@ -169,20 +169,20 @@
 	// BootNew is a boot not seen before; everything known of the earlier one
 	// has been reset.
 	BootNew
-	// BootOld is an earlier boot: the message must be ignored.
-	BootOld
+	// BootStale is an earlier boot: the message must be ignored.
+	BootStale
 )
 
-// SeeBoot compares a message's boot identity with the known one. An engine
+// ObserveBoot compares a message's boot identity with the known one. An engine
 // that restarts keeps its address but loses its cache, and messages of its
 // former life may still arrive; those must not be taken for news of the new.
-func (e *EndpointRow) SeeBoot(boot BootID) BootChange {
+func (e *EndpointRow) ObserveBoot(boot BootID) BootChange {
 	if boot == "" || boot == e.Boot {
 		return BootSame
 	}
-	for _, former := range e.Former {
+	for _, former := range e.FormerBoots {
 		if former == boot {
-			return BootOld
+			return BootStale
 		}
 	}
 	e.EndBoot()
@@ -193,16 +193,16 @@
 // EndBoot forgets what was known of the present boot, because it has ended.
 func (e *EndpointRow) EndBoot() {
 	if e.Boot != "" {
-		e.Former = append(e.Former, e.Boot)
-		if len(e.Former) > maxFormerBoots {
-			e.Former = append(e.Former[:0], e.Former[1:]...)
+		e.FormerBoots = append(e.FormerBoots, e.Boot)
+		if len(e.FormerBoots) > maxFormerBoots {
+			e.FormerBoots = append(e.FormerBoots[:0], e.FormerBoots[1:]...)
 		}
 	}
 	e.Boot = ""
 	e.Weights = nil
 	e.WeightsKnown = false
-	e.Load.Reported = false
-	e.Load.Others = Others{}
+	e.Load.HasReport = false
+	e.Load.Remote = RemoteLoad{}
 }
 
 // Endpoints is the table of endpoints, addressed by dense index.
@@ -254,8 +254,8 @@
 	if row.CacheBlocks == 0 {
 		row.CacheBlocks = e.CacheBlocks
 	}
-	if row.Speed.Samples == 0 {
-		row.Speed.Prefill = e.PrefillRate
-		row.Speed.Decode = e.DecodeRate
+	if row.Throughput.PrefillSamples == 0 {
+		row.Throughput.PrefillRate = e.PrefillRate
+		row.Throughput.DecodeRate = e.DecodeRate
 	}
 }
--- a/tables/others.go
+++ b/tables/remoteload.go
@@ -14,12 +14,12 @@
 	othersMean = 10 * time.Second
 )
 
-// Others is what other instances have at an endpoint: as last reported, its
+// RemoteLoad is what other instances have at an endpoint: as last reported, its
 // mean, and the estimate that decisions use. Without the mean, all instances
 // would hold the same snapshot for true until the next one comes, avoid the
 // same endpoints and crowd the same others; with reports two seconds apart that
 // halves what the fleet can do.
-type Others struct {
+type RemoteLoad struct {
 	reported othersSample
 	mean     othersSample
 	at       Instant
@@ -31,8 +31,8 @@
 
 type othersSample struct{ attempts, tokens float64 }
 
-// Report takes in a load report.
-func (o *Others) Report(now Instant, attempts, tokens int) {
+// Observe takes in a load report.
+func (o *RemoteLoad) Observe(now Instant, attempts, tokens int) {
 	sample := othersSample{attempts: float64(attempts), tokens: float64(tokens)}
 	if o.at == 0 {
 		o.mean = sample
@@ -42,11 +42,11 @@
 	}
 	o.reported = sample
 	o.at = now
-	o.Age(now)
+	o.Advance(now)
 }
 
-// Age moves the estimate on to now.
-func (o *Others) Age(now Instant) {
+// Advance moves the estimate on to now.
+func (o *RemoteLoad) Advance(now Instant) {
 	estimate := blend(o.reported, o.mean, decay(now-o.at, othersKeep))
 	o.Attempts = estimate.attempts
 	o.Tokens = estimate.tokens
--- a/tables/requests.go
+++ b/tables/requests.go
@@ -7,11 +7,11 @@
 const (
 	// Pending requests wait in this process for an endpoint.
 	Pending RequestState = iota
-	// Flying requests have at least one attempt that has not ended.
-	Flying
-	// Final requests have been answered, refused, failed or cancelled; they
+	// InFlight requests have at least one attempt that has not ended.
+	InFlight
+	// Finished requests have been answered, refused, failed or cancelled; they
 	// stay only until their last attempt has ended.
-	Final
+	Finished
 )
 
 // RequestRow is a request with the state of its handling.
@@ -23,30 +23,30 @@
 	// Organisation is the number of the organisation's flow.
 	Organisation FlowIndex
 	State        RequestState
-	// Submitted is when the request was handed to the decisions.
-	Submitted Instant
+	// SubmittedAt is when the request was handed to the decisions.
+	SubmittedAt Instant
 	// Dispatched is set once any attempt has left this process, MayHaveRun once
 	// an attempt ended of which it is not certain that nothing ran.
 	Dispatched bool
 	MayHaveRun bool
 	// Attempts are those that have not ended.
 	Attempts []*AttemptRow
-	// Tried lists the endpoints of attempts that failed.
-	Tried []EndpointIndex
+	// FailedEndpoints lists the endpoints of attempts that failed.
+	FailedEndpoints []EndpointIndex
 	// Retries counts attempts after the first one, hedges not included.
 	Retries int
-	// Delivered and Weights describe a stream that is being resumed: tokens
+	// DeliveredTokens and Weights describe a stream that is being resumed: tokens
 	// that the caller has, and the weights that made them.
-	Delivered int
+	DeliveredTokens int
 	Weights   WeightsVersion
-	// Waiting is set while the request stands in a queue, in the given group,
+	// Queued is set while the request stands in a queue, in the given group,
 	// and must start by StartBy.
-	Waiting bool
-	Group   BlockHash
+	Queued bool
+	QueueGroup   BlockHash
 	StartBy Instant
-	// Counted is set while the request counts against its organisation's
+	// HoldsConcurrencySlot is set while the request counts against its organisation's
 	// concurrency limit.
-	Counted bool
+	HoldsConcurrencySlot bool
 	// NotBefore holds a request back until an instant, after a failure.
 	NotBefore Instant
 }
@@ -54,9 +54,9 @@
 // FlowIndex is the dense number of an organisation at one instance.
 type FlowIndex int32
 
-// WasTried says whether an attempt at the endpoint has failed.
-func (r *RequestRow) WasTried(index EndpointIndex) bool {
-	for _, t := range r.Tried {
+// HasFailedAt says whether an attempt at the endpoint has failed.
+func (r *RequestRow) HasFailedAt(index EndpointIndex) bool {
+	for _, t := range r.FailedEndpoints {
 		if t == index {
 			return true
 		}
@@ -74,9 +74,9 @@
 	Boot     BootID
 	Weights  WeightsVersion
 	// Started and FirstToken are zero until they have happened.
-	Dispatched Instant
-	Started    Instant
-	FirstToken Instant
+	DispatchedAt Instant
+	StartedAt    Instant
+	FirstTokenAt Instant
 	// UncachedTokens is the prefill work that placement expected.
 	UncachedTokens int
 	// KnownTokens is the cached part of the prompt that placement expected from
@@ -84,11 +84,11 @@
 	// supposed to be there because the prefix belongs there by hashing.
 	KnownTokens int
 	HomeTokens  int
-	// WorkAhead is the prefill work at the endpoint when the attempt was
+	// PrefillTokensAhead is the prefill work at the endpoint when the attempt was
 	// dispatched, its own not included.
-	WorkAhead int
-	// ExpectedFirstToken is the time from dispatch that placement expected.
-	ExpectedFirstToken Instant
+	PrefillTokensAhead int
+	// ExpectedTTFT is the time from dispatch that placement expected.
+	ExpectedTTFT Instant
 	Hedge              bool
 	// Aborted is set once this process has cancelled the attempt.
 	Aborted   bool
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -49,9 +49,9 @@
 	BlockHash uint64
 	// Revision numbers accepted configurations; it only ever grows.
 	Revision uint64
-	// Fence is a fencing number: of two orders the one with the lower number
+	// FencingToken is a fencing number: of two orders the one with the lower number
 	// is the older and must be refused.
-	Fence uint64
+	FencingToken uint64
 )
 
 // Outcome says whether the work of a request that got no answer has run.
@@ -59,12 +59,12 @@
 
 // The outcomes a caller can be told.
 const (
-	// NotRun means that no endpoint began the work, and none will.
-	NotRun Outcome = "not_run"
-	// Ran means that the work was completed, although its answer is lost.
-	Ran Outcome = "ran"
-	// Unknown means that the work was handed to an endpoint and may have run.
-	Unknown Outcome = "unknown"
+	// OutcomeNotRun means that no endpoint began the work, and none will.
+	OutcomeNotRun Outcome = "not_run"
+	// OutcomeRan means that the work was completed, although its answer is lost.
+	OutcomeRan Outcome = "ran"
+	// OutcomeUnknown means that the work was handed to an endpoint and may have run.
+	OutcomeUnknown Outcome = "unknown"
 )
 
 // Priority orders requests of different profiles; a lower value is more urgent.
@@ -75,8 +75,8 @@
 	Urgent Priority = iota
 	Normal
 	Background
-	// Priorities is the number of priorities.
-	Priorities = 3
+	// PriorityCount is the number of priorities.
+	PriorityCount = 3
 )
 
 // Preference says what a profile wants placement to favour.
@@ -204,8 +204,8 @@
 	Arrived      Instant
 	// Deadline is when the caller's timeout passes.
 	Deadline Instant
-	// Delivered counts tokens already passed to the caller. It is above zero
+	// DeliveredTokens counts tokens already passed to the caller. It is above zero
 	// only while a stream is being resumed, and then Weights must match.
-	Delivered int
+	DeliveredTokens int
 	Weights   WeightsVersion
 }
