--- a/control/client/claims.go
+++ b/control/client/claims.go
@@ -151,8 +151,8 @@
 		Organisation: organisation,
 		Key:          key,
 		State:        grantState(answer.GetState()),
-		FencingToken:        tables.FencingToken(answer.GetFence()),
-		Response:       decodeAnswer(answer.GetAnswer()),
+		FencingToken: tables.FencingToken(answer.GetFence()),
+		Response:     decodeAnswer(answer.GetAnswer()),
 	}
 	if grant.State == tables.ClaimGranted {
 		grant.ExpiresAt = sent + safe(state.DefaultLimits().ClaimedFor)
@@ -349,10 +349,10 @@
 
 func decodeAnswer(answer *rpc.StoredAnswer) tables.StoredResponse {
 	return tables.StoredResponse{
-		Status: int(answer.GetStatus()),
-		ContentType:   answer.GetType(),
-		Body:   answer.GetBody(),
-		Tokens: int(answer.GetTokens()),
+		Status:      int(answer.GetStatus()),
+		ContentType: answer.GetType(),
+		Body:        answer.GetBody(),
+		Tokens:      int(answer.GetTokens()),
 	}
 }
 
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -110,5 +110,5 @@
 
 // takeSuspect hands the router what another instance found out about a crash.
 func (d *Daemon) takeSuspect(told quarantine.Suspect) {
-	d.entry.Observe(router.SuspectSeen{Suspect: told})
+	d.entry.Observe(router.PeerSuspect{Suspect: told})
 }
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -68,7 +68,7 @@
 	if total < own {
 		total, of = own, 1
 	}
-	d.entry.Observe(router.PeersSeen{Share: float64(own) / float64(total), Rank: rank, Of: of})
+	d.entry.Observe(router.EntryPeers{Share: float64(own) / float64(total), Rank: rank, Count: of})
 }
 
 // fetchFrom asks an instance that has a newer revision in force. It is how an
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -85,7 +85,7 @@
 		case i.Membership.IsValid():
 			own = append(own, membership.PlatformInstance{Address: i.Membership, Leaving: leaving})
 		case leaving:
-			d.entry.Observe(router.EndpointGone{Endpoint: i.ID, Life: i.Life})
+			d.entry.Observe(router.EndpointWithdrawn{Endpoint: i.ID, Life: i.Life})
 		}
 	}
 	// A list without the system's own instances says nothing of them. Taken as
--- a/engine/feed/feed.go
+++ b/engine/feed/feed.go
@@ -134,14 +134,14 @@
 
 func (f *feed) report(load engine.Load) router.LoadReport {
 	return router.LoadReport{
-		Endpoint:     f.id,
-		Boot:         load.Boot,
-		Weights:      load.Weights,
-		Running:      max(load.Running, 0),
-		Queued:       max(load.Queued, 0),
-		QueuedTokens: max(load.QueuedTokens, 0),
-		CacheBlocks:  max(load.CacheBlocks, 0),
-		Attempts:     load.Attempts,
+		Endpoint:            f.id,
+		Boot:                load.Boot,
+		Weights:             load.Weights,
+		Running:             max(load.Running, 0),
+		Queued:              max(load.Queued, 0),
+		QueuedPrefillTokens: max(load.QueuedTokens, 0),
+		CacheBlocks:         max(load.CacheBlocks, 0),
+		Attempts:            load.Attempts,
 	}
 }
 
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -65,7 +65,7 @@
 
 // Order is a change that the control state wants of an endpoint.
 type Order struct {
-	Fence   tables.FencingToken          `json:"fence"`
+	Fence   tables.FencingToken   `json:"fence"`
 	Kind    OrderKind             `json:"kind"`
 	Model   tables.ModelName      `json:"model,omitempty"`
 	Adapter tables.AdapterName    `json:"adapter,omitempty"`
@@ -78,7 +78,7 @@
 	Boot tables.BootID `json:"boot"`
 	// Fence is the highest fencing number that the endpoint has seen; zero at
 	// endpoints that do not check it.
-	Fence    tables.FencingToken                               `json:"fence"`
+	Fence    tables.FencingToken                        `json:"fence"`
 	Role     string                                     `json:"role"`
 	Weights  map[tables.ModelName]tables.WeightsVersion `json:"weights,omitempty"`
 	Adapters map[tables.ModelName][]tables.AdapterName  `json:"adapters,omitempty"`
@@ -89,7 +89,7 @@
 // OrderRefusal is the body of the answer 409 to an order.
 type OrderRefusal struct {
 	Fence  tables.FencingToken `json:"fence"`
-	Reason string       `json:"reason"`
+	Reason string              `json:"reason"`
 }
 
 // OldFence means that an endpoint has seen a newer order, so whoever gave this
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -184,7 +184,7 @@
 		_ = done.stream.Close()
 	}
 	tokens := r.flight.delivered - done.attempt.dispatch.ResumeFrom
-	done.attempt.tell(router.AttemptEnded{End: router.Completed, Tokens: tokens}, nil)
+	done.attempt.tell(router.AttemptEnded{Result: router.Completed, GeneratedTokens: tokens}, nil)
 }
 
 // close ends the flight: what still runs for it is cancelled at the endpoints.
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -135,7 +135,7 @@
 		if f.won.Load() != nil {
 			f.server.metrics.CountDropped(DroppedLate)
 		}
-		a.tell(router.AttemptEnded{End: router.Completed}, nil)
+		a.tell(router.AttemptEnded{Result: router.Completed}, nil)
 	}
 }
 
@@ -152,17 +152,17 @@
 		a.broken(err, 0, a.cancelAtEndpoint)
 		return
 	}
-	end := router.NeverStarted
+	end := router.NotStarted
 	var not *engine.NotStarted
 	if errors.As(err, &not) {
 		switch {
 		case not.Declined:
-			end = router.Refused
+			end = router.Rejected
 		case not.Unreachable:
 			end = router.Unreachable
 		}
 	}
-	a.tell(router.AttemptEnded{End: end}, &proof)
+	a.tell(router.AttemptEnded{Result: end}, &proof)
 }
 
 // broken reports the end of an attempt that may have run, after cancel has
@@ -175,7 +175,7 @@
 		events.AnswerMismatch.Log(s.log, a.fields(zap.String("field", mismatch.Field))...)
 	}
 	crashed, settling := a.crashes(cancel)
-	end := router.Broken
+	end := router.Interrupted
 	switch {
 	case a.unwanted():
 		end = router.Cancelled
@@ -185,7 +185,7 @@
 	if end != router.Cancelled {
 		events.AttemptBroken.Log(s.log, a.fields(zap.Bool("crashed", crashed), zap.Error(err))...)
 	}
-	a.report(ended{how: router.AttemptEnded{End: end, Tokens: tokens}, settling: settling})
+	a.report(ended{how: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, settling: settling})
 }
 
 // crashes cancels the attempt at its endpoint and says whether the endpoint's
@@ -271,7 +271,7 @@
 	a.cancel(nil)
 	end.attempt = a
 	end.how.Attempt = a.dispatch.Attempt
-	end.how.Delivered, _ = a.flight.progress()
+	end.how.DeliveredTokens, _ = a.flight.progress()
 	a.flight.server.tell(end)
 }
 
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -75,10 +75,10 @@
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"a", "b"})
-	how := map[tables.AttemptID]router.AttemptEnd{}
+	how := map[tables.AttemptID]router.AttemptResult{}
 	for range 2 {
 		end := <-p.ends
-		how[end.Attempt] = end.End
+		how[end.Attempt] = end.Result
 		if end.Attempt == "slow" {
 			cancelled := []tables.AttemptID{<-r.client.cancelled, ""}
 			if cancelled[0] != "slow" {
@@ -232,12 +232,12 @@
 
 func (d *again) Observe(_ tables.Instant, in router.Input) {
 	ended, ok := in.(router.AttemptEnded)
-	if !ok || ended.End == router.Completed || ended.End == router.Cancelled {
+	if !ok || ended.Result == router.Completed || ended.Result == router.Cancelled {
 		return
 	}
 	id := d.of[ended.Attempt]
 	if d.tries[id] < d.most {
-		d.dispatch(id, ended.Delivered)
+		d.dispatch(id, ended.DeliveredTokens)
 		return
 	}
 	d.waiting = append(d.waiting, router.Fail{Request: id, Code: tables.CodeStreamBroken})
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -93,7 +93,7 @@
 func (a *attempt) drop(final *outcome.Failure) {
 	a.cancel(nil)
 	proof := a.unsent.Drop()
-	how := router.AttemptEnded{Attempt: a.dispatch.Attempt, End: router.NeverStarted}
+	how := router.AttemptEnded{Attempt: a.dispatch.Attempt, Result: router.NotStarted}
 	a.flight.server.tell(ended{attempt: a, how: how, proof: &proof, final: final})
 }
 
--- a/entry/crash_notice_test.go
+++ b/entry/crash_notice_test.go
@@ -14,7 +14,7 @@
 
 // failAfter has an attempt of one request end, a crash reported, and the request fail. It
 // returns where the failure arrives.
-func failAfter(end router.AttemptEnd, notified <-chan struct{}) chan *outcome.Failure {
+func failAfter(end router.AttemptResult, notified <-chan struct{}) chan *outcome.Failure {
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
 	s := &Server{share: func([]quarantine.Suspect) <-chan struct{} { return notified }}
 	decider := &scripted{}
@@ -29,9 +29,9 @@
 		flights: map[tables.RequestID]*flight{id: f},
 		running: map[tables.AttemptID]*attempt{attemptID: a},
 	}
-	decider.then(router.Suspected{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
+	decider.then(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
 	decider.then(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
-	l.end(0, ended{attempt: a, how: router.AttemptEnded{Attempt: attemptID, End: end}})
+	l.end(0, ended{attempt: a, how: router.AttemptEnded{Attempt: attemptID, Result: end}})
 	l.tick(0)
 	return f.failed
 }
@@ -48,7 +48,7 @@
 
 // Guards against requests that crashed nothing waiting for reports of other crashes.
 func TestOtherFailingAnswersDoNotWaitForReports(t *testing.T) {
-	failed := failAfter(router.Broken, make(chan struct{}))
+	failed := failAfter(router.Interrupted, make(chan struct{}))
 	assert.Equal(t, len(failed), 1)
 }
 
@@ -56,8 +56,8 @@
 type lateCrash struct{ scripted }
 
 func (c *lateCrash) Observe(_ tables.Instant, in router.Input) {
-	if _, late := in.(router.AttemptCrashed); late {
-		c.then(router.Suspected{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
+	if _, late := in.(router.CrashDetected); late {
+		c.then(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
 	}
 }
 
@@ -86,7 +86,7 @@
 		running: map[tables.AttemptID]*attempt{attemptID: a},
 	}
 	settling := make(chan bool, 1)
-	l.end(0, ended{attempt: a, how: router.AttemptEnded{Attempt: attemptID, End: router.Broken}, settling: settling})
+	l.end(0, ended{attempt: a, how: router.AttemptEnded{Attempt: attemptID, Result: router.Interrupted}, settling: settling})
 	decider.then(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
 	l.tick(0)
 	assert.Equal(t, len(f.failed), 0, "answered before it was known whether the endpoint has crashed")
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -139,7 +139,7 @@
 		l.end(now, m)
 	case crashed:
 		m.attempt.flight.crashed = true
-		l.router.Observe(now, router.AttemptCrashed{Attempt: m.attempt.dispatch.Attempt})
+		l.router.Observe(now, router.CrashDetected{Attempt: m.attempt.dispatch.Attempt})
 		l.releases = append(l.releases, m.release)
 	case overdue:
 		l.endOverdue(now, m.flight)
@@ -180,7 +180,7 @@
 			f.state = d.NotStarted(*m.proof)
 		}
 	}
-	f.crashed = f.crashed || m.how.End == router.Crashed
+	f.crashed = f.crashed || m.how.Result == router.Crashed
 	l.router.Observe(now, m.how)
 	if m.settling != nil {
 		f.settling = append(f.settling, l.server.settled(m.attempt, m.settling))
@@ -203,7 +203,7 @@
 			l.fail(a)
 		case router.Abort:
 			l.abort(a)
-		case router.Suspected:
+		case router.BroadcastSuspects:
 			l.share(a.Suspects)
 		}
 	}
@@ -286,7 +286,7 @@
 func (l *loop) dispatch(now tables.Instant, d router.Dispatch) {
 	f := l.flights[d.Request]
 	if f == nil || f.ended {
-		l.router.Observe(now, router.AttemptEnded{Attempt: d.Attempt, End: router.NeverStarted})
+		l.router.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.NotStarted})
 		return
 	}
 	if f.queued {
--- a/logs/trail/story.go
+++ b/logs/trail/story.go
@@ -18,7 +18,7 @@
 	tables.CodeUnauthorised:   "its key is not known",
 	tables.CodeTooLarge:       "it is larger than the limits or than any endpoint allows",
 	tables.CodeMalformed:      "its body was not proper, or not sent whole",
-	tables.CodeQuarantined:        "it is suspected of crashing endpoints",
+	tables.CodeQuarantined:    "it is suspected of crashing endpoints",
 	tables.CodeOverloaded:     "every endpoint had as much as it can bear",
 	tables.CodeRetryBudget:    "the budget for second sends was used up",
 	tables.CodeNoEndpoint:     "no endpoint could be used",
--- a/measure/baseline.go
+++ b/measure/baseline.go
@@ -96,7 +96,7 @@
 	}
 	delete(b.flying, ended.Attempt)
 	b.own[f.endpoint]--
-	if ended.End == router.Completed || ended.End == router.Cancelled {
+	if ended.Result == router.Completed || ended.Result == router.Cancelled {
 		return
 	}
 	b.down[f.endpoint] = now + baselineDown
@@ -104,7 +104,7 @@
 		b.actions = append(b.actions, router.Fail{Request: f.request.ID, Code: tables.CodeEndpointFailed, Outcome: tables.OutcomeUnknown})
 		return
 	}
-	b.send(now, f.request, f.tries+1, ended.Delivered)
+	b.send(now, f.request, f.tries+1, ended.DeliveredTokens)
 }
 
 // Tick returns the actions since the last call.
--- a/measure/cluster.go
+++ b/measure/cluster.go
@@ -180,7 +180,7 @@
 	for _, e := range c.order {
 		for _, j := range e.sorted() {
 			if !c.reaches(j.owner, e) {
-				e.end(j, router.Broken)
+				e.end(j, router.Interrupted)
 			}
 		}
 	}
@@ -303,7 +303,7 @@
 	i.tick()
 }
 
-func (i *instance) ended(j *job, end router.AttemptEnd) {
+func (i *instance) ended(j *job, end router.AttemptResult) {
 	delete(i.flying, j.dispatch.Attempt)
 	r := i.cluster.records[j.dispatch.Request]
 	if end == router.Completed && !r.failed {
@@ -311,7 +311,7 @@
 		r.endedAt = i.cluster.time.now
 	}
 	delivered := j.delivered(i.cluster.time.now)
-	i.observe(router.AttemptEnded{Attempt: j.dispatch.Attempt, End: end, Tokens: delivered, Delivered: delivered})
+	i.observe(router.AttemptEnded{Attempt: j.dispatch.Attempt, Result: end, GeneratedTokens: delivered, DeliveredTokens: delivered})
 	i.cluster.time.after(0, i.tick)
 }
 
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -213,7 +213,7 @@
 	})
 }
 
-func (e *engine) end(j *job, end router.AttemptEnd) {
+func (e *engine) end(j *job, end router.AttemptResult) {
 	j.gone = true
 	if j.admitted && e.time.counted(j.admittedAt) {
 		e.slotTime += min(e.time.now, e.time.horizon) - j.admittedAt
@@ -278,7 +278,7 @@
 			r.Queued++
 		}
 		if !j.first {
-			r.QueuedTokens += e.uncached(j)
+			r.QueuedPrefillTokens += e.uncached(j)
 		}
 	}
 	return r
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -240,9 +240,9 @@
 		return newBaseline(name, &oracle{cluster: c, counted: make(map[tables.BlockHash]bool)}), nil
 	case "ours":
 		r := router.New(router.Options{
-			Instance: name, Zone: instanceZone(n), Seed: seed*1000 + uint64(n), CacheRows: 1 << 16, Explanations: 512,
+			Instance: name, Zone: instanceZone(n), Seed: seed*1000 + uint64(n), CacheIndexEntries: 1 << 16, ExplanationLimit: 512,
 		})
-		r.Observe(0, router.PeersSeen{Share: c.size(n) / c.sizes(instances)})
+		r.Observe(0, router.EntryPeers{Share: c.size(n) / c.sizes(instances)})
 		return r, nil
 	}
 	return nil, trace.Wrap(&UnknownNameError{Kind: "policy", Name: policy})
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -37,7 +37,7 @@
 			Slots: 64, CacheBlocks: blocks / endpoints, PrefillRate: 10000, DecodeRate: 50,
 		})
 	}
-	r := router.New(router.Options{Instance: "i1", Zone: "z1", Seed: 1, CacheRows: blocks})
+	r := router.New(router.Options{Instance: "i1", Zone: "z1", Seed: 1, CacheIndexEntries: blocks})
 	r.Configure(0, c)
 	random := rand.New(rand.NewPCG(1, 2))
 	fill(r, c, blocks, random)
@@ -61,7 +61,7 @@
 		for _, action := range actions {
 			if d, ok := action.(router.Dispatch); ok {
 				r.Observe(now, router.FirstToken{Attempt: d.Attempt})
-				r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, End: router.Completed})
+				r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed})
 			}
 		}
 	}
--- a/router/finish.go
+++ b/router/completion.go
@@ -20,21 +20,21 @@
 	}
 	r.release(a)
 	r.learnEnd(now, a, in)
-	r.judge(now, a, in.End)
+	r.judge(now, a, in.Result)
 	r.suspectEnd(now, a, in)
 	row := a.Request
-	if !in.End.provesNotRun() {
+	if !in.Result.provesNotRun() {
 		row.MayHaveRun = true
 	}
-	if in.Delivered > row.DeliveredTokens {
-		row.DeliveredTokens = in.Delivered
+	if in.DeliveredTokens > row.DeliveredTokens {
+		row.DeliveredTokens = in.DeliveredTokens
 		row.Weights = a.Weights
 	}
 	if row.State == tables.Finished {
 		r.forget(row)
 		return
 	}
-	if in.End == Completed {
+	if in.Result == Completed {
 		r.abortAll(now, row)
 		r.finish(row)
 		return
@@ -46,15 +46,15 @@
 }
 
 // judge takes an attempt's end into the health of its endpoint.
-func (r *Router) judge(now tables.Instant, a *tables.AttemptRow, end AttemptEnd) {
+func (r *Router) judge(now tables.Instant, a *tables.AttemptRow, end AttemptResult) {
 	row := r.endpoints.Row(a.Endpoint)
 	switch end {
 	case Completed:
 		row.LastProgress = now
 		health.Succeeded(&row.Health)
-	case Broken:
+	case Interrupted:
 		health.Failed(now, &row.Health)
-	case NeverStarted:
+	case NotStarted:
 		// Work that runs at most once also ends like this when its claim is not
 		// granted, which says nothing of the endpoint.
 		if a.Request.Profile.Idempotent {
@@ -68,8 +68,8 @@
 }
 
 // provesNotRun says whether the attempt cannot have run.
-func (e AttemptEnd) provesNotRun() bool {
-	return e == NeverStarted || e == Refused || e == Unreachable
+func (e AttemptResult) provesNotRun() bool {
+	return e == NotStarted || e == Rejected || e == Unreachable
 }
 
 // crashed ends a life of an endpoint: its cache is gone.
@@ -102,14 +102,14 @@
 func (r *Router) afterFailure(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
 	row := a.Request
 	switch {
-	case in.End == Cancelled && !a.Aborted:
+	case in.Result == Cancelled && !a.Aborted:
 		// The shell gave the request up itself and tells its caller.
 		r.finish(row)
 	case r.convicted(now, row.Request.Fingerprint):
 		r.fail(row, tables.CodeQuarantined, 0)
 	case !retry.Allowed(row):
 		r.fail(row, tables.CodeOutcomeUnknown, 0)
-	case in.End == Unreachable && len(row.FailedEndpoints) < maxUnreachable:
+	case in.Result == Unreachable && len(row.FailedEndpoints) < maxUnreachable:
 		// Nothing reached an endpoint, so trying another adds no load to the
 		// fleet. When a zone is cut off, two thirds of the endpoints are gone at
 		// once: counted like other retries, these would use up the request's
--- a/router/held_retry_test.go
+++ b/router/deferrable_retry_test.go
@@ -25,7 +25,7 @@
 			d, ok := action.(router.Dispatch)
 			assert.Assert(t, ok, "%T after %d tries", action, tried)
 			tried++
-			r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, End: router.NeverStarted})
+			r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.NotStarted})
 		}
 	}
 	assert.Equal(t, tried, 12)
@@ -34,7 +34,7 @@
 		for _, action := range r.Tick(now) {
 			if d, ok := action.(router.Dispatch); ok {
 				r.Observe(now, router.FirstToken{Attempt: d.Attempt})
-				r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, End: router.Completed})
+				r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed})
 				return
 			}
 		}
--- a/router/held_test.go
+++ b/router/deferrable_test.go
@@ -34,7 +34,7 @@
 			served++
 			r.Observe(now, router.AttemptStarted{Attempt: d.Attempt, Boot: "b", Weights: "w1"})
 			r.Observe(now, router.FirstToken{Attempt: d.Attempt})
-			r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, End: router.Completed, Tokens: 5, Delivered: 5})
+			r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed, GeneratedTokens: 5, DeliveredTokens: 5})
 		}
 	}
 	assert.Equal(t, served, sent)
--- a/router/learn.go
+++ b/router/estimates.go
@@ -76,7 +76,7 @@
 // learnEnd takes in what the end of an attempt shows.
 func (r *Router) learnEnd(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
 	row := r.endpoints.Row(a.Endpoint)
-	if in.End == Completed {
+	if in.Result == Completed {
 		r.learnService(row, now-a.DispatchedAt)
 		return
 	}
--- a/router/failure_test.go
+++ b/router/failure_test.go
@@ -45,7 +45,7 @@
 	for _, id := range []tables.EndpointID{"e0", "e1"} {
 		r.Observe(4*ms, router.LoadReport{Endpoint: id, Boot: "b", Weights: map[tables.ModelName]tables.WeightsVersion{"m": "w2"}})
 	}
-	r.Observe(5*ms, router.AttemptEnded{Attempt: d.Attempt, End: router.Broken, Tokens: 3, Delivered: 3})
+	r.Observe(5*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Interrupted, GeneratedTokens: 3, DeliveredTokens: 3})
 	actions := until(r, 6*ms, 10*time.Second)
 	assert.Equal(t, count[router.Dispatch](actions), 0)
 	f := only[router.Fail](t, actions)
@@ -63,7 +63,7 @@
 	aborted := until(r, 20*ms, 15*time.Second)
 	abort := only[router.Abort](t, aborted)
 	assert.Equal(t, abort.Attempt, first.Attempt)
-	r.Observe(15*time.Second, router.AttemptEnded{Attempt: first.Attempt, End: router.Cancelled})
+	r.Observe(15*time.Second, router.AttemptEnded{Attempt: first.Attempt, Result: router.Cancelled})
 	again := only[router.Dispatch](t, until(r, 15*time.Second, 16*time.Second))
 	assert.Assert(t, again.Endpoint.ID != first.Endpoint.ID)
 }
@@ -74,7 +74,7 @@
 	r := newRouter(1)
 	d := dispatched(t, r, ms, request("r0", "draft", ms))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: d.Attempt, Boot: "b1"})
-	r.Observe(3*ms, router.AttemptEnded{Attempt: d.Attempt, End: router.Crashed})
+	r.Observe(3*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Crashed})
 	for i := range 10 {
 		r.Submit(4*ms, request(fmt.Sprint("r", i+1), "draft", 4*ms))
 	}
@@ -96,7 +96,7 @@
 			for _, action := range r.Tick(now) {
 				if d, ok := action.(router.Dispatch); ok {
 					dispatches++
-					r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, End: router.Broken})
+					r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.Interrupted})
 				}
 			}
 		}
@@ -142,7 +142,7 @@
 		}
 		if i%20 == 0 && len(running) > 0 {
 			r.Observe(now, router.FirstToken{Attempt: running[0]})
-			r.Observe(now, router.AttemptEnded{Attempt: running[0], End: router.Completed})
+			r.Observe(now, router.AttemptEnded{Attempt: running[0], Result: router.Completed})
 			running = running[1:]
 		}
 	}
@@ -165,7 +165,7 @@
 	actions := until(r, 2*ms, 500*ms)
 	assert.Equal(t, count[router.Dispatch](actions), 2)
 	d := actions[0].(router.Dispatch)
-	r.Observe(510*ms, router.AttemptEnded{Attempt: d.Attempt, End: router.Completed})
+	r.Observe(510*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed})
 	assert.Equal(t, count[router.Dispatch](until(r, 520*ms, 700*ms)), 1)
 }
 
@@ -214,6 +214,6 @@
 		req.Blocks, req.PromptTokens = []tables.BlockHash{11, 12}, 8500
 		dispatched(t, r, ms, req)
 	}
-	assert.Equal(t, len(r.News(nil, 10)), 2)
-	assert.Equal(t, len(r.News(nil, 10)), 0)
+	assert.Equal(t, len(r.DrainPlacements(nil, 10)), 2)
+	assert.Equal(t, len(r.DrainPlacements(nil, 10)), 0)
 }
--- a/router/news.go
+++ b/router/gossip.go
@@ -44,10 +44,10 @@
 	n.rows = append(n.rows[:0], n.rows[count:]...)
 }
 
-// News moves at most limit placements that other instances should hear of to
+// DrainPlacements moves at most limit placements that other instances should hear of to
 // dst, oldest first. The shell sends them to its peers, as often and as many as
 // its budget of bytes allows; what is lost costs some reuse and nothing else.
-func (r *Router) News(dst []PeerPlacement, limit int) []PeerPlacement {
+func (r *Router) DrainPlacements(dst []PeerPlacement, limit int) []PeerPlacement {
 	limit = min(limit, len(r.news.rows))
 	dst = append(dst, r.news.rows[:limit]...)
 	r.news.drop(limit)
--- a/router/contract.go
+++ b/router/messages.go
@@ -22,9 +22,9 @@
 	Weights  map[tables.ModelName]tables.WeightsVersion
 	Running  int
 	Queued   int
-	// QueuedTokens is prefill work waiting at the endpoint.
-	QueuedTokens int
-	CacheBlocks  int
+	// QueuedPrefillTokens is prefill work waiting at the endpoint.
+	QueuedPrefillTokens int
+	CacheBlocks         int
 	// Attempts lists running and queued attempts if the endpoint tells, so
 	// that own dispatches can be told from others'.
 	Attempts []tables.AttemptID
@@ -62,19 +62,19 @@
 	CachedTokens int
 }
 
-// AttemptEnd says how an attempt ended.
-type AttemptEnd uint8
+// AttemptResult says how an attempt ended.
+type AttemptResult uint8
 
 // The ends of an attempt.
 const (
 	// Completed: the whole answer arrived.
-	Completed AttemptEnd = iota
-	// NeverStarted: provably nothing ran.
-	NeverStarted
-	// Refused: the endpoint said no before running (full, wrong version).
-	Refused
-	// Broken: the connection or the endpoint failed after dispatch.
-	Broken
+	Completed AttemptResult = iota
+	// NotStarted: provably nothing ran.
+	NotStarted
+	// Rejected: the endpoint said no before running (full, wrong version).
+	Rejected
+	// Interrupted: the connection or the endpoint failed after dispatch.
+	Interrupted
 	// Crashed: Broken, and the endpoint's boot identity changed or its port
 	// refuses connections.
 	Crashed
@@ -88,51 +88,51 @@
 // AttemptEnded ends an attempt. Delivered is the number of tokens that have
 // reached the caller so far.
 type AttemptEnded struct {
-	Attempt   tables.AttemptID
-	End       AttemptEnd
-	Tokens    int
-	Delivered int
+	Attempt         tables.AttemptID
+	Result          AttemptResult
+	GeneratedTokens int
+	DeliveredTokens int
 }
 
-// AttemptCrashed says that the endpoint of an attempt that has ended with Broken turned out
+// CrashDetected says that the endpoint of an attempt that has ended with Broken turned out
 // to have crashed.
-type AttemptCrashed struct {
+type CrashDetected struct {
 	Attempt tables.AttemptID
 }
 
-// EndpointGone says that an endpoint leaves according to a source other than
+// EndpointWithdrawn says that an endpoint leaves according to a source other than
 // the configuration (the platform's list), for the given life and before.
-type EndpointGone struct {
+type EndpointWithdrawn struct {
 	Endpoint tables.EndpointID
 	Life     uint64
 }
 
-// PeersSeen says how many entry instances share the load, for limits that hold
+// EntryPeers says how many entry instances share the load, for limits that hold
 // over all of them.
-type PeersSeen struct {
+type EntryPeers struct {
 	// Share is this instance's part of the traffic, above 0 and at most 1.
 	Share float64
-	// Rank is this instance's place among the Of live entry instances, in an
-	// order that all of them agree on, from 0. Of 0 means not known.
-	Rank, Of int
+	// Rank is this instance's place among the Count live entry instances, in an
+	// order that all of them agree on, from 0. Count 0 means not known.
+	Rank, Count int
 }
 
-// SuspectSeen is what another instance found out about a crash, or about a
+// PeerSuspect is what another instance found out about a crash, or about a
 // request that crashes endpoints.
-type SuspectSeen struct {
+type PeerSuspect struct {
 	Suspect quarantine.Suspect
 }
 
-func (LoadReport) input()     {}
-func (CacheEvent) input()     {}
-func (PeerPlacement) input()  {}
-func (AttemptStarted) input() {}
-func (FirstToken) input()     {}
-func (AttemptEnded) input()   {}
-func (AttemptCrashed) input() {}
-func (EndpointGone) input()   {}
-func (PeersSeen) input()      {}
-func (SuspectSeen) input()    {}
+func (LoadReport) input()        {}
+func (CacheEvent) input()        {}
+func (PeerPlacement) input()     {}
+func (AttemptStarted) input()    {}
+func (FirstToken) input()        {}
+func (AttemptEnded) input()      {}
+func (CrashDetected) input()     {}
+func (EndpointWithdrawn) input() {}
+func (EntryPeers) input()        {}
+func (PeerSuspect) input()       {}
 
 // Action is something the shell must do now.
 type Action interface{ action() }
@@ -174,14 +174,14 @@
 	Endpoint tables.Endpoint
 }
 
-// Suspected asks the shell to tell the other instances about a crash. Losing
+// BroadcastSuspects asks the shell to tell the other instances about a crash. Losing
 // the message costs no more than a further endpoint.
-type Suspected struct {
+type BroadcastSuspects struct {
 	Suspects []quarantine.Suspect
 }
 
-func (Dispatch) action()  {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Abort) action()     {}
-func (Suspected) action() {}
+func (Dispatch) action()          {}
+func (Refuse) action()            {}
+func (Fail) action()              {}
+func (Abort) action()             {}
+func (BroadcastSuspects) action() {}
--- a/router/observe.go
+++ b/router/observe.go
@@ -24,17 +24,17 @@
 		r.firstToken(now, in)
 	case AttemptEnded:
 		r.attemptEnded(now, in)
-	case AttemptCrashed:
+	case CrashDetected:
 		r.attemptCrashed(now, in)
-	case EndpointGone:
+	case EndpointWithdrawn:
 		r.endpointGone(in)
-	case PeersSeen:
+	case EntryPeers:
 		if in.Share > 0 && in.Share <= 1 {
 			r.share = in.Share
 			r.view.SetShare(in.Share)
 		}
-		r.suspects.SetRank(in.Rank, in.Of)
-	case SuspectSeen:
+		r.suspects.SetRank(in.Rank, in.Count)
+	case PeerSuspect:
 		r.suspects.Merge(now, in.Suspect)
 	}
 }
@@ -62,11 +62,11 @@
 	if len(in.Attempts) == 0 {
 		own = min(total, row.Load.LocalAttempts)
 	}
-	if total < row.Load.ReportedAttempts || in.QueuedTokens < row.Load.ReportedPrefillTokens {
+	if total < row.Load.ReportedAttempts || in.QueuedPrefillTokens < row.Load.ReportedPrefillTokens {
 		row.LastProgress = now
 	}
-	row.Load.ReportedAttempts, row.Load.ReportedPrefillTokens = total, in.QueuedTokens
-	r.learnBusy(now, row, in.QueuedTokens > 0)
+	row.Load.ReportedAttempts, row.Load.ReportedPrefillTokens = total, in.QueuedPrefillTokens
+	r.learnBusy(now, row, in.QueuedPrefillTokens > 0)
 	row.Load.HasReport = true
 	row.Load.ReportedAt = now
 	others := max(0, total-own)
@@ -86,7 +86,7 @@
 	if total == 0 {
 		return 0
 	}
-	return in.QueuedTokens * (total - own) / total
+	return in.QueuedPrefillTokens * (total - own) / total
 }
 
 // seeWeights takes over what an endpoint says it serves. When a version has
@@ -171,7 +171,7 @@
 	load.LocalPrefillTokens[a.Priority] -= a.UncachedTokens
 }
 
-func (r *Router) endpointGone(in EndpointGone) {
+func (r *Router) endpointGone(in EndpointWithdrawn) {
 	row := r.find(in.Endpoint)
 	if row == nil {
 		return
--- a/router/place.go
+++ b/router/placement.go
@@ -204,20 +204,20 @@
 	uncached := int(choice.UncachedTokens(q))
 	load := &endpoint.Load
 	attempt := &tables.AttemptRow{
-		ID:             r.newAttemptID(),
-		Request:        row,
-		Endpoint:       choice.Endpoint,
-		Priority:       priority(q),
-		Boot:           endpoint.Boot,
-		Weights:        q.Weights,
-		DispatchedAt:     q.Now,
-		UncachedTokens: uncached,
-		KnownTokens:    int(choice.KnownTokens),
-		HomeTokens:     int(choice.HomeTokens),
-		PrefillTokensAhead:      load.PrefillBacklog(),
+		ID:                 r.newAttemptID(),
+		Request:            row,
+		Endpoint:           choice.Endpoint,
+		Priority:           priority(q),
+		Boot:               endpoint.Boot,
+		Weights:            q.Weights,
+		DispatchedAt:       q.Now,
+		UncachedTokens:     uncached,
+		KnownTokens:        int(choice.KnownTokens),
+		HomeTokens:         int(choice.HomeTokens),
+		PrefillTokensAhead: load.PrefillBacklog(),
 
 		ExpectedTTFT: expectedFirstToken(q, &choice.Candidate),
-		Hedge:              q.Hedge,
+		Hedge:        q.Hedge,
 	}
 	r.attempts[attempt.ID] = attempt
 	row.Attempts = append(row.Attempts, attempt)
--- a/router/levels_test.go
+++ b/router/prefixdepth_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	d := dispatched(t, r, now, req)
 	r.Observe(now, router.FirstToken{Attempt: d.Attempt})
-	r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, End: router.Completed})
+	r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed})
 	r.Tick(now)
 	return d
 }
@@ -41,7 +41,7 @@
 	t.Helper()
 	r := router.New(router.Options{Instance: name, Zone: "z1", Seed: uint64(from)})
 	r.Configure(0, fixture(9))
-	r.Observe(0, router.PeersSeen{Share: 0.5})
+	r.Observe(0, router.EntryPeers{Share: 0.5})
 	for n := range 100 {
 		now := time.Duration(n) * 600 * ms
 		served(t, r, now, topical("w", from+n%5, n, now))
--- a/router/property_test.go
+++ b/router/property_test.go
@@ -58,7 +58,7 @@
 		dead: make(map[tables.BootID]bool), requests: make(map[tables.RequestID]*seen),
 		attempts: make(map[tables.AttemptID]*flown),
 	}
-	options := router.Options{Instance: "i1", Zone: "z1", Seed: 3, CacheRows: 256}
+	options := router.Options{Instance: "i1", Zone: "z1", Seed: 3, CacheIndexEntries: 256}
 	w.r, w.twin = router.New(options), router.New(options)
 	w.configure()
 	return w
@@ -103,7 +103,7 @@
 func (w *world) goes() {
 	e := w.endpoint()
 	w.gone[e.ID] = max(w.gone[e.ID], e.Life)
-	w.observe(router.EndpointGone{Endpoint: e.ID, Life: e.Life})
+	w.observe(router.EndpointWithdrawn{Endpoint: e.ID, Life: e.Life})
 }
 
 func (w *world) boot(e *tables.Endpoint) tables.BootID {
@@ -164,19 +164,19 @@
 		a.sent++
 		return
 	}
-	w.end(i, rapid.SampledFrom([]router.AttemptEnd{
-		router.Completed, router.NeverStarted, router.Refused, router.Unreachable, router.Broken, router.Crashed,
+	w.end(i, rapid.SampledFrom([]router.AttemptResult{
+		router.Completed, router.NotStarted, router.Rejected, router.Unreachable, router.Interrupted, router.Crashed,
 	}).Draw(w.t, "end"))
 }
 
-func (w *world) end(i int, end router.AttemptEnd) {
+func (w *world) end(i int, end router.AttemptResult) {
 	id := w.live[i]
 	w.live = append(w.live[:i], w.live[i+1:]...)
 	a := w.attempts[id]
 	s := w.requests[a.request]
 	s.live--
 	if a.sent > 0 && provesNotRun(end) {
-		end = router.Broken
+		end = router.Interrupted
 	}
 	s.mayHaveRun = s.mayHaveRun || !provesNotRun(end)
 	if end == router.Completed && s.final == "" {
@@ -188,11 +188,11 @@
 		delete(w.serves, a.endpoint)
 		delete(w.reported, a.endpoint)
 	}
-	w.observe(router.AttemptEnded{Attempt: id, End: end, Tokens: a.sent, Delivered: a.sent})
+	w.observe(router.AttemptEnded{Attempt: id, Result: end, GeneratedTokens: a.sent, DeliveredTokens: a.sent})
 }
 
-func provesNotRun(end router.AttemptEnd) bool {
-	return end == router.NeverStarted || end == router.Refused || end == router.Unreachable
+func provesNotRun(end router.AttemptResult) bool {
+	return end == router.NotStarted || end == router.Rejected || end == router.Unreachable
 }
 
 func (w *world) tick() {
@@ -281,7 +281,7 @@
 	for range 80 {
 		w.tick()
 		for len(w.live) > 0 {
-			w.end(0, router.Broken)
+			w.end(0, router.Interrupted)
 		}
 		w.now += 500 * ms
 	}
--- a/router/suspects.go
+++ b/router/quarantine.go
@@ -32,13 +32,13 @@
 
 // suspectEnd tells the quarantine how an attempt ended.
 func (r *Router) suspectEnd(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
-	switch in.End {
+	switch in.Result {
 	case Completed:
 		r.suspects.Completed(a.ID)
-	case Broken:
-		r.suspects.Broken(now, a.ID, in.Tokens, in.Delivered)
+	case Interrupted:
+		r.suspects.Broken(now, a.ID, in.GeneratedTokens, in.DeliveredTokens)
 	case Crashed:
-		r.suspects.Broken(now, a.ID, in.Tokens, in.Delivered)
+		r.suspects.Broken(now, a.ID, in.GeneratedTokens, in.DeliveredTokens)
 		r.suspectCrash(now, quarantine.Life{Endpoint: r.endpoints.Row(a.Endpoint).Endpoint.ID, Boot: a.Boot})
 	default:
 		r.suspects.Ended(a.ID)
@@ -46,7 +46,7 @@
 }
 
 // attemptCrashed takes in a crash that showed only after its attempt had ended.
-func (r *Router) attemptCrashed(now tables.Instant, in AttemptCrashed) {
+func (r *Router) attemptCrashed(now tables.Instant, in CrashDetected) {
 	life, known := r.suspects.LifeOf(in.Attempt)
 	if !known {
 		return
@@ -61,7 +61,7 @@
 // asks the shell to tell the other instances.
 func (r *Router) suspectCrash(now tables.Instant, life quarantine.Life) {
 	if told := r.suspects.Crashed(now, life); len(told) > 0 {
-		r.actions = append(r.actions, Suspected{Suspects: told})
+		r.actions = append(r.actions, BroadcastSuspects{Suspects: told})
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -21,11 +21,11 @@
 	// attempt identities are made from it. The same seed and the same calls
 	// give the same actions.
 	Seed uint64
-	// CacheRows is how many (block, endpoint) pairs are remembered, at 8 bytes
+	// CacheIndexEntries is how many (block, endpoint) pairs are remembered, at 8 bytes
 	// each; 0 means 1 Mi.
-	CacheRows int
-	// Explanations is how many decisions Explain remembers; 0 means 256.
-	Explanations int
+	CacheIndexEntries int
+	// ExplanationLimit is how many decisions Explain remembers; 0 means 256.
+	ExplanationLimit int
 }
 
 const (
@@ -92,8 +92,8 @@
 // New returns a router without a configuration, which refuses all requests
 // until it has one.
 func New(options Options) *Router {
-	if options.Explanations <= 0 {
-		options.Explanations = defaultExplanations
+	if options.ExplanationLimit <= 0 {
+		options.ExplanationLimit = defaultExplanations
 	}
 	suspects := quarantine.New(quarantine.Options{})
 	r := &Router{
@@ -106,11 +106,11 @@
 		requests:     make(map[tables.RequestID]*tables.RequestRow),
 		attempts:     make(map[tables.AttemptID]*tables.AttemptRow),
 		picker:       standardPicker(suspects),
-		view:         cacheview.New(cacheview.Options{Rows: options.CacheRows}),
+		view:         cacheview.New(cacheview.Options{Rows: options.CacheIndexEntries}),
 		homeTrust:    initialHomeTrust,
 		levels:       make(map[tables.ProfileName]*levels),
 		meanUncached: prefix.BlockTokens,
-		explained:    newRing(options.Explanations),
+		explained:    newRing(options.ExplanationLimit),
 		share:        1,
 	}
 	for i := range r.classes {
@@ -153,13 +153,13 @@
 		return
 	}
 	row := &tables.RequestRow{
-		Request:      request,
-		Profile:      profile,
-		Priority:     profile.Priority,
-		Organisation: r.flow(request.Organisation),
-		SubmittedAt:    now,
-		DeliveredTokens:    request.DeliveredTokens,
-		Weights:      request.Weights,
+		Request:         request,
+		Profile:         profile,
+		Priority:        profile.Priority,
+		Organisation:    r.flow(request.Organisation),
+		SubmittedAt:     now,
+		DeliveredTokens: request.DeliveredTokens,
+		Weights:         request.Weights,
 	}
 	if refusal, ok := r.admit(now, row); !ok {
 		r.refuse(request, refusal)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -76,7 +76,7 @@
 	assert.Equal(t, d.Weights, tables.WeightsVersion("w1"))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: d.Attempt, Boot: "b", Weights: "w1"})
 	r.Observe(3*ms, router.FirstToken{Attempt: d.Attempt})
-	r.Observe(4*ms, router.AttemptEnded{Attempt: d.Attempt, End: router.Completed, Tokens: 5, Delivered: 5})
+	r.Observe(4*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed, GeneratedTokens: 5, DeliveredTokens: 5})
 	assert.Equal(t, len(r.Tick(5*ms)), 0)
 	explained, ok := r.Explain("r1")
 	assert.Assert(t, ok)
@@ -88,7 +88,7 @@
 func TestBrokenAttemptOfIdempotentWorkIsRetriedElsewhere(t *testing.T) {
 	r := newRouter(2)
 	first := dispatched(t, r, ms, request("r1", "draft", ms))
-	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, End: router.Broken})
+	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, Result: router.Interrupted})
 	second := only[router.Dispatch](t, r.Tick(100*ms))
 	assert.Assert(t, second.Endpoint.ID != first.Endpoint.ID)
 	assert.Assert(t, second.Attempt != first.Attempt)
@@ -100,7 +100,7 @@
 func TestWorkThatMustRunOnceIsNotRetriedOnceItMayHaveRun(t *testing.T) {
 	r := newRouter(1)
 	d := dispatched(t, r, ms, request("r1", "publish", ms))
-	r.Observe(2*ms, router.AttemptEnded{Attempt: d.Attempt, End: router.Broken})
+	r.Observe(2*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Interrupted})
 	f := only[router.Fail](t, r.Tick(100*ms))
 	assert.Equal(t, f.Outcome, tables.OutcomeUnknown)
 	assert.Equal(t, f.Code, tables.CodeOutcomeUnknown)
@@ -111,7 +111,7 @@
 func TestWorkThatMustRunOnceIsRetriedWhenNothingRan(t *testing.T) {
 	r := newRouter(1)
 	first := dispatched(t, r, ms, request("r1", "publish", ms))
-	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, End: router.Refused})
+	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, Result: router.Rejected})
 	second := only[router.Dispatch](t, r.Tick(100*ms))
 	assert.Assert(t, second.Endpoint.ID != first.Endpoint.ID)
 }
@@ -123,10 +123,10 @@
 	first := dispatched(t, r, ms, request("r1", "draft", ms))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: first.Attempt, Boot: "b", Weights: "w1"})
 	r.Observe(3*ms, router.FirstToken{Attempt: first.Attempt})
-	r.Observe(4*ms, router.AttemptEnded{Attempt: first.Attempt, End: router.Crashed, Tokens: 7, Delivered: 7})
+	r.Observe(4*ms, router.AttemptEnded{Attempt: first.Attempt, Result: router.Crashed, GeneratedTokens: 7, DeliveredTokens: 7})
 	actions := r.Tick(100 * ms)
 	assert.Equal(t, len(actions), 2, "%v", actions)
-	_, told := actions[0].(router.Suspected)
+	_, told := actions[0].(router.BroadcastSuspects)
 	assert.Assert(t, told, "%#v", actions[0])
 	second := only[router.Dispatch](t, actions[1:])
 	assert.Equal(t, second.ResumeFrom, 7)
@@ -139,7 +139,7 @@
 	r.Cancel(2*ms, "r1")
 	a := only[router.Abort](t, r.Tick(2*ms))
 	assert.Equal(t, a.Attempt, d.Attempt)
-	r.Observe(3*ms, router.AttemptEnded{Attempt: d.Attempt, End: router.Cancelled})
+	r.Observe(3*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Cancelled})
 	assert.Equal(t, len(r.Tick(4*ms)), 0)
 }
 
@@ -147,7 +147,7 @@
 // its deadline and then be told, truly, that it did not run.
 func TestLeavingEndpointGetsNothing(t *testing.T) {
 	r := newRouter(1)
-	r.Observe(0, router.EndpointGone{Endpoint: "e0", Life: 1})
+	r.Observe(0, router.EndpointWithdrawn{Endpoint: "e0", Life: 1})
 	r.Submit(ms, request("r1", "draft", ms))
 	for now := 2 * ms; now < time.Minute; now += 500 * ms {
 		for _, action := range r.Tick(now) {
--- a/router/watch.go
+++ b/router/timers.go
@@ -131,6 +131,6 @@
 	}
 	slices.Sort(lost)
 	for _, id := range lost {
-		r.attemptEnded(now, AttemptEnded{Attempt: id, End: Cancelled})
+		r.attemptEnded(now, AttemptEnded{Attempt: id, Result: Cancelled})
 	}
 }
--- a/router/unreachable_test.go
+++ b/router/unreachable_test.go
@@ -17,7 +17,7 @@
 	r.Submit(now, request("r1", "draft", now))
 	reached := only[router.Dispatch](t, r.Tick(now))
 	for range 7 {
-		r.Observe(now, router.AttemptEnded{Attempt: reached.Attempt, End: router.Unreachable})
+		r.Observe(now, router.AttemptEnded{Attempt: reached.Attempt, Result: router.Unreachable})
 		now += 20 * ms
 		reached = only[router.Dispatch](t, r.Tick(now))
 	}
@@ -30,7 +30,7 @@
 func TestUnreachableServicesProveNotRun(t *testing.T) {
 	r := newRouter(1)
 	first := dispatched(t, r, ms, request("r1", "publish", ms))
-	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, End: router.Unreachable})
+	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, Result: router.Unreachable})
 	second := only[router.Dispatch](t, r.Tick(100*ms))
 	assert.Assert(t, second.Endpoint.ID != first.Endpoint.ID)
 }
--- a/systems/admission/admission_test.go
+++ b/systems/admission/admission_test.go
@@ -45,8 +45,8 @@
 
 func TestStartByKeepsTheDeadline(t *testing.T) {
 	row := &tables.RequestRow{
-		Request:   &tables.Request{Deadline: 10 * time.Second},
-		Profile:   &tables.Profile{MaxWait: time.Hour},
+		Request:     &tables.Request{Deadline: 10 * time.Second},
+		Profile:     &tables.Profile{MaxWait: time.Hour},
 		SubmittedAt: time.Second,
 	}
 	assert.Equal(t, admission.StartBy(row, 3*time.Second), 7*time.Second)
--- a/tables/claimerrors.go
+++ b/tables/claimerrors.go
@@ -19,7 +19,7 @@
 type NoQuorumError struct {
 	// Operation names what was to be done.
 	Operation string
-	Cause error
+	Cause     error
 }
 
 // Error says what was asked.
@@ -35,7 +35,7 @@
 type ClaimLostError struct {
 	Organisation OrganisationID
 	Key          IdempotencyKey
-	FencingToken        FencingToken
+	FencingToken FencingToken
 }
 
 // Error says which claim was lost.
--- a/tables/claims.go
+++ b/tables/claims.go
@@ -41,9 +41,9 @@
 
 // StoredResponse is the stored answer to work that ran once.
 type StoredResponse struct {
-	Status int
-	ContentType   string
-	Body   []byte
+	Status      int
+	ContentType string
+	Body        []byte
 	// Tokens counts the tokens of a completion; zero for plain services.
 	Tokens int
 }
--- a/tables/endpoints.go
+++ b/tables/endpoints.go
@@ -20,7 +20,7 @@
 	Remote RemoteLoad
 	// ReportedAttempts and ReportedTokens are the attempts and the prefill work of
 	// the last report.
-	ReportedAttempts  int
+	ReportedAttempts      int
 	ReportedPrefillTokens int
 	// BusyFraction is the part of recent load reports in which there was prefill work,
 	// 0 to 1.
@@ -92,8 +92,8 @@
 	EjectedUntil Instant
 	// ConsecutiveFailures counts failures in a row; Ejections counts ejections without
 	// full recovery between them and lengthens the next one.
-	ConsecutiveFailures  int
-	Ejections int
+	ConsecutiveFailures int
+	Ejections           int
 	// ProbationSuccesses counts successes on probation.
 	ProbationSuccesses int
 }
@@ -120,8 +120,8 @@
 	Load         Load
 	// LastProgress is when the endpoint last showed that it gets work done.
 	LastProgress Instant
-	Throughput    Throughput
-	Health   Health
+	Throughput   Throughput
+	Health       Health
 	// CacheBlocks is the capacity of its cache in pieces, 0 if not known.
 	CacheBlocks int
 }
--- a/tables/requests.go
+++ b/tables/requests.go
@@ -38,12 +38,12 @@
 	// DeliveredTokens and Weights describe a stream that is being resumed: tokens
 	// that the caller has, and the weights that made them.
 	DeliveredTokens int
-	Weights   WeightsVersion
+	Weights         WeightsVersion
 	// Queued is set while the request stands in a queue, in the given group,
 	// and must start by StartBy.
-	Queued bool
-	QueueGroup   BlockHash
-	StartBy Instant
+	Queued     bool
+	QueueGroup BlockHash
+	StartBy    Instant
 	// HoldsConcurrencySlot is set while the request counts against its organisation's
 	// concurrency limit.
 	HoldsConcurrencySlot bool
@@ -89,7 +89,7 @@
 	PrefillTokensAhead int
 	// ExpectedTTFT is the time from dispatch that placement expected.
 	ExpectedTTFT Instant
-	Hedge              bool
+	Hedge        bool
 	// Aborted is set once this process has cancelled the attempt.
 	Aborted   bool
 	AbortedAt Instant
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -207,5 +207,5 @@
 	// DeliveredTokens counts tokens already passed to the caller. It is above zero
 	// only while a stream is being resumed, and then Weights must match.
 	DeliveredTokens int
-	Weights   WeightsVersion
+	Weights         WeightsVersion
 }
