--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -75,10 +75,10 @@
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"a", "b"})
-	how := map[tables.AttemptID]router.AttemptEnd{}
+	how := map[tables.AttemptID]router.AttemptResult{}
 	for range 2 {
 		end := <-p.ends
-		how[end.Attempt] = end.End
+		how[end.Attempt] = end.Result
 		if end.Attempt == "slow" {
 			cancelled := []tables.AttemptID{<-r.client.cancelled, ""}
 			if cancelled[0] != "slow" {
@@ -196,13 +196,13 @@
 		return nil, &engine.NotStarted{Attempt: req.Attempt, Declined: true}
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
-	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.NotRun))
+	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeNotRun))
 
 	r.client.generate = []script{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return nil, &engine.Interrupted{Attempt: req.Attempt, Cause: context.DeadlineExceeded}
 	}}
 	got = read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
-	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.Unknown))
+	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeUnknown))
 }
 
 // again is a Decider without judgement: it retries at once, up to most attempts.
@@ -232,12 +232,12 @@
 
 func (d *again) Observe(_ tables.Instant, in router.Input) {
 	ended, ok := in.(router.AttemptEnded)
-	if !ok || ended.End == router.Completed || ended.End == router.Cancelled {
+	if !ok || ended.Result == router.Completed || ended.Result == router.Cancelled {
 		return
 	}
 	id := d.of[ended.Attempt]
 	if d.tries[id] < d.most {
-		d.dispatch(id, ended.Delivered)
+		d.dispatch(id, ended.DeliveredTokens)
 		return
 	}
 	d.waiting = append(d.waiting, router.Fail{Request: id, Code: tables.CodeStreamBroken})
--- a/measure/baseline.go
+++ b/measure/baseline.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if len(usable) == 0 {
-		b.actions = append(b.actions, router.Fail{Request: r.ID, Code: tables.CodeNoEndpoint, Outcome: tables.Unknown})
+		b.actions = append(b.actions, router.Fail{Request: r.ID, Code: tables.CodeNoEndpoint, Outcome: tables.OutcomeUnknown})
 		return
 	}
 	at := b.chooser.choose(b, r, usable)
@@ -96,15 +96,15 @@
 	}
 	delete(b.flying, ended.Attempt)
 	b.own[f.endpoint]--
-	if ended.End == router.Completed || ended.End == router.Cancelled {
+	if ended.Result == router.Completed || ended.Result == router.Cancelled {
 		return
 	}
 	b.down[f.endpoint] = now + baselineDown
 	if f.tries >= baselineTries {
-		b.actions = append(b.actions, router.Fail{Request: f.request.ID, Code: tables.CodeEndpointFailed, Outcome: tables.Unknown})
+		b.actions = append(b.actions, router.Fail{Request: f.request.ID, Code: tables.CodeEndpointFailed, Outcome: tables.OutcomeUnknown})
 		return
 	}
-	b.send(now, f.request, f.tries+1, ended.Delivered)
+	b.send(now, f.request, f.tries+1, ended.DeliveredTokens)
 }
 
 // Tick returns the actions since the last call.
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -21,11 +21,11 @@
 	slow   float64
 	hangs  bool
 	cache  *cache
-	queue  [tables.Priorities][]*job
+	queue  [tables.PriorityCount][]*job
 	active map[tables.AttemptID]*job
 	// prefilling is the job whose chunk is being computed.
 	prefilling *job
-	ready      [tables.Priorities][]*job
+	ready      [tables.PriorityCount][]*job
 	sequence   uint64
 	// computed is the prompt tokens that were prefilled, recomputed those that
 	// some engine of the site had prefilled before.
@@ -117,7 +117,7 @@
 	e.compute()
 }
 
-func pop(queues *[tables.Priorities][]*job) *job {
+func pop(queues *[tables.PriorityCount][]*job) *job {
 	for p := range queues {
 		for len(queues[p]) > 0 {
 			j := queues[p][0]
@@ -140,7 +140,7 @@
 		return
 	}
 	e.skipCached(j)
-	chunk := min(prefix.PieceTokens, j.request.PromptTokens-j.done)
+	chunk := min(prefix.BlockTokens, j.request.PromptTokens-j.done)
 	e.prefilling = j
 	took := e.seconds(float64(chunk) / e.spec.PrefillRate)
 	if e.time.counted(e.time.now) {
@@ -155,11 +155,11 @@
 
 func (e *engine) skipCached(j *job) {
 	blocks := j.request.Blocks
-	for i := j.done / prefix.PieceTokens; i < len(blocks) && e.cache.has(blocks[i]); i++ {
-		j.done += prefix.PieceTokens
-		j.cached += prefix.PieceTokens
+	for i := j.done / prefix.BlockTokens; i < len(blocks) && e.cache.has(blocks[i]); i++ {
+		j.done += prefix.BlockTokens
+		j.cached += prefix.BlockTokens
 	}
-	e.cache.touch(blocks[:min(len(blocks), j.done/prefix.PieceTokens)])
+	e.cache.touch(blocks[:min(len(blocks), j.done/prefix.BlockTokens)])
 }
 
 func (e *engine) chunkDone(j *job, chunk int) {
@@ -179,7 +179,7 @@
 	if e.time.now >= warmUp {
 		e.computed += chunk
 	}
-	level := j.done / prefix.PieceTokens
+	level := j.done / prefix.BlockTokens
 	if level < len(j.request.Blocks) {
 		hash := j.request.Blocks[level]
 		if e.known[hash] && e.time.now >= warmUp {
@@ -213,7 +213,7 @@
 	})
 }
 
-func (e *engine) end(j *job, end router.AttemptEnd) {
+func (e *engine) end(j *job, end router.AttemptResult) {
 	j.gone = true
 	if j.admitted && e.time.counted(j.admittedAt) {
 		e.slotTime += min(e.time.now, e.time.horizon) - j.admittedAt
@@ -238,7 +238,7 @@
 	for _, j := range e.sorted() {
 		e.end(j, router.Crashed)
 	}
-	e.queue, e.ready = [tables.Priorities][]*job{}, [tables.Priorities][]*job{}
+	e.queue, e.ready = [tables.PriorityCount][]*job{}, [tables.PriorityCount][]*job{}
 	e.time.after(back, func() {
 		e.up = true
 		e.boot++
@@ -261,7 +261,7 @@
 
 // uncached is the prefill work of a job that is not done.
 func (e *engine) uncached(j *job) int {
-	held := e.cache.prefix(j.request.Blocks) * prefix.PieceTokens
+	held := e.cache.prefix(j.request.Blocks) * prefix.BlockTokens
 	return max(0, j.request.PromptTokens-max(held, j.done))
 }
 
@@ -278,7 +278,7 @@
 			r.Queued++
 		}
 		if !j.first {
-			r.QueuedTokens += e.uncached(j)
+			r.QueuedPrefillTokens += e.uncached(j)
 		}
 	}
 	return r
--- a/router/router.go
+++ b/router/router.go
@@ -21,11 +21,11 @@
 	// attempt identities are made from it. The same seed and the same calls
 	// give the same actions.
 	Seed uint64
-	// CacheRows is how many (block, endpoint) pairs are remembered, at 8 bytes
+	// CacheIndexEntries is how many (block, endpoint) pairs are remembered, at 8 bytes
 	// each; 0 means 1 Mi.
-	CacheRows int
-	// Explanations is how many decisions Explain remembers; 0 means 256.
-	Explanations int
+	CacheIndexEntries int
+	// ExplanationLimit is how many decisions Explain remembers; 0 means 256.
+	ExplanationLimit int
 }
 
 const (
@@ -54,7 +54,7 @@
 	requests      map[tables.RequestID]*tables.RequestRow
 	attempts      map[tables.AttemptID]*tables.AttemptRow
 	organisations organisations
-	classes       [tables.Priorities]class
+	classes       [tables.PriorityCount]class
 	// fresh holds new requests until the next Tick.
 	fresh    []*tables.RequestRow
 	budget   retry.Budget
@@ -74,7 +74,7 @@
 	heardAt tables.Instant
 	// mix is the part of each priority in recent prefill work, meanUncached
 	// the mean prefill work of an attempt in tokens.
-	mix          [tables.Priorities]float64
+	mix          [tables.PriorityCount]float64
 	meanUncached float64
 	scratch      []placement.Candidate
 	heads        []heading
@@ -92,8 +92,8 @@
 // New returns a router without a configuration, which refuses all requests
 // until it has one.
 func New(options Options) *Router {
-	if options.Explanations <= 0 {
-		options.Explanations = defaultExplanations
+	if options.ExplanationLimit <= 0 {
+		options.ExplanationLimit = defaultExplanations
 	}
 	suspects := quarantine.New(quarantine.Options{})
 	r := &Router{
@@ -106,11 +106,11 @@
 		requests:     make(map[tables.RequestID]*tables.RequestRow),
 		attempts:     make(map[tables.AttemptID]*tables.AttemptRow),
 		picker:       standardPicker(suspects),
-		view:         cacheview.New(cacheview.Options{Rows: options.CacheRows}),
+		view:         cacheview.New(cacheview.Options{Rows: options.CacheIndexEntries}),
 		homeTrust:    initialHomeTrust,
 		levels:       make(map[tables.ProfileName]*levels),
-		meanUncached: prefix.PieceTokens,
-		explained:    newRing(options.Explanations),
+		meanUncached: prefix.BlockTokens,
+		explained:    newRing(options.ExplanationLimit),
 		share:        1,
 	}
 	for i := range r.classes {
@@ -153,13 +153,13 @@
 		return
 	}
 	row := &tables.RequestRow{
-		Request:      request,
-		Profile:      profile,
-		Priority:     profile.Priority,
-		Organisation: r.flow(request.Organisation),
-		Submitted:    now,
-		Delivered:    request.Delivered,
-		Weights:      request.Weights,
+		Request:         request,
+		Profile:         profile,
+		Priority:        profile.Priority,
+		Organisation:    r.flow(request.Organisation),
+		SubmittedAt:     now,
+		DeliveredTokens: request.DeliveredTokens,
+		Weights:         request.Weights,
 	}
 	if refusal, ok := r.admit(now, row); !ok {
 		r.refuse(request, refusal)
@@ -185,10 +185,10 @@
 // organisation's rate.
 func (r *Router) admit(now tables.Instant, row *tables.RequestRow) (tables.Refusal, bool) {
 	if r.convicted(now, row.Request.Fingerprint) {
-		return tables.Refusal{Code: tables.CodeSuspect}, false
+		return tables.Refusal{Code: tables.CodeQuarantined}, false
 	}
 	if wait := r.organisations.rows[row.Organisation].limiter.Admit(now, r.share); wait > 0 {
-		return tables.Refusal{Code: tables.CodeOrganisationRate, RetryAfter: wait}, false
+		return tables.Refusal{Code: tables.CodeOrganisationLimit, RetryAfter: wait}, false
 	}
 	return tables.Refusal{}, true
 }
@@ -198,7 +198,7 @@
 func (r *Router) Cancel(now tables.Instant, id tables.RequestID) {
 	r.withdraw(id)
 	row, ok := r.requests[id]
-	if !ok || row.State == tables.Final {
+	if !ok || row.State == tables.Finished {
 		return
 	}
 	r.abortAll(now, row)
