--- a/control/orders/controller.go
+++ b/control/orders/controller.go
@@ -17,60 +17,72 @@
 )
 
 const (
-	// LeaseName is the lease under which orders are given.
+	// LeaseName is the name of the lease for orders to engines.
 	LeaseName = "orders"
-	// LeaseDuration is how long a holder may go on without the quorum.
+	// LeaseDuration is how long a holder may continue without reaching the
+	// quorum.
 	LeaseDuration = 10 * time.Second
-	// renewAt is the rest of the lease at which it is renewed.
-	renewAt = 6 * time.Second
-	// orderTimeout bounds one order and one read. No order is given with less
-	// than this left of the lease, so that its answer comes within it.
+	// renewBelow is the remaining lease time below which the lease is renewed.
+	renewBelow = 6 * time.Second
+	// orderTimeout bounds one order and one read. An order is sent only if the
+	// lease lasts at least this much longer, so that its answer arrives within
+	// the lease.
 	orderTimeout = 2 * time.Second
-	// period is the time between two steps.
-	period = 500 * time.Millisecond
-	// readsPerSecond bounds how often endpoints that have nothing to load are
-	// read, over all of them.
+	// stepInterval is the interval of the control loop.
+	stepInterval = 500 * time.Millisecond
+	// readsPerSecond limits the rate at which endpoints without a counted load
+	// are read, over all endpoints.
 	readsPerSecond = 20
-	// minReadEvery is the least time between two reads of one that is settled.
-	minReadEvery = 5 * time.Second
-	// parallel bounds reads and orders at one time.
-	parallel = 16
+	// minReadInterval is the minimum time between two reads of an endpoint
+	// without a counted load.
+	minReadInterval = 5 * time.Second
+	// maxConcurrentReads bounds the reads that are in flight at the same time.
+	maxConcurrentReads = 16
 )
 
-// EngineClient gives orders to endpoints; *engine.HTTPClient is one.
+// EngineClient sends orders to endpoints and reads their state.
+// *engine.HTTPClient implements it.
 type EngineClient interface {
 	Order(ctx context.Context, at netip.AddrPort, order engine.Order) (engine.OrderState, error)
 	OrderState(ctx context.Context, at netip.AddrPort) (engine.OrderState, error)
 }
 
-// Options sets a Runner up.
+// Options configures a Controller.
 type Options struct {
+	// Executor submits commands to the control group.
 	Executor client.Executor
 	Engines  EngineClient
+	// Instance and Boot identify the process; Boot increases with every start.
 	Instance tables.InstanceID
 	Boot     uint64
-	Now      func() tables.Instant
-	// Configuration returns what is in force, nil for nothing yet.
+	// Now is the monotonic clock of the process.
+	Now func() tables.Instant
+	// Configuration returns the configuration in force, nil if there is none
+	// yet.
 	Configuration func() *tables.Configuration
-	// CountedLoads returns the counted loads as far as this replica knows them.
+	// CountedLoads returns the loads that hold a slot of the weight store, as
+	// far as this replica knows them.
 	CountedLoads func() []*rpc.Load
 	Log          *zap.Logger
 }
 
-// Controller gives orders while it holds the lease.
+// Controller runs the control loop while it holds the lease: it observes the
+// engines, computes a Plan and executes it.
 type Controller struct {
 	options Options
 	lease   *client.Lease
-	// views and read are used by one step at a time.
-	views map[tables.EndpointID]Observation
-	read  map[tables.EndpointID]tables.Instant
-	// askAgain is when the lease is worth asking for again.
-	askAgain tables.Instant
-	// lostSince is when an endpoint first did not answer.
-	lostSince map[tables.EndpointID]tables.Instant
+	// observations and lastRead are accessed by one step at a time.
+	observations map[tables.EndpointID]Observation
+	lastRead     map[tables.EndpointID]tables.Instant
+	// acquireNotBefore is the time before which the lease is not requested,
+	// because another instance holds it.
+	acquireNotBefore tables.Instant
+	// unreachableSince holds, by endpoint, the time of the first failed read
+	// since its last answer.
+	unreachableSince map[tables.EndpointID]tables.Instant
 }
 
-// NewController returns a runner that holds nothing yet.
+// NewController returns a controller that does not hold the lease.
 func NewController(options Options) *Controller {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -85,15 +97,16 @@
 			Duration: LeaseDuration,
 			Now:      options.Now,
 		}),
-		views:     map[tables.EndpointID]Observation{},
-		read:      map[tables.EndpointID]tables.Instant{},
-		lostSince: map[tables.EndpointID]tables.Instant{},
+		observations:     map[tables.EndpointID]Observation{},
+		lastRead:         map[tables.EndpointID]tables.Instant{},
+		unreachableSince: map[tables.EndpointID]tables.Instant{},
 	}
 }
 
-// Run steps until the context ends, and then gives the lease up.
+// Run executes the control loop until the context ends, and then releases the
+// lease.
 func (r *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(period)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -101,8 +114,8 @@
 			r.Step(ctx)
 		case <-ctx.Done():
 			if _, left := r.lease.Held(); left > 0 {
-				last, cancel := context.WithTimeout(context.Background(), orderTimeout)
-				_ = r.lease.Release(last)
+				bounded, cancel := context.WithTimeout(context.Background(), orderTimeout)
+				_ = r.lease.Release(bounded)
 				cancel()
 			}
 			return
@@ -110,67 +123,69 @@
 	}
 }
 
-// Step renews the lease where needed and does what is due. It returns within
-// the lease.
+// Step renews the lease if it is due, and executes one reconciliation step if
+// this instance holds it. It returns within the lease.
 func (r *Controller) Step(ctx context.Context) {
 	c := r.options.Configuration()
-	if c == nil || !r.hold(ctx) {
+	if c == nil || !r.ensureLease(ctx) {
 		return
 	}
 	r.readEndpoints(ctx, c)
-	plan := ComputePlan(c, r.views, r.options.CountedLoads())
+	plan := ComputePlan(c, r.observations, r.options.CountedLoads())
 	for _, endpoint := range plan.Ended {
-		r.end(ctx, endpoint)
+		r.unregisterLoad(ctx, endpoint)
 	}
-	addresses := addressesOf(c)
+	addresses := endpointAddresses(c)
 	var orders sync.WaitGroup
 	for _, load := range append(plan.Resend, plan.Start...) {
-		at := addresses[load.Endpoint]
-		delete(r.read, load.Endpoint)
-		orders.Go(func() { r.load(ctx, at, load) })
+		address := addresses[load.Endpoint]
+		delete(r.lastRead, load.Endpoint)
+		orders.Go(func() { r.orderLoad(ctx, address, load) })
 	}
 	orders.Wait()
 }
 
-// hold renews the lease when a good part of it has passed.
-func (r *Controller) hold(ctx context.Context) bool {
+// ensureLease acquires the lease, or renews it below renewBelow, and returns
+// whether this instance holds it.
+func (r *Controller) ensureLease(ctx context.Context) bool {
 	_, left := r.lease.Held()
-	if left < renewAt && r.options.Now() >= r.askAgain {
+	if left < renewBelow && r.options.Now() >= r.acquireNotBefore {
 		bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 		err := r.lease.Renew(bounded)
 		cancel()
-		// Each question is an entry of the log, so those that do not hold the
-		// lease ask when it can have ended, and not at every step.
+		// Each request is an entry of the consensus log. Instances without the
+		// lease therefore wait until it can have expired before they request it
+		// again.
 		var held *client.LeaseHeld
 		if errors.As(err, &held) {
-			r.askAgain = r.options.Now() + held.RetryAfter
+			r.acquireNotBefore = r.options.Now() + held.RetryAfter
 		}
 		if err != nil && left > 0 {
 			events.OrdersLeaseNotRenewed.Log(r.options.Log, zap.Error(err))
 		}
 		if err == nil && left <= 0 {
 			events.OrdersLeaseHeld.Log(r.options.Log)
-			// What was read under an earlier lease is old.
-			clear(r.views)
-			clear(r.read)
-			clear(r.lostSince)
+			// Observations from an earlier lease are outdated.
+			clear(r.observations)
+			clear(r.lastRead)
+			clear(r.unreachableSince)
 		}
 	}
 	_, left = r.lease.Held()
 	return left > 0
 }
 
-// load has one load counted and then gives the order. An endpoint that does not
-// check fencing numbers takes any order, so the lease must last longer than the
-// order can take; the order is cut off when it ends.
-func (r *Controller) load(ctx context.Context, at netip.AddrPort, load Load) {
+// orderLoad takes a slot for one load and then sends the order. An endpoint
+// that does not check fencing tokens accepts any order, so the lease must
+// outlast the order; the order is cancelled after orderTimeout.
+func (r *Controller) orderLoad(ctx context.Context, address netip.AddrPort, load Load) {
 	fence, left := r.lease.Held()
 	if left < 2*orderTimeout {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	if !r.count(bounded, fence, load) {
+	if !r.registerLoad(bounded, fence, load) {
 		return
 	}
 	held, left := r.lease.Held()
@@ -181,37 +196,38 @@
 	if load.Adapter != "" {
 		order.Kind = engine.OrderLoadAdapter
 	}
-	ordering, stop := context.WithTimeout(ctx, orderTimeout)
+	orderContext, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
-	_, err := r.options.Engines.Order(ordering, at, order)
+	_, err := r.options.Engines.Order(orderContext, address, order)
 	var old *engine.OldFence
 	if errors.As(err, &old) {
 		events.OrderFenced.Log(r.options.Log, zap.String("endpoint", string(load.Endpoint)),
 			zap.Uint64("fence", uint64(fence)), zap.Uint64("seen", uint64(old.Seen)))
 		return
 	}
-	// Any other failure leaves open whether the order was taken. The next read
-	// of the endpoint tells, and the order may be repeated without harm.
+	// After any other error it is unknown whether the order was accepted. The
+	// next read of the endpoint shows it, and repeating the order is harmless.
 	if err != nil {
 		events.OrderFailed.Log(r.options.Log, zap.String("endpoint", string(load.Endpoint)), zap.Error(err))
 	}
 }
 
-// count takes a place at the weight store for the load.
-func (r *Controller) count(ctx context.Context, fence tables.FencingToken, load Load) bool {
+// registerLoad takes a slot of the weight store for the load.
+func (r *Controller) registerLoad(ctx context.Context, fence tables.FencingToken, load Load) bool {
 	result, err := r.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_StartLoad{
 		StartLoad: &rpc.StartLoad{
 			Lease:    LeaseName,
 			Fence:    uint64(fence),
 			Endpoint: string(load.Endpoint),
 			Model:    string(load.Model),
-			Weights:  load.what(),
+			Weights:  load.rowWeights(),
 		},
 	}})
 	return err == nil && result.GetDone() != nil
 }
 
-func (r *Controller) end(ctx context.Context, endpoint tables.EndpointID) {
+// unregisterLoad frees the slot of the endpoint's load.
+func (r *Controller) unregisterLoad(ctx context.Context, endpoint tables.EndpointID) {
 	fence, left := r.lease.Held()
 	if left <= 0 {
 		return
@@ -226,39 +242,39 @@
 	}
 }
 
-// readEndpoints reads back the endpoints that are due: those with a counted
-// load every time, the others now and then.
+// readEndpoints reads the state of the endpoints that are due: those with a
+// counted load in every step, the others at a limited rate.
 func (r *Controller) readEndpoints(ctx context.Context, c *tables.Configuration) {
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var reads sync.WaitGroup
-	slots := make(chan struct{}, parallel)
-	for _, endpoint := range r.due(c) {
+	slots := make(chan struct{}, maxConcurrentReads)
+	for _, endpoint := range r.dueForRead(c) {
 		slots <- struct{}{}
 		reads.Go(func() {
 			defer func() { <-slots }()
 			state, err := r.options.Engines.OrderState(bounded, endpoint.Address)
 			mu.Lock()
 			defer mu.Unlock()
-			r.note(endpoint.ID, state, err)
+			r.recordRead(endpoint.ID, state, err)
 		})
 	}
 	reads.Wait()
 }
 
-// due returns the engines to read now.
-func (r *Controller) due(c *tables.Configuration) []tables.Endpoint {
+// dueForRead returns the engines to read in this step.
+func (r *Controller) dueForRead(c *tables.Configuration) []tables.Endpoint {
 	loading := map[tables.EndpointID]bool{}
 	for _, row := range r.options.CountedLoads() {
 		loading[tables.EndpointID(row.GetEndpoint())] = true
 	}
-	every := max(minReadEvery, time.Duration(len(c.Endpoints))*time.Second/readsPerSecond)
+	interval := max(minReadInterval, time.Duration(len(c.Endpoints))*time.Second/readsPerSecond)
 	now := r.options.Now()
 	var endpoints []tables.Endpoint
 	for _, endpoint := range c.Endpoints {
-		last, known := r.read[endpoint.ID]
-		due := !known || loading[endpoint.ID] || now-last >= every
+		last, known := r.lastRead[endpoint.ID]
+		due := !known || loading[endpoint.ID] || now-last >= interval
 		if endpoint.Kind == tables.Engine && due {
 			endpoints = append(endpoints, endpoint)
 		}
@@ -266,26 +282,26 @@
 	return endpoints
 }
 
-// note keeps what was read.
-func (r *Controller) note(endpoint tables.EndpointID, state engine.OrderState, err error) {
+// recordRead stores the result of a read.
+func (r *Controller) recordRead(endpoint tables.EndpointID, state engine.OrderState, err error) {
 	now := r.options.Now()
-	r.read[endpoint] = now
+	r.lastRead[endpoint] = now
 	if err == nil {
-		delete(r.lostSince, endpoint)
-		r.views[endpoint] = Observation{Known: true, State: state}
+		delete(r.unreachableSince, endpoint)
+		r.observations[endpoint] = Observation{Known: true, State: state}
 		return
 	}
-	since, lost := r.lostSince[endpoint]
+	since, lost := r.unreachableSince[endpoint]
 	if !lost {
 		since = now
-		r.lostSince[endpoint] = now
+		r.unreachableSince[endpoint] = now
 	}
-	view := r.views[endpoint]
-	view.UnreachableFor = max(1, now-since)
-	r.views[endpoint] = view
+	observation := r.observations[endpoint]
+	observation.UnreachableFor = max(1, now-since)
+	r.observations[endpoint] = observation
 }
 
-func addressesOf(c *tables.Configuration) map[tables.EndpointID]netip.AddrPort {
+func endpointAddresses(c *tables.Configuration) map[tables.EndpointID]netip.AddrPort {
 	addresses := make(map[tables.EndpointID]netip.AddrPort, len(c.Endpoints))
 	for _, endpoint := range c.Endpoints {
 		addresses[endpoint.ID] = endpoint.Address
--- a/control/orders/plan.go
+++ b/control/orders/plan.go
@@ -1,7 +1,8 @@
-// Package orders has engines load the weights and adapters that the
-// configuration wants. Orders are given by one instance at a time, under a
-// lease, and no more loads run at once over the whole fleet than the weight
-// store bears.
+// Package orders is the reconciliation controller for engine weights: it
+// compares the weights and adapters in the configuration with what engines
+// report and orders the missing loads. One instance at a time sends orders,
+// under a fenced lease. A semaphore in the replicated state limits concurrent
+// loads across the fleet to what the weight store can serve.
 package orders
 
 import (
@@ -15,19 +16,22 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// abandonAfter is how long a load of an endpoint that cannot be read keeps its
-// place at the weight store. No load takes this long, so by then it has ended.
-const abandonAfter = 10 * time.Minute
+// maxLoadDuration is how long the load of an unreachable endpoint keeps its
+// slot of the weight store. No load takes this long, so the load has ended by
+// then.
+const maxLoadDuration = 10 * time.Minute
 
-// Observation is what was last read of an endpoint.
+// Observation is the last observed state of an endpoint.
 type Observation struct {
+	// Known is set once the endpoint has answered. State is its last answer.
 	Known bool
 	State engine.OrderState
-	// UnreachableFor is how long the endpoint has not answered, zero if it does.
+	// UnreachableFor is how long the endpoint has not answered, zero if it
+	// answers.
 	UnreachableFor time.Duration
 }
 
-// Load is one thing that an endpoint has to load.
+// Load is one model or adapter that an endpoint has to load.
 type Load struct {
 	Endpoint tables.EndpointID
 	Model    tables.ModelName
@@ -36,19 +40,21 @@
 	Weights tables.WeightsVersion
 }
 
-// adapterMark separates the weights version from the adapter in a load's row.
-const adapterMark = "+"
+// adapterSeparator separates the weights version from the adapter in the row of
+// a load.
+const adapterSeparator = "+"
 
-// what names what is loaded, for the row of the load.
-func (l Load) what() string {
+// rowWeights encodes the weights version and the adapter for the row of the
+// load.
+func (l Load) rowWeights() string {
 	if l.Adapter == "" {
 		return string(l.Weights)
 	}
-	return string(l.Weights) + adapterMark + string(l.Adapter)
+	return string(l.Weights) + adapterSeparator + string(l.Adapter)
 }
 
-func loadOf(row *rpc.Load) Load {
-	weights, adapter, _ := strings.Cut(row.GetWeights(), adapterMark)
+func loadFromRow(row *rpc.Load) Load {
+	weights, adapter, _ := strings.Cut(row.GetWeights(), adapterSeparator)
 	return Load{
 		Endpoint: tables.EndpointID(row.GetEndpoint()),
 		Model:    tables.ModelName(row.GetModel()),
@@ -57,62 +63,66 @@
 	}
 }
 
-// Plan is what to do now.
+// Plan is the set of actions due in one reconciliation step.
 type Plan struct {
-	// Ended lists endpoints whose loads have ended.
+	// Ended lists endpoints whose loads have ended, so that their slots are
+	// freed.
 	Ended []tables.EndpointID
-	// Resend lists counted loads whose order has to be given again, Start new
-	// ones that fit in.
+	// Resend lists counted loads whose order has to be sent again. Start lists
+	// new loads for which slots are free.
 	Resend []Load
 	Start  []Load
 }
 
-// ComputePlan compares what is wanted with what was read back. Rows are the loads
-// that count against the limit, whoever started them.
+// ComputePlan compares the desired with the observed state. The rows are the
+// loads that count against the limit, whichever instance started them.
 //
-// A load ends only by what the endpoint says: that it serves what was loaded,
-// or that it loads nothing. In the second case the order was lost, or the
-// endpoint restarted; the place is kept and the order repeated.
-func ComputePlan(c *tables.Configuration, views map[tables.EndpointID]Observation, rows []*rpc.Load) Plan {
+// The load of a reachable endpoint ends only by the endpoint's own report: the
+// endpoint is loading nothing and what was loaded is not missing any more. If
+// it is loading nothing and the load is still missing, the order was lost or
+// the endpoint restarted. The load then keeps its slot and the order is sent
+// again.
+func ComputePlan(c *tables.Configuration, observations map[tables.EndpointID]Observation, rows []*rpc.Load) Plan {
 	var plan Plan
 	busy := map[tables.EndpointID]bool{}
-	wanted := map[tables.EndpointID][]Load{}
+	missing := map[tables.EndpointID][]Load{}
 	for _, endpoint := range c.Endpoints {
 		if endpoint.Kind == tables.Engine && !endpoint.Leaving {
-			wanted[endpoint.ID] = missing(c, endpoint, views[endpoint.ID])
+			missing[endpoint.ID] = missingLoads(c, endpoint, observations[endpoint.ID])
 		}
 	}
 	for _, row := range rows {
-		load := loadOf(row)
-		view := views[load.Endpoint]
+		load := loadFromRow(row)
+		observation := observations[load.Endpoint]
 		switch {
-		case !view.Known || view.UnreachableFor > 0:
-			if view.UnreachableFor >= abandonAfter {
+		case !observation.Known || observation.UnreachableFor > 0:
+			if observation.UnreachableFor >= maxLoadDuration {
 				plan.Ended = append(plan.Ended, load.Endpoint)
 				continue
 			}
 			busy[load.Endpoint] = true
-		case !slices.Contains(wanted[load.Endpoint], load):
-			if view.State.Loading == 0 {
+		case !slices.Contains(missing[load.Endpoint], load):
+			if observation.State.Loading == 0 {
 				plan.Ended = append(plan.Ended, load.Endpoint)
 				continue
 			}
 			busy[load.Endpoint] = true
 		default:
 			busy[load.Endpoint] = true
-			if view.State.Loading == 0 {
+			if observation.State.Loading == 0 {
 				plan.Resend = append(plan.Resend, load)
 			}
 		}
 	}
-	plan.Start = starts(c, views, wanted, busy)
+	plan.Start = admissibleLoads(c, observations, missing, busy)
 	return plan
 }
 
-// missing returns what an endpoint should have and has not; nothing for one
-// that was not read. A model comes before its adapters.
-func missing(c *tables.Configuration, endpoint tables.Endpoint, view Observation) []Load {
-	if !view.Known || view.UnreachableFor > 0 {
+// missingLoads returns what an endpoint should have loaded and has not. It
+// returns nothing for an endpoint that could not be read. A model is loaded
+// before its adapters.
+func missingLoads(c *tables.Configuration, endpoint tables.Endpoint, observation Observation) []Load {
+	if !observation.Known || observation.UnreachableFor > 0 {
 		return nil
 	}
 	var loads []Load
@@ -121,12 +131,12 @@
 			continue
 		}
 		load := Load{Endpoint: endpoint.ID, Model: model.Name, Weights: model.Weights}
-		if view.State.Weights[model.Name] != model.Weights {
+		if observation.State.Weights[model.Name] != model.Weights {
 			loads = append(loads, load)
 			continue
 		}
 		for _, adapter := range model.Adapters {
-			if !slices.Contains(view.State.Adapters[model.Name], adapter) {
+			if !slices.Contains(observation.State.Adapters[model.Name], adapter) {
 				load.Adapter = adapter
 				loads = append(loads, load)
 			}
@@ -135,24 +145,24 @@
 	return loads
 }
 
-// starts returns the first load of each endpoint that is not busy, as many as
-// the weight store has room for. Loads that an endpoint runs without a row, as
-// after its operators' own orders, take room too.
-func starts(c *tables.Configuration, views map[tables.EndpointID]Observation, wanted map[tables.EndpointID][]Load, busy map[tables.EndpointID]bool) []Load {
-	room := max(1, c.WeightLoads) - len(busy)
-	var all []Load
-	for id, loads := range wanted {
+// admissibleLoads returns the first load of each endpoint that is not busy, up
+// to the number of free slots of the weight store. Loads that an endpoint runs
+// without a row take slots too; operators can order such loads directly.
+func admissibleLoads(c *tables.Configuration, observations map[tables.EndpointID]Observation, missing map[tables.EndpointID][]Load, busy map[tables.EndpointID]bool) []Load {
+	freeSlots := max(1, c.WeightLoads) - len(busy)
+	var candidates []Load
+	for id, loads := range missing {
 		if busy[id] {
 			continue
 		}
-		if views[id].State.Loading > 0 {
-			room--
+		if observations[id].State.Loading > 0 {
+			freeSlots--
 			continue
 		}
 		if len(loads) > 0 {
-			all = append(all, loads[0])
+			candidates = append(candidates, loads[0])
 		}
 	}
-	slices.SortFunc(all, func(a, b Load) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
-	return all[:max(0, min(room, len(all)))]
+	slices.SortFunc(candidates, func(a, b Load) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	return candidates[:max(0, min(freeSlots, len(candidates)))]
 }
--- a/control/rollout/bench_test.go
+++ b/control/rollout/bench_test.go
@@ -8,8 +8,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// BenchmarkNextOfASettledFleet is what a look costs where all engines serve what is wanted.
-func BenchmarkNextOfASettledFleet(b *testing.B) {
+// BenchmarkNextActionsConverged measures one planning step when all engines
+// serve the target versions.
+func BenchmarkNextActionsConverged(b *testing.B) {
 	for _, engines := range []int{100, 1_000, 3_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			p := NewPlanner()
--- a/control/rollout/controller.go
+++ b/control/rollout/controller.go
@@ -16,84 +16,91 @@
 )
 
 const (
-	// LeaseName is the lease under which orders to engines are given.
+	// LeaseName is the name of the lease for orders to engines.
 	LeaseName = "engine orders"
-	// stepPeriod is the time between two looks at what is due.
-	stepPeriod = 50 * time.Millisecond
-	// callTimeout bounds a question, and orderTimeout an order. Engines answer
-	// within milliseconds or not at all, and one that is believed to load gets no
-	// requests meanwhile.
-	callTimeout  = 800 * time.Millisecond
+	// stepInterval is the interval of the control loop.
+	stepInterval = 50 * time.Millisecond
+	// pollTimeout bounds a poll, and orderTimeout an order. Engines answer
+	// within milliseconds or not at all, and an engine that is believed to load
+	// gets no requests meanwhile.
+	pollTimeout  = 800 * time.Millisecond
 	orderTimeout = 300 * time.Millisecond
-	// announceTimeout bounds an announcement, so that an order leaves soon after it
-	// or not at all. It takes two syncs of a disk and a round trip.
+	// announceTimeout bounds an announcement, so that the order is sent soon
+	// after it or not at all. An announcement takes two disk syncs and a round
+	// trip.
 	announceTimeout = 300 * time.Millisecond
-	// orderMargin is how much longer the lease must be held for an order to be
-	// prepared; it leaves time for the announcement and the order.
-	orderMargin = announceTimeout + orderTimeout
-	// leaveWithin is how long after its announcement an order may still arrive, by
-	// either machine's clock.
-	leaveWithin = announceTimeout + orderTimeout + 100*time.Millisecond
-	// renewTimeout bounds one question to the control group.
+	// minLeaseLeft is the remaining lease time below which no order is
+	// prepared. It covers the announcement and the order.
+	minLeaseLeft = announceTimeout + orderTimeout
+	// maxOrderDelay bounds the time from an announcement to the arrival of its
+	// order, by the clock of either machine.
+	maxOrderDelay = announceTimeout + orderTimeout + 100*time.Millisecond
+	// renewTimeout bounds one call to the control group.
 	renewTimeout = 800 * time.Millisecond
-	// renewPart is the part of the lease after which it is renewed.
-	renewPart = 3
+	// The lease is renewed once 1/renewDivisor of its duration has passed.
+	renewDivisor = 3
 )
 
-// EngineClient speaks with engines.
+// EngineClient sends requests to engines.
 type EngineClient interface {
 	Report(ctx context.Context, to fleet.Endpoint) (Report, error)
 	Order(ctx context.Context, to fleet.Endpoint, order Order) (OrderResult, error)
 }
 
-// Options set a Runner up.
+// Options configures a Controller.
 type Options struct {
 	Engines EngineClient
-	// Executor has the control group agree on the lease.
+	// Executor submits lease commands to the control group.
 	Executor client.Executor
-	// IsLeader says whether this instance leads the control group. Only the leader
-	// asks for the lease, so that instances do not contend for it.
-	IsLeader       func() bool
-	Fleet          *fleet.Table
+	// IsLeader reports whether this instance leads the control group. Only the
+	// leader requests the lease, so that instances do not contend for it.
+	IsLeader func() bool
+	Fleet    *fleet.Table
+	// TargetVersions returns the version that each model should be served with.
 	TargetVersions func() map[string]uint64
-	Instance       tables.InstanceID
-	Boot           uint64
-	// LeaseDuration is the length of the lease.
+	// Instance and Boot identify the process; Boot increases with every start.
+	Instance tables.InstanceID
+	Boot     uint64
+	// LeaseDuration is the duration of the lease.
 	LeaseDuration time.Duration
-	// HandoverDelay is the least time between two holders' orders to one engine. Engines
-	// that check fencing numbers stop an earlier holder by themselves; where Fenced
-	// is not set each order is announced to the group before it leaves, and a new
-	// holder lets the engines rest that an earlier one may just have given one.
+	// HandoverDelay is the minimum time between orders of two lease holders to
+	// one engine. It applies unless EnginesCheckFence is set. Engines that
+	// check fencing tokens reject an earlier holder by themselves. For other
+	// engines each order is announced to the control group before it is sent,
+	// and a new holder delays its orders to the engines that an earlier holder
+	// has announced.
 	HandoverDelay     time.Duration
 	EnginesCheckFence bool
 	Strategy          Strategy
-	// Now must go on while the machine is suspended.
+	// Now is a monotonic clock that continues while the machine is suspended.
 	Now func() tables.Instant
 	Log *zap.Logger
 }
 
-// Controller carries a Plan out while it holds the lease.
+// Controller runs the control loop of a rollout while it holds the lease: it
+// executes the actions of a Planner and feeds the results back.
 type Controller struct {
 	options Options
 	lease   *client.Lease
-	plan    *Planner
-	// planned is the version of the table of endpoints that the plan has.
-	planned uint64
-	results chan func()
-	holds   atomic.Bool
-	renewed chan error
-	// renewing is set while the group is asked.
-	renewing bool
-	askAgain tables.Instant
+	planner *Planner
+	// plannedFleetVersion is the version of the endpoint table that the planner
+	// has.
+	plannedFleetVersion uint64
+	results             chan func()
+	holdsLease          atomic.Bool
+	renewals            chan error
+	// renewing is set while a renewal of the lease is in flight.
+	renewing       bool
+	renewNotBefore tables.Instant
 }
 
-// NewController returns a runner that holds nothing.
+// NewController returns a controller that does not hold the lease.
 func NewController(options Options) *Controller {
 	return &Controller{
-		options: options,
-		plan:    NewPlanner(),
-		results: make(chan func(), 64),
-		renewed: make(chan error, 1),
+		options:  options,
+		planner:  NewPlanner(),
+		results:  make(chan func(), 64),
+		renewals: make(chan error, 1),
 		lease: client.NewLease(client.LeaseOptions{
 			Executor: options.Executor, Name: LeaseName, Instance: options.Instance, Boot: options.Boot,
 			Duration: options.LeaseDuration, Now: options.Now,
@@ -101,12 +108,13 @@
 	}
 }
 
-// HoldsLease says whether this instance gives orders now.
-func (r *Controller) HoldsLease() bool { return r.holds.Load() }
+// HoldsLease reports whether this instance holds the lease and so sends orders.
+func (r *Controller) HoldsLease() bool { return r.holdsLease.Load() }
 
-// Run steps until the context ends, and then gives the lease up.
+// Run executes the control loop until the context ends, and then releases the
+// lease.
 func (r *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(stepPeriod)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -115,8 +123,8 @@
 			return
 		case <-ticker.C:
 			r.step(ctx)
-		case err := <-r.renewed:
-			r.takeRenewal(err)
+		case err := <-r.renewals:
+			r.handleRenewal(err)
 		case result := <-r.results:
 			result()
 		}
@@ -134,81 +142,82 @@
 	}
 }
 
-// step renews the lease where needed and does what is due.
+// step renews the lease if it is due and starts the actions that are due.
 func (r *Controller) step(ctx context.Context) {
 	r.renew(ctx)
 	_, left := r.lease.Held()
-	if held := left > 0; held != r.holds.Swap(held) {
-		r.plan, r.planned = NewPlanner(), 0
+	if held := left > 0; held != r.holdsLease.Swap(held) {
+		r.planner, r.plannedFleetVersion = NewPlanner(), 0
 		if held {
-			r.rest()
+			r.delayAnnouncedEngines()
 		} else {
 			r.options.Fleet.NoOrders()
 		}
 	}
-	if left < orderMargin {
+	if left < minLeaseLeft {
 		return
 	}
 	for model, version := range r.options.TargetVersions() {
-		r.plan.SetTarget(model, version)
+		r.planner.SetTarget(model, version)
 	}
-	if version := r.options.Fleet.Version(); version != r.planned {
-		r.plan.UpdateEndpoints(r.options.Fleet.Endpoints())
-		r.planned = version
+	if version := r.options.Fleet.Version(); version != r.plannedFleetVersion {
+		r.planner.UpdateEndpoints(r.options.Fleet.Endpoints())
+		r.plannedFleetVersion = version
 	}
-	for _, action := range r.plan.NextActions(r.options.Now()) {
+	for _, action := range r.planner.NextActions(r.options.Now()) {
 		r.start(ctx, action)
 	}
-	for _, id := range r.plan.Cordoned() {
+	for _, id := range r.planner.Cordoned() {
 		r.options.Fleet.Loading(id, true)
 	}
 }
 
-// rest keeps orders from the engines that another holder may just have given one.
-// Without the announcements a new holder would have to leave all engines alone for
-// a lease: where the holder froze right after new weights were named, the others
-// went on with weights that were replaced for 7 s, and then with few engines.
-func (r *Controller) rest() {
+// delayAnnouncedEngines delays orders to the engines that an earlier holder may
+// just have sent one. Without the announcements a new holder would have to
+// delay its orders to all engines for the duration of a lease. When a holder
+// froze right after new weights were published, the rest of the fleet then
+// served replaced weights for 7 s, and ran with few engines after that.
+func (r *Controller) delayAnnouncedEngines() {
 	if r.options.EnginesCheckFence {
 		return
 	}
 	for id, at := range r.lease.Announced() {
-		r.plan.DelayOrders(id, at+r.options.HandoverDelay+leaveWithin)
+		r.planner.DelayOrders(id, at+r.options.HandoverDelay+maxOrderDelay)
 	}
 }
 
-// renew asks for the lease, or for more time, beside everything else: orders go
-// on while the group decides.
+// renew acquires or extends the lease in the background, so that orders
+// continue while the control group decides.
 func (r *Controller) renew(ctx context.Context) {
 	_, left := r.lease.Held()
-	due := left < r.options.LeaseDuration*(renewPart-1)/renewPart
-	if !due || r.renewing || r.options.Now() < r.askAgain || !r.options.IsLeader() {
+	due := left < r.options.LeaseDuration*(renewDivisor-1)/renewDivisor
+	if !due || r.renewing || r.options.Now() < r.renewNotBefore || !r.options.IsLeader() {
 		return
 	}
 	r.renewing = true
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, renewTimeout)
 		defer cancel()
-		r.renewed <- r.lease.Renew(bounded)
+		r.renewals <- r.lease.Renew(bounded)
 	}()
 }
 
-func (r *Controller) takeRenewal(err error) {
+func (r *Controller) handleRenewal(err error) {
 	r.renewing = false
 	var held *client.LeaseHeld
 	switch {
 	case errors.As(err, &held):
-		r.askAgain = r.options.Now() + held.RetryAfter
+		r.renewNotBefore = r.options.Now() + held.RetryAfter
 	case err != nil:
 		events.OrdersLeaseNotRenewed.Log(r.options.Log, zap.Error(err))
 	}
 }
 
-// start carries an action out beside the loop.
+// start executes an action in the background.
 func (r *Controller) start(ctx context.Context, action Action) {
-	plan := r.plan
+	planner := r.planner
 	if action.Version == 0 {
-		go r.ask(ctx, plan, action)
+		go r.poll(ctx, planner, action)
 		return
 	}
 	fence, _ := r.lease.Held()
@@ -220,34 +229,35 @@
 	events.RolloutOrdered.Log(r.options.Log, zap.String("endpoint", string(action.Endpoint.ID)),
 		zap.String("model", order.Model), zap.Uint64("weights", order.Version),
 		zap.Uint64("fence", uint64(fence)), zap.Uint64("sequence", order.Sequence))
-	go r.order(ctx, plan, action, order)
+	go r.executeOrder(ctx, planner, action, order)
 }
 
-func (r *Controller) ask(ctx context.Context, plan *Planner, action Action) {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+// poll reads an engine's report and passes it to the planner and the fleet table.
+func (r *Controller) poll(ctx context.Context, planner *Planner, action Action) {
+	bounded, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	report, err := r.options.Engines.Report(bounded, action.Endpoint)
-	r.hand(ctx, plan, func(now tables.Instant) {
+	r.post(ctx, planner, func(now tables.Instant) {
 		id := action.Endpoint.ID
 		if err != nil {
 			events.RolloutUnanswered.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Error(err))
-			plan.HandleReport(now, id, nil)
+			planner.HandleReport(now, id, nil)
 			return
 		}
-		done := plan.HandleReport(now, id, &report)
+		done := planner.HandleReport(now, id, &report)
 		for model, version := range report.Weights {
 			r.options.Fleet.Weights(id, model, version)
 		}
 		if done {
 			events.RolloutDone.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Any("weights", report.Weights))
 		}
-		r.options.Fleet.Loading(id, plan.Updating(id))
+		r.options.Fleet.Loading(id, planner.Updating(id))
 	})
 }
 
-// send announces an order and gives it. One that could not be announced, or whose
-// lease is over by then, does not leave.
-func (r *Controller) send(ctx context.Context, action Action, order Order) (OrderResult, error) {
+// announceAndSend announces an order to the control group and sends it. The
+// order is not sent if the announcement fails or the lease has ended by then.
+func (r *Controller) announceAndSend(ctx context.Context, action Action, order Order) (OrderResult, error) {
 	if !r.options.EnginesCheckFence {
 		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
 		defer cancel()
@@ -263,31 +273,33 @@
 	return r.options.Engines.Order(bounded, action.Endpoint, order)
 }
 
-func (r *Controller) order(ctx context.Context, plan *Planner, action Action, order Order) {
-	taken, err := r.send(ctx, action, order)
-	r.hand(ctx, plan, func(now tables.Instant) {
+// executeOrder sends an order and passes its result to the planner.
+func (r *Controller) executeOrder(ctx context.Context, planner *Planner, action Action, order Order) {
+	result, err := r.announceAndSend(ctx, action, order)
+	r.post(ctx, planner, func(now tables.Instant) {
 		id := action.Endpoint.ID
-		plan.HandleOrderResult(now, id, taken)
+		planner.HandleOrderResult(now, id, result)
 		switch {
-		case taken == Fenced:
-			// A later call under the same fence could undo what a newer holder
-			// has done. The next lease has a higher one.
+		case result == Fenced:
+			// Further orders under the same fencing token could undo the
+			// changes of a newer holder. The next lease has a higher token.
 			events.RolloutFenced.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Uint64("fence", uint64(order.Fence)))
 			r.release()
-		case taken == Rejected && err != nil:
+		case result == Rejected && err != nil:
 			events.OrderNotAnnounced.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Error(err))
-		case taken == 0:
+		case result == 0:
 			events.RolloutUnanswered.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Error(err))
 		}
-		r.options.Fleet.Loading(id, plan.Updating(id))
+		r.options.Fleet.Loading(id, planner.Updating(id))
 	})
 }
 
-// hand gives a result to the loop, unless its plan is of an earlier lease.
-func (r *Controller) hand(ctx context.Context, plan *Planner, f func(tables.Instant)) {
+// post passes a result to the control loop. It is dropped if its planner
+// belongs to an earlier lease.
+func (r *Controller) post(ctx context.Context, planner *Planner, f func(tables.Instant)) {
 	select {
 	case r.results <- func() {
-		if plan == r.plan {
+		if planner == r.planner {
 			f(r.options.Now())
 		}
 	}:
--- a/control/rollout/planner.go
+++ b/control/rollout/planner.go
@@ -1,6 +1,7 @@
-// Package rollout brings the engines of a forwarding deployment to the weights
-// that are wanted. One control instance at a time gives orders, under a lease.
-// What to do next is decided by Plan, which is pure; Runner carries it out.
+// Package rollout performs rolling updates of model weights on the engines of a forwarding
+// deployment. It is a reconciliation controller: one control instance at a time, under a fenced
+// lease, sends orders until all engines serve the target versions. Planner is the pure decision
+// logic; Controller holds the lease and executes the planned actions.
 package rollout
 
 import (
@@ -13,24 +14,24 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Strategy says what becomes of the requests that run at an engine when its
-// weights change.
+// Strategy is how a change of weights treats the requests that run on the engine.
 type Strategy uint8
 
-// The strategies.
+// The strategies for running requests.
 const (
-	// DrainRequests lets running requests finish first; new ones are declined.
+	// DrainRequests completes running requests first; new requests are declined meanwhile.
 	DrainRequests Strategy = iota
-	// AbortRequests breaks running requests off.
+	// AbortRequests aborts running requests.
 	AbortRequests
-	// RetainRequests goes on with running requests under the new weights.
+	// RetainRequests continues running requests under the new weights.
 	RetainRequests
 )
 
-// Report is what an engine says of itself, as of a moment ago.
+// Report is the status of an engine as of a moment ago.
 type Report struct {
-	// Sequence counts the orders that this life of the engine has accepted, and
-	// Busy is set while one is being carried out.
+	// Sequence counts the orders that the engine process has accepted since its start; Busy is set
+	// while one is being executed. Weights holds the version of each model. Running and Queued
+	// count requests. Born is the start of the process, in Unix milliseconds.
 	Sequence uint64
 	Busy     bool
 	Weights  map[string]uint64
@@ -39,123 +40,127 @@
 	Born     int64
 }
 
-// Order has an engine load a version of a model's weights.
+// Order tells an engine to load a version of a model's weights.
 type Order struct {
 	Model    string
 	Version  uint64
 	Strategy Strategy
 	Holder   string
 	Fence    tables.FencingToken
-	// Sequence is the one that the engine must have; with any other it takes the
-	// order for outdated.
+	// Sequence makes the order a compare-and-set: an engine at another sequence rejects it.
 	Sequence uint64
 }
 
 // OrderResult is an engine's answer to an order.
 type OrderResult uint8
 
-// The answers. Zero stands for none: the order may have been taken, or may be
-// carried out later.
+// The answers. Zero means none: the order may have been accepted, or may be executed later.
 const (
-	// Accepted: it is being carried out.
+	// Accepted means that the order is being executed.
 	Accepted OrderResult = iota + 1
-	// AlreadyServing: the engine serves that version already.
+	// AlreadyServing means that the engine already serves the version.
 	AlreadyServing
-	// Conflict: another order is being carried out, or the sequence differs.
+	// Conflict means that another order is being executed or the sequence differs.
 	Conflict
-	// Fenced: the engine has seen a higher fencing number.
+	// Fenced means that the engine has seen a higher fencing token.
 	Fenced
-	// Rejected for any other reason.
+	// Rejected means that the order was refused for another reason, or not sent.
 	Rejected
 )
 
 const (
-	// askAfterOrder is when an engine is first asked how an order goes: loading
-	// takes 0.4 s at least.
-	askAfterOrder = 350 * time.Millisecond
-	// askPeriod is the time between two questions. Each is paid for.
-	askPeriod = 150 * time.Millisecond
-	// askAfterSilence is when an engine is asked that gave no answer.
-	askAfterSilence = 400 * time.Millisecond
-	// reportLag is how old a report may be. One that shows nothing of an
-	// accepted order says that it is over only if it is younger.
-	reportLag = 700 * time.Millisecond
-	// closeFor is how long an engine gets no new requests before its order comes.
-	// What waits there when it comes is declined and has to begin anew elsewhere.
-	closeFor = 150 * time.Millisecond
-	// settleFor is how long an order is believed in that was accepted and does
-	// not show. Engines finish running requests first.
-	settleFor = 6 * time.Second
-	// loadDivisor makes the number of engines that load at once out of the
-	// number of engines: more than about a fifth make each load slower where weights come
-	// from one place, and requests have to go somewhere meanwhile.
-	loadDivisor = 5
-	minAtOnce   = 2
+	// firstPollDelay is the time between the acceptance of an order and the first poll of its
+	// engine. Loading takes 0.4 s at least.
+	firstPollDelay = 350 * time.Millisecond
+	// pollInterval is the time between two polls of an engine. Each poll has a cost.
+	pollInterval = 150 * time.Millisecond
+	// pollRetryDelay is the time to the next poll of an engine that did not answer.
+	pollRetryDelay = 400 * time.Millisecond
+	// maxReportAge bounds how far a report lags behind the engine. A report that does not show an
+	// order proves that the order was lost or is delayed only if it is received later than this
+	// after the order.
+	maxReportAge = 700 * time.Millisecond
+	// cordonTime is how long an engine is cordoned before its order is sent. Requests that wait
+	// there when the order arrives are declined and restart at another engine.
+	cordonTime = 150 * time.Millisecond
+	// updateTimeout is how long an update is considered in progress while no report shows it.
+	// Engines finish running requests first.
+	updateTimeout = 6 * time.Second
+	// concurrencyDivisor limits the engines that load at once to a fraction of all engines, at
+	// least minConcurrent. More than about a fifth slow each load down where weights come from one
+	// place, and requests need engines meanwhile.
+	concurrencyDivisor = 5
+	minConcurrent      = 2
 )
 
-// phase is where an engine stands.
+// phase is the stage of an engine in its update.
 type phase uint8
 
 const (
-	// idle: nothing is known to go on.
+	// idle: no update is known to be in progress.
 	idle phase = iota
-	// closing: the other instances send nothing new, so that what waits there is
-	// read before the order comes.
-	closing
-	// ordering: an order was sent and not answered yet.
-	ordering
-	// loading: an order was accepted, or may have been.
-	loading
+	// cordoned: the other instances send no new requests to the engine, so that its queue is empty
+	// when the order arrives.
+	cordoned
+	// orderSent: an order was sent and is not answered yet.
+	orderSent
+	// updating: an order was accepted, or may have been.
+	updating
 )
 
-type engineRow struct {
+type engineState struct {
 	fleet.Endpoint
 	phase phase
-	// model and version are what the newest order was about.
-	model   string
-	version uint64
-	// sequence is valid if known is set.
-	sequence uint64
-	known    bool
-	// asking is set while a question is under way; askAt is when the next is due.
-	asking bool
-	askAt  tables.Instant
-	since  tables.Instant
-	// ordered is the sequence that shows that the order was accepted.
-	ordered uint64
-	// silent is set while an order that got no answer has not been seen to be
-	// carried out. Most such orders are lost, or wait for seconds; the engine goes
-	// on serving its old weights, and declines requests if it does not.
-	silent bool
+	// orderedModel and orderedVersion are the subject of the latest order.
+	orderedModel   string
+	orderedVersion uint64
+	// sequence is the engine's sequence, valid if sequenceKnown is set.
+	sequence      uint64
+	sequenceKnown bool
+	// polling is set while a poll is in flight; nextPollAt is when the next one is due. phaseSince
+	// is when the phase began, or when a report last showed the update in progress.
+	polling    bool
+	nextPollAt tables.Instant
+	phaseSince tables.Instant
+	// acceptedSequence is the engine's sequence after it accepts the latest order.
+	acceptedSequence uint64
+	// unconfirmed is set while an order that got no answer has not been seen to be executed. Most
+	// such orders are lost, or wait for seconds. The engine then still serves its old weights, and
+	// if it does not, it declines requests itself.
+	unconfirmed bool
 }
 
-// Planner decides whom to ask and whom to give orders. It is not safe for
-// concurrent use.
+// Planner decides which engines to poll and which to update, as a state machine per engine. It
+// limits the number of concurrent updates. It is not safe for concurrent use.
 type Planner struct {
-	rows   map[tables.EndpointID]*engineRow
-	wanted map[string]uint64
-	// quiet is until when endpoints must get no orders.
-	quiet map[tables.EndpointID]tables.Instant
-	// MaxConcurrent overrides how many engines load at once; zero means by their number.
+	engines map[tables.EndpointID]*engineState
+	targets map[string]uint64
+	// noOrdersBefore is the earliest time for orders to an endpoint.
+	noOrdersBefore map[tables.EndpointID]tables.Instant
+	// MaxConcurrent overrides how many engines load at once; zero derives it from their number.
 	MaxConcurrent int
 }
 
-// NewPlanner returns a plan that knows of no engine.
+// NewPlanner returns a planner without engines and targets.
 func NewPlanner() *Planner {
 	return &Planner{
-		rows: map[tables.EndpointID]*engineRow{}, wanted: map[string]uint64{}, quiet: map[tables.EndpointID]tables.Instant{},
+		engines: map[tables.EndpointID]*engineState{}, targets: map[string]uint64{}, noOrdersBefore: map[tables.EndpointID]tables.Instant{},
 	}
 }
 
-// DelayOrders keeps an endpoint from orders for a time.
-func (p *Planner) DelayOrders(id tables.EndpointID, until tables.Instant) { p.quiet[id] = until }
+// DelayOrders prevents orders to an endpoint until the given time.
+func (p *Planner) DelayOrders(id tables.EndpointID, until tables.Instant) {
+	p.noOrdersBefore[id] = until
+}
 
-// SetTarget notes the version that a model should be served with. It only grows.
+// SetTarget sets the version that a model should be served with. A target is never lowered.
 func (p *Planner) SetTarget(model string, version uint64) {
-	p.wanted[model] = max(p.wanted[model], version)
+	p.targets[model] = max(p.targets[model], version)
 }
 
-// UpdateEndpoints takes over the endpoints that are known now.
+// UpdateEndpoints replaces the list of known endpoints. Endpoints without weights are ignored. A
+// restarted endpoint loses its update state; for the others the highest known version of each model
+// is kept.
 func (p *Planner) UpdateEndpoints(endpoints []fleet.Endpoint) {
 	present := make(map[tables.EndpointID]bool, len(endpoints))
 	for _, e := range endpoints {
@@ -163,9 +168,9 @@
 			continue // a plain service
 		}
 		present[e.ID] = true
-		known := p.rows[e.ID]
+		known := p.engines[e.ID]
 		if known == nil || known.Born != e.Born && e.Born != 0 {
-			p.rows[e.ID] = &engineRow{Endpoint: e.Clone()}
+			p.engines[e.ID] = &engineState{Endpoint: e.Clone()}
 			continue
 		}
 		weights := known.Weights
@@ -174,15 +179,14 @@
 			known.Weights[model] = max(known.Weights[model], version)
 		}
 	}
-	for id := range p.rows {
+	for id := range p.engines {
 		if !present[id] {
-			delete(p.rows, id)
+			delete(p.engines, id)
 		}
 	}
 }
 
-// Action is something to do at an engine: a question, or an order if Version is
-// set.
+// Action is a call to an engine: an order if Version is set, a poll otherwise.
 type Action struct {
 	Endpoint fleet.Endpoint
 	Model    string
@@ -190,103 +194,103 @@
 	Sequence uint64
 }
 
-// NextActions returns what to do now. Each action's end must be handed in by Reported
-// or Ordered.
+// NextActions returns the actions that are due. The result of each must be passed to HandleReport
+// or HandleOrderResult.
 func (p *Planner) NextActions(now tables.Instant) []Action {
 	if p.Converged() {
 		return nil
 	}
-	rows := p.sorted()
+	engines := p.inUpdateOrder()
 	var actions []Action
-	busy, closed := 0, 0
-	for _, r := range rows {
+	updatingCount, cordonedCount := 0, 0
+	for _, r := range engines {
 		switch r.phase {
-		case closing:
-			closed++
-		case ordering, loading:
-			if !r.silent {
-				busy++
+		case cordoned:
+			cordonedCount++
+		case orderSent, updating:
+			if !r.unconfirmed {
+				updatingCount++
 			}
 		}
-		if p.wantsAsk(now, r) {
-			r.asking = true
+		if p.shouldPoll(now, r) {
+			r.polling = true
 			actions = append(actions, Action{Endpoint: r.Endpoint})
 		}
 	}
-	room := p.atOnce() - busy
-	for _, r := range rows {
-		if r.phase == closing && room > 0 && now-r.since >= closeFor {
-			room--
-			closed--
-			actions = append(actions, p.order(now, r))
+	freeSlots := p.maxConcurrent() - updatingCount
+	for _, r := range engines {
+		if r.phase == cordoned && freeSlots > 0 && now-r.phaseSince >= cordonTime {
+			freeSlots--
+			cordonedCount--
+			actions = append(actions, p.startOrder(now, r))
 		}
 	}
-	for _, r := range rows {
-		_, version := p.missing(r)
-		if closed >= p.atOnce()/2 || version == 0 || r.phase != idle || !r.known || r.asking || r.Draining || now < p.quiet[r.ID] {
+	for _, r := range engines {
+		_, version := p.pendingUpdate(r)
+		if cordonedCount >= p.maxConcurrent()/2 || version == 0 || r.phase != idle || !r.sequenceKnown || r.polling || r.Draining || now < p.noOrdersBefore[r.ID] {
 			continue
 		}
-		closed++
-		r.phase, r.since = closing, now
+		cordonedCount++
+		r.phase, r.phaseSince = cordoned, now
 	}
 	return actions
 }
 
-// order gives an engine the order that is due now.
-func (p *Planner) order(now tables.Instant, r *engineRow) Action {
-	model, version := p.missing(r)
-	r.phase, r.model, r.version, r.since, r.silent = ordering, model, version, now, false
-	r.ordered = r.sequence + 1
+// startOrder moves an engine to orderSent and returns its order.
+func (p *Planner) startOrder(now tables.Instant, r *engineState) Action {
+	model, version := p.pendingUpdate(r)
+	r.phase, r.orderedModel, r.orderedVersion, r.phaseSince, r.unconfirmed = orderSent, model, version, now, false
+	r.acceptedSequence = r.sequence + 1
 	return Action{Endpoint: r.Endpoint, Model: model, Version: version, Sequence: r.sequence}
 }
 
-func (p *Planner) wantsAsk(now tables.Instant, r *engineRow) bool {
-	if r.asking || now < r.askAt {
+func (p *Planner) shouldPoll(now tables.Instant, r *engineState) bool {
+	if r.polling || now < r.nextPollAt {
 		return false
 	}
-	if r.phase == loading {
+	if r.phase == updating {
 		return true
 	}
-	_, version := p.missing(r)
-	return r.phase == idle && version != 0 && !r.known && !r.Draining
+	_, version := p.pendingUpdate(r)
+	return r.phase == idle && version != 0 && !r.sequenceKnown && !r.Draining
 }
 
-// missing returns a model that the engine serves in an older version, and the
-// version that it should have; 0 for none.
-func (p *Planner) missing(r *engineRow) (string, uint64) {
+// pendingUpdate returns a model that the engine serves in an older version than its target, and the
+// target version, which is 0 if there is no such model.
+func (p *Planner) pendingUpdate(r *engineState) (string, uint64) {
 	best := ""
 	for model, version := range r.Weights {
-		if version < p.wanted[model] && (best == "" || model < best) {
+		if version < p.targets[model] && (best == "" || model < best) {
 			best = model
 		}
 	}
-	return best, p.wanted[best]
+	return best, p.targets[best]
 }
 
-// sorted orders the engines by how old their weights are, and among equals so
-// that zones take turns: no zone loses all its engines at once. Without the
-// first, engines that were brought up to date first would be so again when the
-// next version is named meanwhile, and the last ones never.
-func (p *Planner) sorted() []*engineRow {
-	rows := make([]*engineRow, 0, len(p.rows))
-	for _, r := range p.rows {
-		rows = append(rows, r)
+// inUpdateOrder sorts the engines by the age of their weights, oldest first. Otherwise a newer
+// target in the middle of a rollout would update the engines that come first again, and the last
+// ones never. Engines with equal weights alternate between zones, so that no zone loses all its
+// engines at once.
+func (p *Planner) inUpdateOrder() []*engineState {
+	engines := make([]*engineState, 0, len(p.engines))
+	for _, r := range p.engines {
+		engines = append(engines, r)
 	}
-	slices.SortFunc(rows, func(a, b *engineRow) int { return cmp.Compare(a.ID, b.ID) })
-	place := make(map[tables.EndpointID]int, len(rows))
-	count := map[tables.Zone]int{}
-	for _, r := range rows {
-		place[r.ID] = count[r.Zone]
-		count[r.Zone]++
+	slices.SortFunc(engines, func(a, b *engineState) int { return cmp.Compare(a.ID, b.ID) })
+	zoneRank := make(map[tables.EndpointID]int, len(engines))
+	zoneCount := map[tables.Zone]int{}
+	for _, r := range engines {
+		zoneRank[r.ID] = zoneCount[r.Zone]
+		zoneCount[r.Zone]++
 	}
-	slices.SortStableFunc(rows, func(a, b *engineRow) int {
-		return cmp.Or(cmp.Compare(oldest(a), oldest(b)), cmp.Compare(place[a.ID], place[b.ID]))
+	slices.SortStableFunc(engines, func(a, b *engineState) int {
+		return cmp.Or(cmp.Compare(lowestVersion(a), lowestVersion(b)), cmp.Compare(zoneRank[a.ID], zoneRank[b.ID]))
 	})
-	return rows
+	return engines
 }
 
-// oldest is the lowest version that an engine serves of any model.
-func oldest(r *engineRow) uint64 {
+// lowestVersion returns the lowest version that an engine serves of any model.
+func lowestVersion(r *engineState) uint64 {
 	lowest := uint64(math.MaxUint64)
 	for _, version := range r.Weights {
 		lowest = min(lowest, version)
@@ -294,99 +298,98 @@
 	return lowest
 }
 
-func (p *Planner) atOnce() int {
+func (p *Planner) maxConcurrent() int {
 	if p.MaxConcurrent > 0 {
 		return p.MaxConcurrent
 	}
-	return max(minAtOnce, (len(p.rows)+loadDivisor-1)/loadDivisor)
+	return max(minConcurrent, (len(p.engines)+concurrencyDivisor-1)/concurrencyDivisor)
 }
 
-// HandleReport takes an engine's report, or nil if it gave none. It says whether an
-// order is done.
+// HandleReport processes the report of a poll, nil if the engine did not answer. It returns whether
+// the report completes an update.
 func (p *Planner) HandleReport(now tables.Instant, id tables.EndpointID, report *Report) bool {
-	r := p.rows[id]
+	r := p.engines[id]
 	if r == nil {
 		return false
 	}
-	r.asking = false
+	r.polling = false
 	if report == nil {
-		r.askAt = now + askAfterSilence
-		p.expire(now, r)
+		r.nextPollAt = now + pollRetryDelay
+		p.expireUpdate(now, r)
 		return false
 	}
 	for model, version := range report.Weights {
 		r.Weights[model] = max(r.Weights[model], version)
 	}
-	r.askAt = now + askPeriod
+	r.nextPollAt = now + pollInterval
 	switch {
-	case r.phase == loading && r.Weights[r.model] >= r.version && !report.Busy:
-		r.phase, r.known = idle, true
-		r.sequence = max(report.Sequence, r.ordered)
+	case r.phase == updating && r.Weights[r.orderedModel] >= r.orderedVersion && !report.Busy:
+		r.phase, r.sequenceKnown = idle, true
+		r.sequence = max(report.Sequence, r.acceptedSequence)
 		return true
-	case r.phase == loading && report.Busy:
-		r.since, r.silent = now, false
-	case r.phase == loading && report.Sequence < r.ordered && now-r.since > reportLag:
-		// The order was lost, or waits to be carried out late. The same sequence
-		// is asked for again: whichever comes first makes the other outdated.
-		r.phase, r.known, r.sequence = idle, true, report.Sequence
+	case r.phase == updating && report.Busy:
+		r.phaseSince, r.unconfirmed = now, false
+	case r.phase == updating && report.Sequence < r.acceptedSequence && now-r.phaseSince > maxReportAge:
+		// The order was lost or is delayed. The next order uses the same sequence, so whichever
+		// arrives first makes the other one outdated.
+		r.phase, r.sequenceKnown, r.sequence = idle, true, report.Sequence
 	case r.phase == idle:
-		r.known = !report.Busy
+		r.sequenceKnown = !report.Busy
 		r.sequence = report.Sequence
 	default:
-		p.expire(now, r)
+		p.expireUpdate(now, r)
 	}
 	return false
 }
 
-func (p *Planner) expire(now tables.Instant, r *engineRow) {
-	if r.phase == loading && now-r.since > settleFor {
-		r.phase, r.known = idle, false
+func (p *Planner) expireUpdate(now tables.Instant, r *engineState) {
+	if r.phase == updating && now-r.phaseSince > updateTimeout {
+		r.phase, r.sequenceKnown = idle, false
 	}
 }
 
-// HandleOrderResult takes an engine's answer to an order; zero for none.
-func (p *Planner) HandleOrderResult(now tables.Instant, id tables.EndpointID, taken OrderResult) {
-	r := p.rows[id]
-	if r == nil || r.phase != ordering {
+// HandleOrderResult processes an engine's answer to an order; zero means none.
+func (p *Planner) HandleOrderResult(now tables.Instant, id tables.EndpointID, result OrderResult) {
+	r := p.engines[id]
+	if r == nil || r.phase != orderSent {
 		return
 	}
-	switch taken {
+	switch result {
 	case Accepted:
-		r.phase, r.since, r.askAt = loading, now, now+askAfterOrder
+		r.phase, r.phaseSince, r.nextPollAt = updating, now, now+firstPollDelay
 	case AlreadyServing:
 		r.phase = idle
-		r.Weights[r.model] = max(r.Weights[r.model], r.version)
+		r.Weights[r.orderedModel] = max(r.Weights[r.orderedModel], r.orderedVersion)
 	case Conflict, Rejected, Fenced:
-		r.phase, r.known, r.askAt = idle, false, now+askPeriod
+		r.phase, r.sequenceKnown, r.nextPollAt = idle, false, now+pollInterval
 	default:
-		// The time counts from when the order was sent: a report that is younger
-		// and shows nothing of it says that it was lost, or waits.
-		r.phase, r.askAt, r.silent = loading, now+askPeriod, true
+		// phaseSince stays at the time when the order was sent. A later report without the order
+		// proves that the order was lost or is delayed.
+		r.phase, r.nextPollAt, r.unconfirmed = updating, now+pollInterval, true
 	}
 }
 
-// Converged says whether every engine that can be had serves what is wanted.
+// Converged reports whether no update runs and every engine not draining serves the targets.
 func (p *Planner) Converged() bool {
-	for _, r := range p.rows {
-		if _, version := p.missing(r); version != 0 && !r.Draining || r.phase != idle {
+	for _, r := range p.engines {
+		if _, version := p.pendingUpdate(r); version != 0 && !r.Draining || r.phase != idle {
 			return false
 		}
 	}
 	return true
 }
 
-// Updating says whether an engine gets an order or carries one out, as far as is
-// known.
+// Updating reports whether an engine is cordoned for an order or known to execute one.
 func (p *Planner) Updating(id tables.EndpointID) bool {
-	r := p.rows[id]
-	return r != nil && r.phase != idle && !r.silent
+	r := p.engines[id]
+	return r != nil && r.phase != idle && !r.unconfirmed
 }
 
-// Cordoned lists the engines that get an order soon.
+// Cordoned returns the engines that will receive an order soon, sorted by ID.
 func (p *Planner) Cordoned() []tables.EndpointID {
 	var ids []tables.EndpointID
-	for id, r := range p.rows {
-		if r.phase == closing {
+	for id, r := range p.engines {
+		if r.phase == cordoned {
 			ids = append(ids, id)
 		}
 	}
--- a/control/rollout/planner_test.go
+++ b/control/rollout/planner_test.go
@@ -11,42 +11,43 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// engineSim is an engine that takes orders as the platform's do.
-type engineSim struct {
+// simulatedEngine accepts orders by the rules of the platform's engines.
+type simulatedEngine struct {
 	version, next uint64
 	sequence      uint64
 	doneAt        tables.Instant
 }
 
-// fleetSim plays a plan against engines in virtual time.
-type fleetSim struct {
-	plan    *Planner
+// fleetSimulation runs a planner against simulated engines in virtual time.
+type fleetSimulation struct {
+	planner *Planner
 	now     tables.Instant
-	engines map[tables.EndpointID]*engineSim
-	// most is how many engines were loading at once.
-	most   int
-	orders int
-	// lose says whether the n-th order, from 1, gets no answer and is lost.
+	engines map[tables.EndpointID]*simulatedEngine
+	// maxLoading is the highest number of engines that were loading at once.
+	maxLoading int
+	orders     int
+	// lose reports whether the n-th order, counted from 1, is lost without an
+	// answer.
 	lose func(n int) bool
 }
 
 const loadTime = 400 * time.Millisecond
 
-func newFleetSim(n int) *fleetSim {
-	s := &fleetSim{plan: NewPlanner(), engines: map[tables.EndpointID]*engineSim{}, lose: func(int) bool { return false }}
+func newFleetSimulation(n int) *fleetSimulation {
+	s := &fleetSimulation{planner: NewPlanner(), engines: map[tables.EndpointID]*simulatedEngine{}, lose: func(int) bool { return false }}
 	var all []fleet.Endpoint
 	for i := range n {
 		id := tables.EndpointID(fmt.Sprintf("e%02d", i))
-		s.engines[id] = &engineSim{version: 1}
+		s.engines[id] = &simulatedEngine{version: 1}
 		all = append(all, fleet.Endpoint{
 			ID: id, Zone: tables.Zone([]string{"a", "b", "c"}[i%3]), Born: 1, Weights: map[string]uint64{"m": 1},
 		})
 	}
-	s.plan.UpdateEndpoints(all)
+	s.planner.UpdateEndpoints(all)
 	return s
 }
 
-func (s *fleetSim) step() {
+func (s *fleetSimulation) step() {
 	s.now += 50 * time.Millisecond
 	loading := 0
 	for _, e := range s.engines {
@@ -57,16 +58,16 @@
 			loading++
 		}
 	}
-	s.most = max(s.most, loading)
-	for _, action := range s.plan.NextActions(s.now) {
-		s.carryOut(action)
+	s.maxLoading = max(s.maxLoading, loading)
+	for _, action := range s.planner.NextActions(s.now) {
+		s.execute(action)
 	}
 }
 
-func (s *fleetSim) carryOut(action Action) {
+func (s *fleetSimulation) execute(action Action) {
 	e, id := s.engines[action.Endpoint.ID], action.Endpoint.ID
 	if action.Version == 0 {
-		s.plan.HandleReport(s.now, id, &Report{
+		s.planner.HandleReport(s.now, id, &Report{
 			Sequence: e.sequence, Busy: e.next != 0, Weights: map[string]uint64{"m": e.version},
 		})
 		return
@@ -74,29 +75,30 @@
 	s.orders++
 	switch {
 	case s.lose(s.orders):
-		s.plan.HandleOrderResult(s.now, id, 0)
+		s.planner.HandleOrderResult(s.now, id, 0)
 	case e.next != 0 || e.sequence != action.Sequence:
-		s.plan.HandleOrderResult(s.now, id, Conflict)
+		s.planner.HandleOrderResult(s.now, id, Conflict)
 	default:
 		e.sequence++
 		e.next, e.doneAt = action.Version, s.now+loadTime
-		s.plan.HandleOrderResult(s.now, id, Accepted)
+		s.planner.HandleOrderResult(s.now, id, Accepted)
 	}
 }
 
-// until steps until every engine serves the version, and gives how long it took.
-func (s *fleetSim) until(t *testing.T, version uint64) time.Duration {
+// runUntilVersion steps until every engine serves the version, and returns the
+// elapsed time.
+func (s *fleetSimulation) runUntilVersion(t *testing.T, version uint64) time.Duration {
 	t.Helper()
 	begin := s.now
 	for s.now < begin+time.Minute {
 		s.step()
-		behind := 0
+		outdated := 0
 		for _, e := range s.engines {
 			if e.version < version {
-				behind++
+				outdated++
 			}
 		}
-		if behind == 0 && s.plan.Converged() {
+		if outdated == 0 && s.planner.Converged() {
 			return s.now - begin
 		}
 	}
@@ -104,22 +106,22 @@
 	return 0
 }
 
-func TestAllEnginesAreBroughtUpToDateFewAtATime(t *testing.T) {
-	s := newFleetSim(9)
-	s.plan.SetTarget("m", 2)
-	took := s.until(t, 2)
+func TestRolloutLimitsConcurrentUpdates(t *testing.T) {
+	s := newFleetSimulation(9)
+	s.planner.SetTarget("m", 2)
+	took := s.runUntilVersion(t, 2)
 	assert.Assert(t, took < 6*time.Second, "took %v", took)
-	assert.Assert(t, s.most <= 2, "%d engines were loading at once", s.most)
+	assert.Assert(t, s.maxLoading <= 2, "%d concurrent updates", s.maxLoading)
 	assert.Equal(t, s.orders, 9)
 }
 
-// A newer version is named every second, faster than all engines can load one.
-// If those that are done first were always the next to be ordered, the last ones
-// would keep weights that callers must not get any more.
-func TestEnginesThatAreFurthestBehindComeFirst(t *testing.T) {
-	s := newFleetSim(9)
+// A newer version is published every second, faster than all engines can load
+// one. If the engines that finish first were always updated first, the last
+// ones would keep serving weights that callers must not get any more.
+func TestEnginesWithOldestWeightsAreUpdatedFirst(t *testing.T) {
+	s := newFleetSimulation(9)
 	for version := uint64(2); version < 8; version++ {
-		s.plan.SetTarget("m", version)
+		s.planner.SetTarget("m", version)
 		for range 20 {
 			s.step()
 		}
@@ -129,49 +131,49 @@
 	}
 }
 
-// An order gets no answer and is lost. The engine must be asked and ordered
-// again, or it keeps its old weights for good.
-func TestALostOrderIsGivenAgain(t *testing.T) {
-	s := newFleetSim(3)
+// An order is lost without an answer. The engine must be polled and ordered
+// again, or it keeps its old weights forever.
+func TestLostOrderIsRetried(t *testing.T) {
+	s := newFleetSimulation(3)
 	s.lose = func(n int) bool { return n <= 2 }
-	s.plan.SetTarget("m", 2)
-	s.until(t, 2)
+	s.planner.SetTarget("m", 2)
+	s.runUntilVersion(t, 2)
 	assert.Equal(t, s.orders, 5)
 }
 
-// An order gets no answer and is carried out seconds later, after a newer one.
-// Without the expected sequence it would bring the old weights back.
-func TestALateOrderIsOutdated(t *testing.T) {
-	s := newFleetSim(1)
+// An order gets no answer and is executed seconds later, after a newer one.
+// Without the sequence check it would restore the old weights.
+func TestDelayedOrderHasStaleSequence(t *testing.T) {
+	s := newFleetSimulation(1)
 	var late []Action
-	s.plan.SetTarget("m", 2)
+	s.planner.SetTarget("m", 2)
 	for len(late) == 0 {
 		s.now += 50 * time.Millisecond
-		for _, action := range s.plan.NextActions(s.now) {
+		for _, action := range s.planner.NextActions(s.now) {
 			if action.Version == 0 {
-				s.carryOut(action)
+				s.execute(action)
 				continue
 			}
 			late = append(late, action)
-			s.plan.HandleOrderResult(s.now, action.Endpoint.ID, 0)
+			s.planner.HandleOrderResult(s.now, action.Endpoint.ID, 0)
 		}
 	}
-	s.plan.SetTarget("m", 3)
-	s.until(t, 3)
+	s.planner.SetTarget("m", 3)
+	s.runUntilVersion(t, 3)
 	e := s.engines["e00"]
-	assert.Assert(t, late[0].Sequence != e.sequence, "the late order would still be taken")
+	assert.Assert(t, late[0].Sequence != e.sequence, "the delayed order would still be accepted")
 }
 
-// An engine restarts in the middle of a rollout and counts orders from zero
-// again. What was known of its former life would make every order outdated.
-func TestARestartedEngineIsAskedAnew(t *testing.T) {
-	s := newFleetSim(1)
-	s.plan.SetTarget("m", 2)
-	s.until(t, 2)
-	s.engines["e00"] = &engineSim{version: 2}
-	s.plan.UpdateEndpoints([]fleet.Endpoint{{ID: "e00", Zone: "a", Born: 2, Weights: map[string]uint64{"m": 2}}})
-	s.plan.SetTarget("m", 3)
-	s.until(t, 3)
+// An engine restarts during a rollout and counts its orders from zero again.
+// The sequence of the earlier process would make every order outdated.
+func TestRestartedEngineIsPolledForItsSequence(t *testing.T) {
+	s := newFleetSimulation(1)
+	s.planner.SetTarget("m", 2)
+	s.runUntilVersion(t, 2)
+	s.engines["e00"] = &simulatedEngine{version: 2}
+	s.planner.UpdateEndpoints([]fleet.Endpoint{{ID: "e00", Zone: "a", Born: 2, Weights: map[string]uint64{"m": 2}}})
+	s.planner.SetTarget("m", 3)
+	s.runUntilVersion(t, 3)
 }
 
 func TestDrainingEnginesGetNoOrders(t *testing.T) {
@@ -182,12 +184,13 @@
 	assert.Equal(t, p.Converged(), true)
 }
 
-// Another holder has just given an engine an order. It has to rest, and the
-// others must not wait for it: requests would begin on old weights meanwhile.
-func TestAnEngineThatRestsDoesNotHoldUpTheOthers(t *testing.T) {
-	s := newFleetSim(4)
-	s.plan.DelayOrders("e00", 3*time.Second)
-	s.plan.SetTarget("m", 2)
+// Orders to one engine are delayed because another holder has just sent it one.
+// The rollout to the other engines must continue, or requests would start on
+// old weights meanwhile.
+func TestDelayedEngineDoesNotBlockTheRollout(t *testing.T) {
+	s := newFleetSimulation(4)
+	s.planner.DelayOrders("e00", 3*time.Second)
+	s.planner.SetTarget("m", 2)
 	for s.now < 2500*time.Millisecond {
 		s.step()
 	}
@@ -201,25 +204,26 @@
 	assert.Equal(t, s.engines["e00"].version, uint64(2))
 }
 
-// Orders get no answer and are carried out late, or never. Were engines with such an
-// order taken to be loading, few would be left to serve, and no others would get theirs.
-func TestAnOrderWithoutAnAnswerHoldsNobodyUp(t *testing.T) {
-	s := newFleetSim(10)
+// Orders get no answer and are executed late, or never. If engines with such an
+// order counted as loading, few engines would be left to serve, and no other
+// engine would be updated.
+func TestUnconfirmedOrderDoesNotBlockTheRollout(t *testing.T) {
+	s := newFleetSimulation(10)
 	s.lose = func(n int) bool { return n <= 2 }
-	s.plan.SetTarget("m", 2)
+	s.planner.SetTarget("m", 2)
 	for s.orders < 2 {
 		s.step()
 	}
-	assert.Equal(t, s.most, 0)
+	assert.Equal(t, s.maxLoading, 0)
 	silent := 0
-	for id, r := range s.plan.rows {
-		if r.silent {
+	for id, r := range s.planner.engines {
+		if r.unconfirmed {
 			silent++
-			assert.Equal(t, s.plan.Updating(id), false)
+			assert.Equal(t, s.planner.Updating(id), false)
 		}
 	}
 	assert.Equal(t, silent, 2)
-	for s.now < reportLag+closeFor {
+	for s.now < maxReportAge+cordonTime {
 		s.step()
 	}
 	assert.Assert(t, s.orders >= 4, "%d orders", s.orders)
--- a/control/state/claims.go
+++ b/control/state/claims.go
@@ -6,151 +6,169 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// claimID names a claim: a key means nothing outside its organisation.
+// claimID identifies a claim. Idempotency keys are scoped to their
+// organisation.
 type claimID struct {
 	organisation string
 	key          string
 }
 
-// claim is one row.
+// claim is the row of one idempotency key. Its stages form a state machine:
 //
 //	(none) --claim--> claimed --markDispatched--> dispatched --finish--> done
 //	   ^                 |                            |
 //	   +-----release-----+----------release-----------+
 //
-// A row leaves claimed only with the fence of its owner, and a take-over gives
-// it a new fence. So a paused owner that wakes after the take-over is refused
-// its dispatch, whatever its clock says. A dispatched row is never claimed
-// again: it ends by an answer, by its owner's proof that nothing ran, or as
-// unknown once it is lost.
+// A dispatch requires the fencing token of the row, and each takeover issues a
+// new one. So an owner that was paused across a takeover is refused its
+// dispatch, whatever its clock says. A dispatched row is never granted again:
+// it ends with an answer, with a release in which its owner proves that nothing
+// ran, or with an unknown outcome once its deadline passes or its owner is
+// lost.
 type claim struct {
-	body          string
-	stage         rpc.ClaimStage
-	owner         owner
+	// bodyHash is the hash of the request body. Another body under the same key is
+	// refused.
+	bodyHash string
+	stage    rpc.ClaimStage
+	owner    processID
+	// fence is the fencing token, the log index of the grant. token identifies the
+	// request that was granted, dispatchToken its dispatch.
 	fence         uint64
 	token         string
 	dispatchToken string
-	// changed is the log index of the last change; it orders rows of one stage.
-	changed uint64
-	expires time.Duration
-	// lostAt is when a dispatched row without an answer counts as unknown.
-	lostAt time.Duration
-	answer *rpc.StoredAnswer
+	// modifiedIndex is the log index of the last change. Rows of one stage are
+	// ordered by it.
+	modifiedIndex uint64
+	expiresAt     time.Duration
+	// outcomeDeadline is when the outcome of a dispatched row without an answer
+	// counts as unknown.
+	outcomeDeadline time.Duration
+	answer          *rpc.StoredAnswer
 }
 
-type owner struct {
+// processID identifies one run of an instance. The boot number is higher after
+// each restart.
+type processID struct {
 	instance string
 	boot     uint64
 }
 
-// due is an entry of an expiry queue. It is stale if the row has changed since.
-type due struct {
-	id      claimID
-	changed uint64
-	at      time.Duration
+// queueEntry is a row's entry in an expiry or eviction queue. It is stale if
+// the row has changed since; stale entries are skipped.
+type queueEntry struct {
+	id            claimID
+	modifiedIndex uint64
+	expiresAt     time.Duration
 }
 
-// claims holds the rows and, because every stage lives equally long, their
-// expiry in plain queues.
-type claims struct {
-	limits        Limits
-	rows          map[claimID]*claim
-	organisations map[string]int
-	// short holds claimed rows, long the others; both ordered by time.
-	short []due
-	long  []due
-	// answers lists rows with stored answers, oldest first.
-	answers     []due
+// claimTable is the idempotency store: the rows by key, and FIFO queues for
+// their expiry. A FIFO is ordered by expiry time because all rows of one stage
+// have the same lifetime.
+type claimTable struct {
+	limits              Limits
+	rows                map[claimID]*claim
+	countByOrganisation map[string]int
+	// claimedQueue holds rows in the claimed stage, retentionQueue dispatched
+	// and done rows. Both are ordered by expiry time.
+	claimedQueue   []queueEntry
+	retentionQueue []queueEntry
+	// answerQueue lists the rows with stored answer bodies, oldest first, in
+	// the order in which the bodies are evicted.
+	answerQueue []queueEntry
 	answerBytes int
-	sessions    sessions
-	// heldUntil is when keys that are not known are granted again after a
-	// restore.
-	heldUntil time.Duration
+	sessions    sessionTable
+	// newKeysHeldUntil is the log time up to which unknown keys are refused
+	// after a restore from a backup.
+	newKeysHeldUntil time.Duration
 }
 
-func newClaims(limits Limits) claims {
-	return claims{
-		limits:        limits,
-		rows:          map[claimID]*claim{},
-		organisations: map[string]int{},
-		sessions:      newSessions(limits),
+func newClaimTable(limits Limits) claimTable {
+	return claimTable{
+		limits:              limits,
+		rows:                map[claimID]*claim{},
+		countByOrganisation: map[string]int{},
+		sessions:            newSessionTable(limits),
 	}
 }
 
-// claim gives the right to dispatch to the first who asks, and tells the others
-// how far the work is.
-func (c *claims) claim(index uint64, now time.Duration, request *rpc.Claim) *rpc.Result {
+// claim grants the right to dispatch to the first request for a key. Later
+// requests get the stage of the work, or its answer.
+func (c *claimTable) claim(index uint64, now time.Duration, request *rpc.Claim) *rpc.Result {
 	id := claimID{request.GetOrganisation(), request.GetKey()}
-	asker := owner{request.GetOwner().GetInstance(), request.GetOwner().GetBoot()}
+	requester := processID{request.GetOwner().GetInstance(), request.GetOwner().GetBoot()}
 	if !id.valid() || len(request.GetBody()) > maxNameBytes || len(request.GetToken()) > maxNameBytes {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
-	c.sessions.seen(now, asker)
+	c.sessions.recordHeartbeat(now, requester)
 	row := c.rows[id]
 	if row == nil {
-		if now < c.heldUntil {
-			return refusedFor(rpc.RefusalReason_REFUSED_CLAIMS_HELD, c.heldUntil-now)
+		if now < c.newKeysHeldUntil {
+			return refusedWithRetry(rpc.RefusalReason_REFUSED_CLAIMS_HELD, c.newKeysHeldUntil-now)
 		}
-		if c.full(id.organisation) {
+		if c.atCapacity(id.organisation) {
 			return refused(rpc.RefusalReason_REFUSED_CLAIMS_FULL)
 		}
-		row = &claim{body: string(request.GetBody())}
+		row = &claim{bodyHash: string(request.GetBody())}
 		c.rows[id] = row
-		c.organisations[id.organisation]++
-		return c.grant(index, now, id, row, asker, request.GetToken())
+		c.countByOrganisation[id.organisation]++
+		return c.grant(index, now, id, row, requester, request.GetToken())
 	}
-	if row.body != string(request.GetBody()) {
+	if row.bodyHash != string(request.GetBody()) {
 		return refused(rpc.RefusalReason_REFUSED_KEY_REUSED)
 	}
 	switch row.stage {
 	case rpc.ClaimStage_STAGE_CLAIMED:
-		return c.claimAgain(index, now, id, row, asker, request)
+		return c.reclaim(index, now, id, row, requester, request)
 	case rpc.ClaimStage_STAGE_DISPATCHED:
-		return c.claimDispatched(now, row)
+		return c.dispatchedStatus(now, row)
 	default:
-		return claimAnswer(&rpc.ClaimAnswer{State: rpc.ClaimState_CLAIM_DONE, Answer: row.answer})
+		return claimResult(&rpc.ClaimAnswer{State: rpc.ClaimState_CLAIM_DONE, Answer: row.answer})
 	}
 }
 
-// claimAgain answers a claim of a row that was not dispatched yet.
-func (c *claims) claimAgain(index uint64, now time.Duration, id claimID, row *claim, asker owner, request *rpc.Claim) *rpc.Result {
-	if row.owner == asker && row.token == request.GetToken() {
-		return granted(row)
+// reclaim answers a claim on a row that was not dispatched yet. A resend of the
+// same request gets the same grant again. Another request takes the row over
+// once its owner is lost, or at once if the owner itself sends it and knows of
+// no other claim of its own on the key.
+func (c *claimTable) reclaim(index uint64, now time.Duration, id claimID, row *claim, requester processID, request *rpc.Claim) *rpc.Result {
+	if row.owner == requester && row.token == request.GetToken() {
+		return grantedResult(row)
 	}
-	wait := c.sessions.lostIn(now, row.owner)
-	if row.owner == asker && request.GetAlone() {
+	wait := c.sessions.timeUntilLost(now, row.owner)
+	if row.owner == requester && request.GetAlone() {
 		wait = 0
 	}
 	if wait > 0 {
-		return inProgress(wait)
+		return inProgressResult(wait)
 	}
-	return c.grant(index, now, id, row, asker, request.GetToken())
+	return c.grant(index, now, id, row, requester, request.GetToken())
 }
 
-// claimDispatched answers a claim of a row whose work has left its owner. It
-// never grants: the work may be running, also when its owner is lost.
-func (c *claims) claimDispatched(now time.Duration, row *claim) *rpc.Result {
-	if wait := min(row.lostAt-now, c.sessions.lostIn(now, row.owner)); wait > 0 {
-		return inProgress(wait)
+// dispatchedStatus answers a claim on a dispatched row. It never grants the
+// claim, even if the owner is lost, because the work may be running.
+func (c *claimTable) dispatchedStatus(now time.Duration, row *claim) *rpc.Result {
+	if wait := min(row.outcomeDeadline-now, c.sessions.timeUntilLost(now, row.owner)); wait > 0 {
+		return inProgressResult(wait)
 	}
-	return claimAnswer(&rpc.ClaimAnswer{State: rpc.ClaimState_CLAIM_UNKNOWN})
+	return claimResult(&rpc.ClaimAnswer{State: rpc.ClaimState_CLAIM_UNKNOWN})
 }
 
-func (c *claims) grant(index uint64, now time.Duration, id claimID, row *claim, to owner, token string) *rpc.Result {
+func (c *claimTable) grant(index uint64, now time.Duration, id claimID, row *claim, to processID, token string) *rpc.Result {
 	row.stage = rpc.ClaimStage_STAGE_CLAIMED
 	row.owner = to
 	row.token = token
 	row.fence = index
-	row.changed = index
-	row.expires = now + c.limits.ClaimedTTL
-	c.short = append(c.short, due{id, index, row.expires})
-	return granted(row)
+	row.modifiedIndex = index
+	row.expiresAt = now + c.limits.ClaimedTTL
+	c.claimedQueue = append(c.claimedQueue, queueEntry{id, index, row.expiresAt})
+	return grantedResult(row)
 }
 
-// markDispatched is the second quorum step. Its acceptance is the right to let
-// the work leave, once: a second token under the same fence would be a second
-// dispatch and is refused.
-func (c *claims) markDispatched(index uint64, now time.Duration, request *rpc.MarkDispatched) *rpc.Result {
+// markDispatched moves a row to the dispatched stage. It is the second quorum
+// write of a request, after the claim. Its acceptance permits exactly one
+// dispatch: another token under the same fence would be a second dispatch and
+// is refused.
+func (c *claimTable) markDispatched(index uint64, now time.Duration, request *rpc.MarkDispatched) *rpc.Result {
 	id := claimID{request.GetOrganisation(), request.GetKey()}
 	row := c.rows[id]
 	if row == nil || row.fence != request.GetFence() {
@@ -168,14 +186,15 @@
 	lostAfter := time.Duration(request.GetLostAfterNanos())
 	row.stage = rpc.ClaimStage_STAGE_DISPATCHED
 	row.dispatchToken = request.GetToken()
-	row.lostAt = now + min(max(lostAfter, minLostAfter), maxLostAfter)
-	c.keep(index, now, id, row)
+	row.outcomeDeadline = now + min(max(lostAfter, minOutcomeTimeout), maxOutcomeTimeout)
+	c.startRetention(index, now, id, row)
 	return done()
 }
 
-// finish stores the answer, also one that comes after the outcome was given as
-// unknown. An answer too large to keep is dropped, but that it ran is not.
-func (c *claims) finish(index uint64, now time.Duration, request *rpc.FinishClaim) *rpc.Result {
+// finish stores the answer, also if the outcome was reported as unknown before.
+// If the body exceeds the limit it is dropped, but the row still records that
+// the work ran.
+func (c *claimTable) finish(index uint64, now time.Duration, request *rpc.FinishClaim) *rpc.Result {
 	id := claimID{request.GetOrganisation(), request.GetKey()}
 	row := c.rows[id]
 	if row == nil || row.fence != request.GetFence() || row.stage == rpc.ClaimStage_STAGE_CLAIMED {
@@ -192,18 +211,18 @@
 	if len(row.answer.GetBody()) > c.limits.MaxAnswerBytes {
 		row.answer = withoutBody(row.answer)
 	}
-	c.keep(index, now, id, row)
-	c.keepAnswer(id, row)
+	c.startRetention(index, now, id, row)
+	c.retainAnswer(id, row)
 	return done()
 }
 
-// release forgets a claim whose work provably did not run and never will. The
-// fence is never given again, so that a late markDispatched of the same owner
-// finds nothing it could use.
-func (c *claims) release(request *rpc.ReleaseClaim) *rpc.Result {
+// release deletes a claim whose work provably did not run and will not run.
+// Fencing tokens are never reused, so a delayed markDispatched of the same
+// owner is refused.
+func (c *claimTable) release(request *rpc.ReleaseClaim) *rpc.Result {
 	id := claimID{request.GetOrganisation(), request.GetKey()}
 	row := c.rows[id]
-	if row == nil || !row.named(request) {
+	if row == nil || !row.matchesRelease(request) {
 		return done()
 	}
 	if row.stage == rpc.ClaimStage_STAGE_DONE {
@@ -213,35 +232,35 @@
 	return done()
 }
 
-// named says whether a release means this row: by its fence, or by the token of
-// a claim that was not dispatched.
-func (r *claim) named(request *rpc.ReleaseClaim) bool {
+// matchesRelease reports whether a release refers to this row, either by its
+// fence or, for a row that was not dispatched, by its owner and token.
+func (r *claim) matchesRelease(request *rpc.ReleaseClaim) bool {
 	if request.GetFence() != 0 {
 		return r.fence == request.GetFence()
 	}
-	by := owner{request.GetOwner().GetInstance(), request.GetOwner().GetBoot()}
+	by := processID{request.GetOwner().GetInstance(), request.GetOwner().GetBoot()}
 	return r.stage == rpc.ClaimStage_STAGE_CLAIMED && r.owner == by && r.token == request.GetToken()
 }
 
-// keep lets the row live for the retention from now on.
-func (c *claims) keep(index uint64, now time.Duration, id claimID, row *claim) {
-	row.changed = index
-	row.expires = now + c.limits.ClaimRetention
-	c.long = append(c.long, due{id, index, row.expires})
+// startRetention restarts the row's expiry with the full claim retention.
+func (c *claimTable) startRetention(index uint64, now time.Duration, id claimID, row *claim) {
+	row.modifiedIndex = index
+	row.expiresAt = now + c.limits.ClaimRetention
+	c.retentionQueue = append(c.retentionQueue, queueEntry{id, index, row.expiresAt})
 }
 
-// keepAnswer counts the row's answer and drops the oldest bodies above the
-// bound.
-func (c *claims) keepAnswer(id claimID, row *claim) {
+// retainAnswer accounts for the row's answer body and evicts the oldest bodies
+// above the total limit.
+func (c *claimTable) retainAnswer(id claimID, row *claim) {
 	if len(row.answer.GetBody()) == 0 {
 		return
 	}
 	c.answerBytes += len(row.answer.GetBody())
-	c.answers = append(c.answers, due{id: id, changed: row.changed})
+	c.answerQueue = append(c.answerQueue, queueEntry{id: id, modifiedIndex: row.modifiedIndex})
 	for c.answerBytes > c.limits.MaxTotalAnswerBytes {
-		oldest := c.answers[0]
-		c.answers = c.answers[1:]
-		if c.stale(oldest) {
+		oldest := c.answerQueue[0]
+		c.answerQueue = c.answerQueue[1:]
+		if c.isStale(oldest) {
 			continue
 		}
 		old := c.rows[oldest.id]
@@ -250,37 +269,40 @@
 	}
 }
 
-func (c *claims) full(organisation string) bool {
-	return len(c.rows) >= c.limits.MaxClaims || c.organisations[organisation] >= c.limits.MaxClaimsPerOrganisation
+// atCapacity reports whether a new claim would exceed a limit.
+func (c *claimTable) atCapacity(organisation string) bool {
+	return len(c.rows) >= c.limits.MaxClaims || c.countByOrganisation[organisation] >= c.limits.MaxClaimsPerOrganisation
 }
 
-func (c *claims) remove(id claimID, row *claim) {
+func (c *claimTable) remove(id claimID, row *claim) {
 	c.answerBytes -= len(row.answer.GetBody())
 	delete(c.rows, id)
-	c.organisations[id.organisation]--
-	if c.organisations[id.organisation] == 0 {
-		delete(c.organisations, id.organisation)
+	c.countByOrganisation[id.organisation]--
+	if c.countByOrganisation[id.organisation] == 0 {
+		delete(c.countByOrganisation, id.organisation)
 	}
 }
 
-func (c *claims) expire(now time.Duration) {
-	c.short = c.expireQueue(c.short, now)
-	c.long = c.expireQueue(c.long, now)
-	for len(c.answers) > 0 && c.stale(c.answers[0]) {
-		c.answers = c.answers[1:]
+func (c *claimTable) expire(now time.Duration) {
+	c.claimedQueue = c.expireQueue(c.claimedQueue, now)
+	c.retentionQueue = c.expireQueue(c.retentionQueue, now)
+	for len(c.answerQueue) > 0 && c.isStale(c.answerQueue[0]) {
+		c.answerQueue = c.answerQueue[1:]
 	}
 }
 
-func (c *claims) stale(entry due) bool {
+func (c *claimTable) isStale(entry queueEntry) bool {
 	row := c.rows[entry.id]
-	return row == nil || row.changed != entry.changed
+	return row == nil || row.modifiedIndex != entry.modifiedIndex
 }
 
-func (c *claims) expireQueue(queue []due, now time.Duration) []due {
-	for len(queue) > 0 && queue[0].at <= now {
+// expireQueue removes the rows at the head of a queue that have expired, and
+// returns the rest of the queue.
+func (c *claimTable) expireQueue(queue []queueEntry, now time.Duration) []queueEntry {
+	for len(queue) > 0 && queue[0].expiresAt <= now {
 		head := queue[0]
 		queue = queue[1:]
-		if !c.stale(head) {
+		if !c.isStale(head) {
 			c.remove(head.id, c.rows[head.id])
 		}
 	}
@@ -295,17 +317,17 @@
 	return &rpc.StoredAnswer{Status: answer.GetStatus(), Type: answer.GetType(), Dropped: true}
 }
 
-func granted(row *claim) *rpc.Result {
-	return claimAnswer(&rpc.ClaimAnswer{State: rpc.ClaimState_CLAIM_NEW, Fence: row.fence})
+func grantedResult(row *claim) *rpc.Result {
+	return claimResult(&rpc.ClaimAnswer{State: rpc.ClaimState_CLAIM_NEW, Fence: row.fence})
 }
 
-func inProgress(wait time.Duration) *rpc.Result {
-	return claimAnswer(&rpc.ClaimAnswer{
+func inProgressResult(wait time.Duration) *rpc.Result {
+	return claimResult(&rpc.ClaimAnswer{
 		State:           rpc.ClaimState_CLAIM_IN_PROGRESS,
 		RetryAfterNanos: int64(min(wait, maxRetryAfter)),
 	})
 }
 
-func claimAnswer(answer *rpc.ClaimAnswer) *rpc.Result {
+func claimResult(answer *rpc.ClaimAnswer) *rpc.Result {
 	return &rpc.Result{Answer: &rpc.Result_Claim{Claim: answer}}
 }
--- a/control/state/claims_snapshot.go
+++ b/control/state/claims_snapshot.go
@@ -8,22 +8,22 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// save writes the rows in the order of their last change, from which load
-// builds the queues again just as they were.
-func (c *claims) save(snapshot *rpc.Snapshot) {
+// save writes the rows in the order of their last change. restore rebuilds the
+// expiry and eviction queues from that order.
+func (c *claimTable) save(snapshot *rpc.Snapshot) {
 	for id, row := range c.rows {
 		snapshot.Claims = append(snapshot.Claims, &rpc.ClaimRow{
 			Organisation:  id.organisation,
 			Key:           id.key,
-			Body:          []byte(row.body),
+			Body:          []byte(row.bodyHash),
 			Stage:         row.stage,
 			Owner:         &rpc.ClaimOwner{Instance: row.owner.instance, Boot: row.owner.boot},
 			Fence:         row.fence,
 			Token:         row.token,
 			DispatchToken: row.dispatchToken,
-			Changed:       row.changed,
-			Expires:       int64(row.expires),
-			LostAt:        int64(row.lostAt),
+			Changed:       row.modifiedIndex,
+			Expires:       int64(row.expiresAt),
+			LostAt:        int64(row.outcomeDeadline),
 			Answer:        row.answer,
 		})
 	}
@@ -31,36 +31,36 @@
 		return cmp.Compare(a.GetChanged(), b.GetChanged())
 	})
 	c.sessions.save(snapshot)
-	snapshot.ClaimsHeldUntil = int64(c.heldUntil)
+	snapshot.ClaimsHeldUntil = int64(c.newKeysHeldUntil)
 }
 
-func (c *claims) load(snapshot *rpc.Snapshot) {
+func (c *claimTable) restore(snapshot *rpc.Snapshot) {
 	for _, saved := range snapshot.GetClaims() {
 		id := claimID{saved.GetOrganisation(), saved.GetKey()}
 		row := &claim{
-			body:          string(saved.GetBody()),
-			stage:         saved.GetStage(),
-			owner:         owner{saved.GetOwner().GetInstance(), saved.GetOwner().GetBoot()},
-			fence:         saved.GetFence(),
-			token:         saved.GetToken(),
-			dispatchToken: saved.GetDispatchToken(),
-			changed:       saved.GetChanged(),
-			expires:       time.Duration(saved.GetExpires()),
-			lostAt:        time.Duration(saved.GetLostAt()),
-			answer:        saved.GetAnswer(),
+			bodyHash:        string(saved.GetBody()),
+			stage:           saved.GetStage(),
+			owner:           processID{saved.GetOwner().GetInstance(), saved.GetOwner().GetBoot()},
+			fence:           saved.GetFence(),
+			token:           saved.GetToken(),
+			dispatchToken:   saved.GetDispatchToken(),
+			modifiedIndex:   saved.GetChanged(),
+			expiresAt:       time.Duration(saved.GetExpires()),
+			outcomeDeadline: time.Duration(saved.GetLostAt()),
+			answer:          saved.GetAnswer(),
 		}
 		c.rows[id] = row
-		c.organisations[id.organisation]++
-		entry := due{id, row.changed, row.expires}
+		c.countByOrganisation[id.organisation]++
+		entry := queueEntry{id, row.modifiedIndex, row.expiresAt}
 		if row.stage == rpc.ClaimStage_STAGE_CLAIMED {
-			c.short = append(c.short, entry)
+			c.claimedQueue = append(c.claimedQueue, entry)
 		} else {
-			c.long = append(c.long, entry)
+			c.retentionQueue = append(c.retentionQueue, entry)
 		}
 		if row.stage == rpc.ClaimStage_STAGE_DONE {
-			c.keepAnswer(id, row)
+			c.retainAnswer(id, row)
 		}
 	}
-	c.sessions.load(snapshot)
-	c.heldUntil = time.Duration(snapshot.GetClaimsHeldUntil())
+	c.sessions.restore(snapshot)
+	c.newKeysHeldUntil = time.Duration(snapshot.GetClaimsHeldUntil())
 }
--- a/control/state/claims_test.go
+++ b/control/state/claims_test.go
@@ -11,31 +11,31 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// world is a state with the log index and time that drive it.
-type world struct {
+// harness drives a state machine with its own log index and log time.
+type harness struct {
 	*State
 	index uint64
 	time  time.Duration
 }
 
-func newWorld() *world {
+func newHarness() *harness {
 	limits := DefaultLimits()
 	limits.MaxClaims, limits.MaxClaimsPerOrganisation = 6, 4
 	limits.MaxAnswerBytes, limits.MaxTotalAnswerBytes = 10, 25
-	return &world{State: New(limits)}
+	return &harness{State: New(limits)}
 }
 
-func (w *world) run(command *rpc.Command) *rpc.Result {
+func (w *harness) run(command *rpc.Command) *rpc.Result {
 	w.index++
 	command.Stamp = int64(w.time)
 	return w.Execute(w.index, command)
 }
 
-func (w *world) claim(key, body, instance string, boot uint64, token string) *rpc.Result {
+func (w *harness) claim(key, body, instance string, boot uint64, token string) *rpc.Result {
 	return w.claimAlone(key, body, instance, boot, token, false)
 }
 
-func (w *world) claimAlone(key, body, instance string, boot uint64, token string, alone bool) *rpc.Result {
+func (w *harness) claimAlone(key, body, instance string, boot uint64, token string, alone bool) *rpc.Result {
 	return w.run(&rpc.Command{Action: &rpc.Command_Claim{Claim: &rpc.Claim{
 		Organisation: "press",
 		Key:          key,
@@ -46,32 +46,32 @@
 	}}})
 }
 
-func (w *world) mark(key string, fence uint64, token string) *rpc.Result {
+func (w *harness) markDispatched(key string, fence uint64, token string) *rpc.Result {
 	return w.run(&rpc.Command{Action: &rpc.Command_MarkDispatched{MarkDispatched: &rpc.MarkDispatched{
 		Organisation: "press", Key: key, Fence: fence, Token: token, LostAfterNanos: int64(time.Minute),
 	}}})
 }
 
-func (w *world) finish(key string, fence uint64, body string) *rpc.Result {
+func (w *harness) finish(key string, fence uint64, body string) *rpc.Result {
 	return w.run(&rpc.Command{Action: &rpc.Command_FinishClaim{FinishClaim: &rpc.FinishClaim{
 		Organisation: "press", Key: key, Fence: fence, Answer: &rpc.StoredAnswer{Status: 200, Body: []byte(body)},
 	}}})
 }
 
-func (w *world) release(key string, fence uint64) *rpc.Result {
+func (w *harness) release(key string, fence uint64) *rpc.Result {
 	return w.run(&rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
 		Organisation: "press", Key: key, Fence: fence,
 	}}})
 }
 
-func reason(r *rpc.Result) rpc.RefusalReason { return r.GetRefusal().GetReason() }
+func refusalReason(r *rpc.Result) rpc.RefusalReason { return r.GetRefusal().GetReason() }
 
-// An instance is paused between its claim and its call, for longer than the
-// take-over takes. The caller sends again through another instance, which runs
-// the work. When the first one wakes, it must not run it too: the caller would
-// find the note published twice.
-func TestPausedOwnerIsRefusedAfterTakeOver(t *testing.T) {
-	w := newWorld()
+// An owner is paused between its claim and its dispatch for longer than the
+// session timeout. The caller retries through another instance, which takes the
+// claim over. When the first owner resumes, its dispatch must be refused, or
+// the work would run twice.
+func TestPausedOwnerIsFencedAfterTakeover(t *testing.T) {
+	w := newHarness()
 	first := w.claim("k", "b", "i1", 1, "t1").GetClaim()
 	assert.Equal(t, first.GetState(), rpc.ClaimState_CLAIM_NEW)
 	early := w.claim("k", "b", "i2", 1, "t2").GetClaim()
@@ -80,18 +80,18 @@
 	second := w.claim("k", "b", "i2", 1, "t3").GetClaim()
 	assert.Equal(t, second.GetState(), rpc.ClaimState_CLAIM_NEW)
 	assert.Assert(t, second.GetFence() > first.GetFence())
-	assert.Equal(t, reason(w.mark("k", first.GetFence(), "d1")), rpc.RefusalReason_REFUSED_CLAIM_LOST)
-	assert.Assert(t, w.mark("k", second.GetFence(), "d2").GetDone() != nil)
-	assert.Equal(t, reason(w.finish("k", first.GetFence(), "x")), rpc.RefusalReason_REFUSED_CLAIM_LOST)
+	assert.Equal(t, refusalReason(w.markDispatched("k", first.GetFence(), "d1")), rpc.RefusalReason_REFUSED_CLAIM_LOST)
+	assert.Assert(t, w.markDispatched("k", second.GetFence(), "d2").GetDone() != nil)
+	assert.Equal(t, refusalReason(w.finish("k", first.GetFence(), "x")), rpc.RefusalReason_REFUSED_CLAIM_LOST)
 }
 
-// The owner restarts after its call has left. Nobody can tell whether the work
-// ran, so a resend is told that the outcome is unknown, and never runs it. If
-// the answer still comes, later resends get it.
-func TestRestartAfterDispatchGivesUnknown(t *testing.T) {
-	w := newWorld()
+// The owner restarts after its dispatch. Whether the work ran cannot be known,
+// so a retry gets an unknown outcome and never runs it. If the answer still
+// arrives, later retries get the answer.
+func TestOwnerRestartAfterDispatchMakesOutcomeUnknown(t *testing.T) {
+	w := newHarness()
 	grant := w.claim("k", "b", "i1", 1, "t1").GetClaim()
-	assert.Assert(t, w.mark("k", grant.GetFence(), "d").GetDone() != nil)
+	assert.Assert(t, w.markDispatched("k", grant.GetFence(), "d").GetDone() != nil)
 	assert.Equal(t, w.claim("k", "b", "i2", 1, "t2").GetClaim().GetState(), rpc.ClaimState_CLAIM_IN_PROGRESS)
 	assert.Equal(t, w.claim("other", "b", "i1", 2, "t3").GetClaim().GetState(), rpc.ClaimState_CLAIM_NEW)
 	assert.Equal(t, w.claim("k", "b", "i2", 1, "t2").GetClaim().GetState(), rpc.ClaimState_CLAIM_UNKNOWN)
@@ -101,30 +101,30 @@
 	assert.Equal(t, string(resend.GetAnswer().GetBody()), "late")
 }
 
-func TestClaimAnswers(t *testing.T) {
-	w := newWorld()
+func TestClaimStateTransitions(t *testing.T) {
+	w := newHarness()
 	grant := w.claim("k", "b", "i1", 1, "t1").GetClaim()
 	assert.Equal(t, w.claim("k", "b", "i1", 1, "t1").GetClaim().GetFence(), grant.GetFence())
-	assert.Equal(t, reason(w.claim("k", "other", "i1", 1, "t2")), rpc.RefusalReason_REFUSED_KEY_REUSED)
-	assert.Equal(t, reason(w.finish("k", grant.GetFence(), "early")), rpc.RefusalReason_REFUSED_CLAIM_LOST)
-	assert.Assert(t, w.mark("k", grant.GetFence(), "d").GetDone() != nil)
-	assert.Assert(t, w.mark("k", grant.GetFence(), "d").GetDone() != nil)
-	assert.Equal(t, reason(w.mark("k", grant.GetFence(), "second")), rpc.RefusalReason_REFUSED_ALREADY_DISPATCHED)
+	assert.Equal(t, refusalReason(w.claim("k", "other", "i1", 1, "t2")), rpc.RefusalReason_REFUSED_KEY_REUSED)
+	assert.Equal(t, refusalReason(w.finish("k", grant.GetFence(), "early")), rpc.RefusalReason_REFUSED_CLAIM_LOST)
+	assert.Assert(t, w.markDispatched("k", grant.GetFence(), "d").GetDone() != nil)
+	assert.Assert(t, w.markDispatched("k", grant.GetFence(), "d").GetDone() != nil)
+	assert.Equal(t, refusalReason(w.markDispatched("k", grant.GetFence(), "second")), rpc.RefusalReason_REFUSED_ALREADY_DISPATCHED)
 	w.time += time.Minute
 	assert.Equal(t, w.claim("k", "b", "i1", 1, "t1").GetClaim().GetState(), rpc.ClaimState_CLAIM_UNKNOWN)
 	assert.Assert(t, w.finish("k", grant.GetFence(), "a").GetDone() != nil)
-	assert.Equal(t, reason(w.release("k", grant.GetFence())), rpc.RefusalReason_REFUSED_CLAIM_LOST)
+	assert.Equal(t, refusalReason(w.release("k", grant.GetFence())), rpc.RefusalReason_REFUSED_CLAIM_LOST)
 	w.time += w.limits.ClaimRetention - 1
 	assert.Equal(t, w.claim("k", "b", "i1", 1, "t5").GetClaim().GetState(), rpc.ClaimState_CLAIM_DONE)
 	w.time++
 	assert.Equal(t, w.claim("k", "b", "i1", 1, "t6").GetClaim().GetState(), rpc.ClaimState_CLAIM_NEW)
 }
 
-// Work that can wait is queued for minutes while its caller asks again through
-// another instance. The one that queues it is alive and keeps the claim, or the
-// work would start its wait anew with every resend.
-func TestLivingOwnerKeepsItsClaim(t *testing.T) {
-	w := newWorld()
+// Work is queued for minutes while its caller retries through another instance.
+// The owner sends keepalives and must keep the claim. Otherwise each retry
+// would restart the wait in the queue.
+func TestKeepAlivePreventsClaimTakeover(t *testing.T) {
+	w := newHarness()
 	grant := w.claim("k", "b", "i1", 1, "t1").GetClaim()
 	for range 100 {
 		w.time += w.limits.SessionTimeout - 1
@@ -133,21 +133,22 @@
 		}}})
 		assert.Equal(t, w.claim("k", "b", "i2", 1, "t2").GetClaim().GetState(), rpc.ClaimState_CLAIM_IN_PROGRESS)
 	}
-	assert.Assert(t, w.mark("k", grant.GetFence(), "d").GetDone() != nil)
+	assert.Assert(t, w.markDispatched("k", grant.GetFence(), "d").GetDone() != nil)
 }
 
-// More keys come than can be kept. Old keys must stay, or their work could run
-// again; so new ones are refused, and nothing of them has run. Answers that
-// need too many bytes go first, and what ran is still known to have run.
-func TestClaimsAreBounded(t *testing.T) {
-	w := newWorld()
+// More keys arrive than can be retained. Existing keys must stay, or their work
+// could run again, so new keys are refused before anything of them runs. Answer
+// bodies above the byte limit are evicted oldest first, and the rows still
+// record that the work ran.
+func TestClaimAndAnswerLimits(t *testing.T) {
+	w := newHarness()
 	for i := range 4 {
 		key := fmt.Sprint("k", i)
 		grant := w.claim(key, "b", "i1", 1, key).GetClaim()
-		w.mark(key, grant.GetFence(), "d")
+		w.markDispatched(key, grant.GetFence(), "d")
 		assert.Assert(t, w.finish(key, grant.GetFence(), "123456789"[:6+i]).GetDone() != nil)
 	}
-	assert.Equal(t, reason(w.claim("k4", "b", "i1", 1, "t")), rpc.RefusalReason_REFUSED_CLAIMS_FULL)
+	assert.Equal(t, refusalReason(w.claim("k4", "b", "i1", 1, "t")), rpc.RefusalReason_REFUSED_CLAIMS_FULL)
 	assert.Assert(t, w.claims.answerBytes <= w.limits.MaxTotalAnswerBytes)
 	first := w.claim("k0", "b", "i2", 1, "t").GetClaim()
 	assert.Equal(t, first.GetState(), rpc.ClaimState_CLAIM_DONE)
@@ -156,21 +157,23 @@
 	w.time += w.limits.ClaimRetention
 	assert.Equal(t, w.claim("k4", "b", "i1", 1, "t").GetClaim().GetState(), rpc.ClaimState_CLAIM_NEW)
 	assert.Equal(t, w.claims.answerBytes, 0)
-	assert.Equal(t, len(w.claims.answers), 0)
+	assert.Equal(t, len(w.claims.answerQueue), 0)
 }
 
-// caller is one try of one instance at running a key, as an entry makes it.
+// caller is one attempt of an instance to run the work of a key.
 type caller struct {
 	key   string
 	fence uint64
-	// stopped callers have given up before their dispatch and never make it.
+	// stopped is set when the caller has given up. Before its dispatch it then
+	// never dispatches.
 	stopped    bool
 	dispatched bool
 }
 
-// claimNetwork loses, repeats and reorders what callers send and are answered.
+// claimNetwork loses, duplicates and reorders the callers' requests and loses
+// answers.
 type claimNetwork struct {
-	*world
+	*harness
 	callers  []*caller
 	inFlight []func(answered bool)
 	runs     map[string]int
@@ -192,16 +195,16 @@
 }
 
 func (n *claimNetwork) dispatch(c *caller, token string, answered bool) {
-	accepted := n.mark(c.key, c.fence, token).GetDone() != nil
+	accepted := n.markDispatched(c.key, c.fence, token).GetDone() != nil
 	if accepted && answered && !c.stopped && !c.dispatched {
 		c.dispatched = true
 		n.runs[c.key]++
 	}
 }
 
-// giveUp lets the caller stop: before its dispatch it releases the claim, after
-// it either has an answer or proof that nothing ran.
-func (n *claimNetwork) giveUp(c *caller, proof bool) {
+// abandon stops the caller. Before its dispatch it releases the claim; after
+// the dispatch it either has an answer or proof that nothing ran.
+func (n *claimNetwork) abandon(c *caller, proof bool) {
 	if c.fence == 0 || c.stopped {
 		return
 	}
@@ -216,13 +219,13 @@
 	n.send(func(bool) { n.release(c.key, c.fence) })
 }
 
-// Callers send one key through several instances at once. Messages and answers
-// are lost, repeated and reordered, instances restart, and control instances
-// come back from snapshots. The caller must never find its work done twice.
+// Callers send one key through several instances concurrently. Messages and
+// answers are lost, duplicated and reordered, instances restart, and replicas
+// are restored from snapshots. Each key must be dispatched at most once.
 func TestAtMostOneDispatchPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := &claimNetwork{world: newWorld(), runs: map[string]int{}}
-		replica := newWorld()
+		n := &claimNetwork{harness: newHarness(), runs: map[string]int{}}
+		replica := newHarness()
 		boots := map[string]uint64{}
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
@@ -248,7 +251,7 @@
 					t.Skip("no caller")
 				}
 				c := rapid.SampledFrom(n.callers).Draw(t, "caller")
-				n.giveUp(c, rapid.Bool().Draw(t, "proof"))
+				n.abandon(c, rapid.Bool().Draw(t, "proof"))
 			},
 			"time": func(t *rapid.T) {
 				n.time += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed"))
@@ -264,7 +267,7 @@
 			},
 			"": func(t *rapid.T) {
 				for key, runs := range n.runs {
-					assert.Assert(t, runs <= 1, "key %s was dispatched %d times", key, runs)
+					assert.Assert(t, runs <= 1, "key %s dispatched %d times", key, runs)
 				}
 			},
 		})
--- a/control/state/configurations.go
+++ b/control/state/configurations.go
@@ -12,64 +12,66 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// requestID is what an operator calls a request. Ids of two operators do not
-// meet.
+// requestID identifies an operator's request. Request IDs are scoped to the
+// operator.
 type requestID struct {
 	operator string
 	request  string
 }
 
-// configurations holds the configuration in force, the history that led to it
-// and the requests whose first answer is remembered.
-type configurations struct {
+// configurationStore is a versioned store of the configuration, updated by
+// compare-and-set. It holds the configuration in force, the history that led to
+// it, and the first answers of recent requests for deduplication.
+type configurationStore struct {
 	limits       Limits
 	revision     uint64
 	content      *configuration.Content
 	history      []*rpc.Revision
 	historyBytes int
 	requests     map[requestID]*rpc.RememberedRequest
-	// order lists remembered requests, oldest first.
-	order []requestID
+	// requestOrder lists the remembered requests, oldest first, for eviction.
+	requestOrder []requestID
 }
 
-func newConfigurations(limits Limits) configurations {
-	return configurations{
+func newConfigurationStore(limits Limits) configurationStore {
+	return configurationStore{
 		limits:   limits,
 		content:  configuration.NewContent(nil),
 		requests: map[requestID]*rpc.RememberedRequest{},
 	}
 }
 
-// apply is compare-and-set on the revision.
+// apply replaces the configuration by compare-and-set on the revision.
 //
-// Two operators may read one revision and send different contents for the next.
-// Without the comparison the second would silently undo the first. The entry
-// that comes first in the log wins; the other one is told who won.
-func (c *configurations) apply(request *rpc.ApplyConfiguration, wall int64) *rpc.Result {
+// Two operators may read the same revision and submit different contents for
+// the next one. Without the comparison the second would silently undo the
+// first. The first entry in the log wins; the other request gets a conflict
+// that names the winner.
+func (c *configurationStore) apply(request *rpc.ApplyConfiguration, wall int64) *rpc.Result {
 	id := requestID{request.GetOperator(), request.GetRequest()}
 	if !id.valid() {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
 	digest := request.GetDigest()
 	if known := c.requests[id]; known != nil {
-		return c.firstAnswer(known, digest)
+		return c.replayAnswer(known, digest)
 	}
 	if request.GetBase() != c.revision {
-		return c.conflict(id, digest, request.GetBase(), wall)
+		return c.recordConflict(id, digest, request.GetBase(), wall)
 	}
-	if !c.fits(request) {
+	if !c.changesMatchDigest(request) {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
 	if len(request.GetChanges()) > 0 {
-		c.accept(id, request.GetChanges(), wall)
+		c.commit(id, request.GetChanges(), wall)
 	}
-	return c.accepted(id, digest, wall)
+	return c.recordAccepted(id, digest, wall)
 }
 
-// fits says whether the changes lead from the configuration in force to the
-// content that was asked for. They do not if they were worked out against
-// another revision, or try to change lives.
-func (c *configurations) fits(request *rpc.ApplyConfiguration) bool {
+// changesMatchDigest reports whether the changes lead from the configuration in
+// force to the content that the request's digest stands for. They do not if
+// they were computed against another revision, or if they try to change lives.
+func (c *configurationStore) changesMatchDigest(request *rpc.ApplyConfiguration) bool {
 	seen := map[configuration.Name]bool{}
 	for _, item := range request.GetChanges() {
 		name := configuration.Name{Kind: item.GetKind(), Name: item.GetName()}
@@ -81,16 +83,17 @@
 	return c.content.DeclaredAfter(request.GetChanges()) == request.GetDigest()
 }
 
-// changeLife lets an endpoint leave or join. It needs no base revision: it
-// touches one item only, and a leave must not lose against an unrelated change.
-func (c *configurations) changeLife(request *rpc.ChangeLife, wall int64) *rpc.Result {
+// changeLife lets an endpoint leave or join. It is not compared with a base
+// revision: it changes only one item, and a leave must not fail because of an
+// unrelated change.
+func (c *configurationStore) changeLife(request *rpc.ChangeLife, wall int64) *rpc.Result {
 	id := requestID{request.GetOperator(), request.GetRequest()}
 	if !id.valid() {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
-	digest := digestOfLife(request)
+	digest := lifeChangeDigest(request)
 	if known := c.requests[id]; known != nil {
-		return c.firstAnswer(known, digest)
+		return c.replayAnswer(known, digest)
 	}
 	endpoint := tables.EndpointID(request.GetEndpoint())
 	life, err := c.content.LifeOf(endpoint)
@@ -100,8 +103,9 @@
 	if !c.content.Declares(endpoint) {
 		return refused(rpc.RefusalReason_REFUSED_UNKNOWN_ENDPOINT)
 	}
-	// A request for an earlier life comes late: the endpoint has joined again
-	// since, and a leave meant for its former life must not stop the new one.
+	// A request for an earlier life is late: the endpoint has joined again
+	// since, and a leave that was meant for its earlier life must not stop the
+	// new one.
 	if request.GetLife() != 0 && request.GetLife() != life.Life {
 		return refused(rpc.RefusalReason_REFUSED_OLD_LIFE)
 	}
@@ -114,12 +118,14 @@
 		if err != nil {
 			return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 		}
-		c.accept(id, []*rpc.Item{item}, wall)
+		c.commit(id, []*rpc.Item{item}, wall)
 	}
-	return c.accepted(id, digest, wall)
+	return c.recordAccepted(id, digest, wall)
 }
 
-func (c *configurations) accept(id requestID, changes []*rpc.Item, wall int64) {
+// commit puts the changes in force as the next revision and truncates the history
+// to its limits.
+func (c *configurationStore) commit(id requestID, changes []*rpc.Item, wall int64) {
 	c.revision++
 	c.content.Apply(changes)
 	revision := &rpc.Revision{
@@ -137,7 +143,7 @@
 	}
 }
 
-func (c *configurations) accepted(id requestID, digest uint64, wall int64) *rpc.Result {
+func (c *configurationStore) recordAccepted(id requestID, digest uint64, wall int64) *rpc.Result {
 	known := &rpc.RememberedRequest{
 		Operator: id.operator,
 		Request:  id.request,
@@ -149,34 +155,34 @@
 	return acceptedResult(known, false)
 }
 
-func (c *configurations) conflict(id requestID, digest, base uint64, wall int64) *rpc.Result {
+func (c *configurationStore) recordConflict(id requestID, digest, base uint64, wall int64) *rpc.Result {
 	known := &rpc.RememberedRequest{
 		Operator: id.operator,
 		Request:  id.request,
 		Digest:   digest,
 		InForce:  c.revision,
-		Winner:   c.winnerOver(base),
+		Winner:   c.firstRevisionAfter(base),
 		Wall:     wall,
 	}
 	c.remember(id, known)
 	return conflictResult(known, false)
 }
 
-// winnerOver returns the revision that followed base, or the oldest one known
-// after it, without its changes.
-func (c *configurations) winnerOver(base uint64) *rpc.Revision {
+// firstRevisionAfter returns the earliest retained revision after base, or the
+// newest one if there is none, without its changes.
+func (c *configurationStore) firstRevisionAfter(base uint64) *rpc.Revision {
 	for _, revision := range c.history {
 		if revision.GetNumber() > base {
-			return describe(revision)
+			return withoutChanges(revision)
 		}
 	}
 	if len(c.history) > 0 {
-		return describe(c.history[len(c.history)-1])
+		return withoutChanges(c.history[len(c.history)-1])
 	}
 	return &rpc.Revision{}
 }
 
-func describe(revision *rpc.Revision) *rpc.Revision {
+func withoutChanges(revision *rpc.Revision) *rpc.Revision {
 	return &rpc.Revision{
 		Number:   revision.GetNumber(),
 		Operator: revision.GetOperator(),
@@ -185,19 +191,21 @@
 	}
 }
 
-// remember keeps the first answer of a request. When the request is forgotten
-// again, a resend meets the comparison of revisions and loses, so that nothing
-// is ever put in force twice.
-func (c *configurations) remember(id requestID, known *rpc.RememberedRequest) {
+// remember stores the first answer of a request and evicts the oldest ones
+// above the limit. A request that is resent after its eviction fails the
+// comparison of revisions, so no content takes effect twice.
+func (c *configurationStore) remember(id requestID, known *rpc.RememberedRequest) {
 	c.requests[id] = known
-	c.order = append(c.order, id)
-	for len(c.order) > c.limits.MaxRememberedRequests {
-		delete(c.requests, c.order[0])
-		c.order = c.order[1:]
+	c.requestOrder = append(c.requestOrder, id)
+	for len(c.requestOrder) > c.limits.MaxRememberedRequests {
+		delete(c.requests, c.requestOrder[0])
+		c.requestOrder = c.requestOrder[1:]
 	}
 }
 
-func (c *configurations) firstAnswer(known *rpc.RememberedRequest, digest uint64) *rpc.Result {
+// replayAnswer repeats the first answer of a resent request. A request that reuses
+// the ID of another one is refused.
+func (c *configurationStore) replayAnswer(known *rpc.RememberedRequest, digest uint64) *rpc.Result {
 	if known.GetDigest() != digest {
 		return refused(rpc.RefusalReason_REFUSED_REQUEST_REUSED)
 	}
@@ -229,7 +237,7 @@
 	return &rpc.Result{Answer: &rpc.Result_Conflict{Conflict: conflict}}
 }
 
-func (c *configurations) changesSince(revision uint64) ([]*rpc.Item, bool) {
+func (c *configurationStore) changesSince(revision uint64) ([]*rpc.Item, bool) {
 	if revision == c.revision {
 		return nil, true
 	}
@@ -243,16 +251,16 @@
 	return changes, true
 }
 
-func (c *configurations) save(snapshot *rpc.Snapshot) {
+func (c *configurationStore) save(snapshot *rpc.Snapshot) {
 	snapshot.Revision = c.revision
 	snapshot.Items = c.content.Items()
 	snapshot.History = slices.Clone(c.history)
-	for _, id := range c.order {
+	for _, id := range c.requestOrder {
 		snapshot.Requests = append(snapshot.Requests, c.requests[id])
 	}
 }
 
-func (c *configurations) load(snapshot *rpc.Snapshot) {
+func (c *configurationStore) restore(snapshot *rpc.Snapshot) {
 	c.revision = snapshot.GetRevision()
 	c.content = configuration.NewContent(snapshot.GetItems())
 	c.history = snapshot.GetHistory()
@@ -268,7 +276,7 @@
 	return id.request != "" && len(id.request) <= maxNameBytes && len(id.operator) <= maxNameBytes
 }
 
-func digestOfLife(request *rpc.ChangeLife) uint64 {
+func lifeChangeDigest(request *rpc.ChangeLife) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	var numbers [9]byte
--- a/control/state/configurations_test.go
+++ b/control/state/configurations_test.go
@@ -12,7 +12,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// contentOf declares one endpoint and one profile that carries mark.
+// contentOf returns a configuration with an endpoint e1, and an endpoint and a
+// profile that are named after mark.
 func contentOf(t assert.TestingT, mark string) *configuration.Content {
 	items, err := configuration.Encode(tables.Configuration{
 		WeightLoads: 2,
@@ -23,7 +24,7 @@
 	return configuration.NewContent(items)
 }
 
-func (w *world) applyCommand(operator, request string, base uint64, to *configuration.Content) *rpc.Command {
+func (w *harness) applyCommand(operator, request string, base uint64, to *configuration.Content) *rpc.Command {
 	return &rpc.Command{Wall: 7, Action: &rpc.Command_Apply{Apply: &rpc.ApplyConfiguration{
 		Operator: operator,
 		Request:  request,
@@ -33,13 +34,13 @@
 	}}}
 }
 
-func (w *world) life(request string, join bool, life uint64) *rpc.Result {
+func (w *harness) changeLife(request string, join bool, life uint64) *rpc.Result {
 	return w.run(&rpc.Command{Action: &rpc.Command_ChangeLife{ChangeLife: &rpc.ChangeLife{
 		Operator: "ama", Request: request, Endpoint: "e1", Join: join, Life: life,
 	}}})
 }
 
-func (w *world) endpoint(t assert.TestingT) tables.Endpoint {
+func (w *harness) endpoint(t assert.TestingT) tables.Endpoint {
 	decoded, err := w.Content().Decode(w.Revision())
 	assert.NilError(t, err)
 	for _, endpoint := range decoded.Endpoints {
@@ -50,11 +51,11 @@
 	return tables.Endpoint{}
 }
 
-// Two operators read one revision and apply different contents. If both were
-// accepted, one of them would believe in a change that is not in force. The
-// second is told who won.
-func TestOneOfTwoOperatorsWins(t *testing.T) {
-	w := newWorld()
+// Two operators read the same revision and apply different contents. If both
+// were accepted, one of them would rely on a change that is not in force. The
+// second gets a conflict that names the winner.
+func TestConcurrentApplyReturnsConflict(t *testing.T) {
+	w := newHarness()
 	ama := w.applyCommand("ama", "r", 0, contentOf(t, "a"))
 	eleri := w.applyCommand("eleri", "r", 0, contentOf(t, "b"))
 	assert.Equal(t, w.run(ama).GetAccepted().GetRevision().GetNumber(), uint64(1))
@@ -65,11 +66,11 @@
 	assert.Equal(t, w.Content().Declared(), contentOf(t, "a").Declared())
 }
 
-// The answer to an apply is lost, others apply newer revisions, and the
-// operator sends the first one again. It must not take the newer ones out of
-// force. The operator gets the answer that was lost.
-func TestResendAfterNewerRevisionsChangesNothing(t *testing.T) {
-	w := newWorld()
+// The answer to an apply is lost, newer revisions follow, and the operator
+// resends the first request. It must return the lost answer and must not revert
+// the newer revisions.
+func TestResentApplyReturnsFirstAnswer(t *testing.T) {
+	w := newHarness()
 	first := w.applyCommand("ama", "r1", 0, contentOf(t, "a"))
 	w.run(first)
 	w.run(w.applyCommand("eleri", "r2", 1, contentOf(t, "b")))
@@ -79,45 +80,45 @@
 	assert.Equal(t, w.Revision(), tables.Revision(2))
 	assert.Equal(t, w.Content().Declared(), contentOf(t, "b").Declared())
 	other := w.applyCommand("ama", "r1", 2, contentOf(t, "c"))
-	assert.Equal(t, reason(w.run(other)), rpc.RefusalReason_REFUSED_REQUEST_REUSED)
+	assert.Equal(t, refusalReason(w.run(other)), rpc.RefusalReason_REFUSED_REQUEST_REUSED)
 }
 
-// A leave is sent, the endpoint joins again, and a late copy of the leave
-// comes. The new life must go on serving. A leave also has to outlast applies
-// that were written by people who did not know of it.
-func TestLeavingLastsUntilANewerLife(t *testing.T) {
-	w := newWorld()
+// A leave is sent, the endpoint joins again, and a late duplicate of the leave
+// arrives. The new life must keep serving. A leave must also survive applies
+// whose authors did not know of it.
+func TestLeaveAppliesOnlyToItsEndpointLife(t *testing.T) {
+	w := newHarness()
 	w.run(w.applyCommand("ama", "r", 0, contentOf(t, "a")))
-	assert.Equal(t, w.life("leave", false, 0).GetAccepted().GetRevision().GetNumber(), uint64(2))
+	assert.Equal(t, w.changeLife("leave", false, 0).GetAccepted().GetRevision().GetNumber(), uint64(2))
 	w.run(w.applyCommand("ama", "r2", 2, contentOf(t, "b")))
 	assert.Assert(t, w.endpoint(t).Leaving)
-	w.life("join", true, 0)
+	w.changeLife("join", true, 0)
 	assert.Assert(t, !w.endpoint(t).Leaving)
 	assert.Equal(t, w.endpoint(t).Life, uint64(2))
-	assert.Assert(t, w.life("leave", false, 0).GetAccepted().GetResent())
+	assert.Assert(t, w.changeLife("leave", false, 0).GetAccepted().GetResent())
 	assert.Assert(t, !w.endpoint(t).Leaving)
-	w.life("join2", true, 2)
-	assert.Equal(t, reason(w.life("late", false, 2)), rpc.RefusalReason_REFUSED_OLD_LIFE)
+	w.changeLife("join2", true, 2)
+	assert.Equal(t, refusalReason(w.changeLife("late", false, 2)), rpc.RefusalReason_REFUSED_OLD_LIFE)
 	assert.Assert(t, !w.endpoint(t).Leaving)
 }
 
-// A change worked out against another revision than the base it names would
-// leave a mixture of two contents in force.
-func TestChangesMustLeadToTheContentAskedFor(t *testing.T) {
-	w := newWorld()
+// Changes that were computed against another revision than the named base would
+// put a mixture of two contents in force.
+func TestApplyRejectsChangesThatMissTheDigest(t *testing.T) {
+	w := newHarness()
 	command := w.applyCommand("ama", "r", 0, contentOf(t, "a"))
 	command.GetApply().Changes = command.GetApply().Changes[1:]
-	assert.Equal(t, reason(w.run(command)), rpc.RefusalReason_REFUSED_MALFORMED)
+	assert.Equal(t, refusalReason(w.run(command)), rpc.RefusalReason_REFUSED_MALFORMED)
 	assert.Equal(t, w.Revision(), tables.Revision(0))
 }
 
-// Operators race under equal numbers and resend what they got no answer for;
-// the network repeats and reorders; replicas come back from snapshots; a
-// follower takes changes whenever it is reached. Each number has one winner and
-// no instance ever goes back.
-func TestRevisionsHaveOneWinnerAndNeverRevert(t *testing.T) {
+// Operators race for revision numbers and resend requests; the network
+// duplicates and reorders; replicas are restored from snapshots; a follower
+// fetches changes at arbitrary times. Each revision number must have one winner
+// and the revision must never decrease.
+func TestRevisionsAreUniqueAndMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, replica := newWorld(), newWorld()
+		w, replica := newHarness(), newHarness()
 		w.limits.MaxRevisions = 5
 		w.configuration.limits.MaxRevisions = 5
 		var sent []*rpc.Command
@@ -152,7 +153,7 @@
 				}
 			},
 			"leave or join": func(t *rapid.T) {
-				w.life(fmt.Sprint("life", w.index), rapid.Bool().Draw(t, "join"), 0)
+				w.changeLife(fmt.Sprint("life", w.index), rapid.Bool().Draw(t, "join"), 0)
 			},
 			"follow": func(*rapid.T) {
 				if changes, ok := w.ChangesSince(followerRevision); ok {
--- a/control/state/documents.go
+++ b/control/state/documents.go
@@ -7,29 +7,33 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// documents holds what operators keep under numbers of their own, by name. A
-// document is never modified once it is in force, so it may be shared.
+// documentStore holds operators' documents by name, each with a version number
+// that the operator assigns. A document is immutable once it is in force, so it
+// can be shared.
 //
-// Numbers come from outside and arrive in any order: an operator sends again
-// what got no answer, to any instance, and two operators race. The highest
-// number wins wherever it stands in the log, so that a late message cannot
-// bring an older content back. Of two contents under one number the first
-// stays: what was acknowledged under a number does not change.
-type documents struct {
+// The store is a last-writer-wins register on the version number. Numbers can
+// arrive in any order, because operators retry unanswered requests at any
+// instance and may race each other. The highest number wins wherever it stands
+// in the log, so that a delayed message cannot restore an older content. Of two
+// contents with the same number the first is kept, so that the content
+// acknowledged under a number does not change.
+type documentStore struct {
 	rows map[string]*rpc.Document
 }
 
-func newDocuments() documents { return documents{rows: map[string]*rpc.Document{}} }
+func newDocumentStore() documentStore { return documentStore{rows: map[string]*rpc.Document{}} }
 
-// maxDocuments bounds the names, and maxDocumentBytes the content of one.
+// maxDocuments bounds the number of documents, and maxDocumentBytes the content
+// of one.
 const (
 	maxDocuments     = 256
 	maxDocumentBytes = 8 << 20
 )
 
-// put stores the document if its number is higher than that in force. A lower
-// number is acknowledged too: the sender cannot know what has overtaken it.
-func (d *documents) put(request *rpc.PutDocument) *rpc.Result {
+// put stores the document if its number is higher than the one in force. A
+// lower number is acknowledged too, since its sender cannot know that a newer
+// one arrived first.
+func (d *documentStore) put(request *rpc.PutDocument) *rpc.Result {
 	document := request.GetDocument()
 	name := document.GetName()
 	if name == "" || len(name) > maxNameBytes || len(document.GetContent()) > maxDocumentBytes {
@@ -47,7 +51,7 @@
 	return &rpc.Result{Answer: &rpc.Result_Document{Document: answer}}
 }
 
-func (d *documents) sorted() []*rpc.Document {
+func (d *documentStore) sorted() []*rpc.Document {
 	sorted := make([]*rpc.Document, 0, len(d.rows))
 	for _, name := range slices.Sorted(maps.Keys(d.rows)) {
 		sorted = append(sorted, d.rows[name])
@@ -55,16 +59,16 @@
 	return sorted
 }
 
-func (d *documents) load(snapshot *rpc.Snapshot) {
+func (d *documentStore) restore(snapshot *rpc.Snapshot) {
 	for _, document := range snapshot.GetDocuments() {
 		d.rows[document.GetName()] = document
 	}
 }
 
 // Document returns the document in force under a name, nil if there is none.
-// The caller must not change it.
+// The caller must not modify it.
 func (s *State) Document(name string) *rpc.Document { return s.documents.rows[name] }
 
-// Documents returns all documents in force, by name. The caller must not change
-// them.
+// Documents returns all documents in force, sorted by name. The caller must not
+// modify them.
 func (s *State) Documents() []*rpc.Document { return s.documents.sorted() }
--- a/control/state/documents_test.go
+++ b/control/state/documents_test.go
@@ -14,10 +14,10 @@
 	}}}).GetDocument()
 }
 
-// Two operators race, and one of them sends an older change again after its
-// acknowledgement was lost. A user notices when the older content is in force
-// again after the newer one was acknowledged.
-func TestAnOlderDocumentNeverComesBack(t *testing.T) {
+// Two operators race, and one of them resends an older document after its
+// acknowledgement was lost. The older content must not replace the newer one
+// that was acknowledged.
+func TestLowerDocumentNumberIsNotStored(t *testing.T) {
 	s := New(DefaultLimits())
 	assert.Equal(t, putDocument(s, 1, 7, "seven").GetStored(), true)
 	late := putDocument(s, 2, 5, "five")
@@ -26,19 +26,19 @@
 	assert.Equal(t, string(s.Document("routes").GetContent()), "seven")
 }
 
-// An operator reuses a number with another content. What was acknowledged under
-// the number first would change without a new number, and instances that took
-// the first would never hear of the second.
-func TestTheFirstContentUnderANumberStays(t *testing.T) {
+// An operator reuses a number with another content. If it were stored, the
+// content acknowledged under the number would change without a new number, and
+// instances that have the first content would never fetch the second.
+func TestEqualDocumentNumberKeepsFirstContent(t *testing.T) {
 	s := New(DefaultLimits())
 	putDocument(s, 1, 7, "first")
 	assert.Equal(t, putDocument(s, 2, 7, "second").GetStored(), false)
 	assert.Equal(t, string(s.Document("routes").GetContent()), "first")
 }
 
-// A replica that restarts, or joins, starts from a snapshot. Without documents
-// in it an acknowledged change would be gone after the next restart.
-func TestDocumentsOutliveASnapshot(t *testing.T) {
+// A replica that restarts or joins starts from a snapshot. A snapshot without
+// the documents would lose acknowledged changes.
+func TestDocumentsSurviveSnapshotRestore(t *testing.T) {
 	s := New(DefaultLimits())
 	putDocument(s, 1, 7, "seven")
 	data, err := s.Snapshot()
--- a/control/state/fuzz_test.go
+++ b/control/state/fuzz_test.go
@@ -9,23 +9,23 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// seeded returns a state with a row of each kind.
-func seeded(t assert.TestingT) *world {
-	w := newWorld()
+// newPopulatedHarness returns a harness whose state has a row of each kind.
+func newPopulatedHarness(t assert.TestingT) *harness {
+	w := newHarness()
 	w.run(w.applyCommand("ama", "r", 0, contentOf(t, "a")))
-	w.life("leave", false, 0)
+	w.changeLife("leave", false, 0)
 	grant := w.claim("k", "b", "i1", 1, "t").GetClaim()
-	w.mark("k", grant.GetFence(), "d")
+	w.markDispatched("k", grant.GetFence(), "d")
 	w.finish("k", grant.GetFence(), "answer")
 	w.claim("k2", "b", "i1", 1, "t")
 	w.startLoad(w.acquire("i1", 1).GetFence(), "e1")
 	return w
 }
 
-// Damage that gets past the checksums of the disk must not stop the process
-// without a word: a snapshot is either refused, or can be used and saved again.
+// Corruption that passes the checksums of the disk must not crash the process:
+// a snapshot is either rejected, or can be used and saved again.
 func FuzzRestore(f *testing.F) {
-	encoded, err := seeded(f).Snapshot()
+	encoded, err := newPopulatedHarness(f).Snapshot()
 	assert.NilError(f, err)
 	f.Add(encoded)
 	f.Add([]byte{})
@@ -46,14 +46,14 @@
 	})
 }
 
-// An entry that cannot be read, or asks for nonsense, must change nothing that
-// breaks later, since every replica has to go on behind it.
+// An entry that cannot be decoded or has invalid values must leave a state that
+// still works, since every replica applies the entries that follow.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{0x52, 0x00})
 	f.Add([]byte{0xa2, 0x01, 0x02, 0x12, 0x00})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := seeded(t)
+		w := newPopulatedHarness(t)
 		w.index++
 		_, result := w.Apply(w.index, data)
 		assert.Assert(t, result.GetAnswer() != nil)
--- a/control/state/leases.go
+++ b/control/state/leases.go
@@ -10,72 +10,76 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// leases holds who may give orders to endpoints, and which weight loads may be
-// running.
-type leases struct {
+// leaseTable holds the named leases under which controllers send orders to
+// endpoints, and the semaphore of running weight loads.
+type leaseTable struct {
 	rows map[string]*lease
-	// loads are by endpoint. They outlive the lease under which they started:
-	// the weight store is as busy with them under the next holder.
+	// loads is keyed by endpoint. Loads outlive the lease under which they
+	// started, because they keep using the weight store under the next holder.
 	loads map[string]*rpc.Load
 }
 
+// lease is the row of one named lease. The fence is its fencing token, the log
+// index of the command that granted it.
 type lease struct {
-	holder  owner
-	fence   uint64
-	expires time.Duration
-	// announced are the newest orders that may have been given to each endpoint
-	// under this lease and those before it.
+	holder    processID
+	fence     uint64
+	expiresAt time.Duration
+	// announced holds, by endpoint, the newest order that may have been sent
+	// under this lease or an earlier one.
 	announced map[string]*rpc.AnnouncedOrder
 }
 
-func newLeases() leases {
-	return leases{rows: map[string]*lease{}, loads: map[string]*rpc.Load{}}
+func newLeaseTable() leaseTable {
+	return leaseTable{rows: map[string]*lease{}, loads: map[string]*rpc.Load{}}
 }
 
-// acquire grants a lease that is free or expired, with a new fence, and renews
-// it for its holder under the old one.
+// acquire grants a lease that is free or expired under a new fencing token, and
+// renews it for its holder under the current one.
 //
-// The holder counts its time from before it asked, by its own clock and less a
-// margin for drift. Log time counts the full duration from here, and no faster
-// than real time. So the holder has stopped before anyone else is granted it.
-func (l *leases) acquire(index uint64, now time.Duration, request *rpc.AcquireLease) *rpc.Result {
+// The holder counts the duration from before it sent the request, by its own
+// clock and less a margin for drift. Log time counts the full duration from
+// here and no faster than real time. So the holder has stopped before the lease
+// is granted to another process.
+func (l *leaseTable) acquire(index uint64, now time.Duration, request *rpc.AcquireLease) *rpc.Result {
 	duration := time.Duration(request.GetDurationNanos())
-	if duration < minLease || duration > maxLease || len(request.GetName()) > maxNameBytes {
+	if duration < minLeaseDuration || duration > maxLeaseDuration || len(request.GetName()) > maxNameBytes {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
-	asker := owner{request.GetHolder().GetInstance(), request.GetHolder().GetBoot()}
+	requester := processID{request.GetHolder().GetInstance(), request.GetHolder().GetBoot()}
 	row := l.rows[request.GetName()]
-	if row != nil && now < row.expires && row.holder != asker {
-		return l.answer(now, row, false, row.expires-now)
+	if row != nil && now < row.expiresAt && row.holder != requester {
+		return l.result(now, row, false, row.expiresAt-now)
 	}
-	if row == nil || now >= row.expires {
-		next := &lease{holder: asker, fence: index, announced: map[string]*rpc.AnnouncedOrder{}}
+	if row == nil || now >= row.expiresAt {
+		next := &lease{holder: requester, fence: index, announced: map[string]*rpc.AnnouncedOrder{}}
 		if row != nil {
 			next.announced = row.announced
 		}
 		row = next
 		l.rows[request.GetName()] = row
 	}
-	row.expires = now + duration
-	row.forget(now)
-	return l.answer(now, row, true, 0)
+	row.expiresAt = now + duration
+	row.dropOldAnnouncements(now)
+	return l.result(now, row, true, 0)
 }
 
-// forget drops announced orders that are older than any lease can be.
-func (row *lease) forget(now time.Duration) {
+// dropOldAnnouncements deletes announced orders that are older than the longest
+// lease.
+func (row *lease) dropOldAnnouncements(now time.Duration) {
 	maps.DeleteFunc(row.announced, func(_ string, order *rpc.AnnouncedOrder) bool {
-		return now-time.Duration(order.GetAnnounced()) > maxLease
+		return now-time.Duration(order.GetAnnounced()) > maxLeaseDuration
 	})
 }
 
-// announce notes that orders may leave for endpoints. A holder that has lost the
-// lease meanwhile is refused, so that its successor knows of every endpoint that
-// may just have got an order.
-func (l *leases) announce(now time.Duration, request *rpc.AnnounceOrders) *rpc.Result {
-	if len(request.GetEndpoints()) > maxAnnounced {
+// announce records that orders may be sent to endpoints, before they are sent.
+// A holder that has lost the lease is refused. The next holder therefore learns
+// of every endpoint that may just have received an order.
+func (l *leaseTable) announce(now time.Duration, request *rpc.AnnounceOrders) *rpc.Result {
+	if len(request.GetEndpoints()) > maxAnnouncedOrders {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
-	if !l.holds(now, request.GetLease(), request.GetFence()) {
+	if !l.isHeldUnder(now, request.GetLease(), request.GetFence()) {
 		return refused(rpc.RefusalReason_REFUSED_LEASE_LOST)
 	}
 	row := l.rows[request.GetLease()]
@@ -90,7 +94,7 @@
 	return done()
 }
 
-func (l *leases) answer(now time.Duration, row *lease, granted bool, retryAfter time.Duration) *rpc.Result {
+func (l *leaseTable) result(now time.Duration, row *lease, granted bool, retryAfter time.Duration) *rpc.Result {
 	answer := &rpc.LeaseAnswer{
 		Granted:         granted,
 		Fence:           row.fence,
@@ -99,7 +103,7 @@
 	}
 	if granted {
 		answer.Loads = l.sortedLoads()
-		for _, order := range row.sortedOrders() {
+		for _, order := range row.sortedAnnouncements() {
 			if order.GetInstance() != row.holder.instance {
 				order = proto.CloneOf(order)
 				order.AgeNanos = int64(now) - order.GetAnnounced()
@@ -110,24 +114,27 @@
 	return &rpc.Result{Answer: &rpc.Result_Lease{Lease: answer}}
 }
 
-// release frees a lease at once. Only its holder may send it, after its last
-// order has been answered.
-func (l *leases) release(request *rpc.ReleaseLease) *rpc.Result {
+// release ends a lease before it expires. Only the holder sends it, after the
+// last of its orders has been answered.
+func (l *leaseTable) release(request *rpc.ReleaseLease) *rpc.Result {
 	if row := l.rows[request.GetName()]; row != nil && row.fence == request.GetFence() {
-		row.expires = 0
+		row.expiresAt = 0
 	}
 	return done()
 }
 
-func (l *leases) holds(now time.Duration, name string, fence uint64) bool {
+// isHeldUnder reports whether the lease is unexpired and was granted under the
+// fencing token.
+func (l *leaseTable) isHeldUnder(now time.Duration, name string, fence uint64) bool {
 	row := l.rows[name]
-	return row != nil && row.fence == fence && now < row.expires
+	return row != nil && row.fence == fence && now < row.expiresAt
 }
 
-// startLoad takes one of the places at the weight store. A load that is already
-// counted for the same weights is taken over, since an order may be repeated.
-func (l *leases) startLoad(now time.Duration, limit int, request *rpc.StartLoad) *rpc.Result {
-	if !l.holds(now, request.GetLease(), request.GetFence()) {
+// startLoad takes one of the slots of the weight store. It succeeds without a
+// second slot if the same load is counted already, since orders may be
+// repeated.
+func (l *leaseTable) startLoad(now time.Duration, limit int, request *rpc.StartLoad) *rpc.Result {
+	if !l.isHeldUnder(now, request.GetLease(), request.GetFence()) {
 		return refused(rpc.RefusalReason_REFUSED_LEASE_LOST)
 	}
 	running := l.loads[request.GetEndpoint()]
@@ -145,16 +152,16 @@
 	return done()
 }
 
-// endLoad frees the place of a load that was read back as ended.
-func (l *leases) endLoad(now time.Duration, request *rpc.EndLoad) *rpc.Result {
-	if !l.holds(now, request.GetLease(), request.GetFence()) {
+// endLoad frees the slot of a load that the endpoint reports as ended.
+func (l *leaseTable) endLoad(now time.Duration, request *rpc.EndLoad) *rpc.Result {
+	if !l.isHeldUnder(now, request.GetLease(), request.GetFence()) {
 		return refused(rpc.RefusalReason_REFUSED_LEASE_LOST)
 	}
 	delete(l.loads, request.GetEndpoint())
 	return done()
 }
 
-func (l *leases) sortedLoads() []*rpc.Load {
+func (l *leaseTable) sortedLoads() []*rpc.Load {
 	loads := make([]*rpc.Load, 0, len(l.loads))
 	for _, endpoint := range slices.Sorted(maps.Keys(l.loads)) {
 		loads = append(loads, l.loads[endpoint])
@@ -162,7 +169,7 @@
 	return loads
 }
 
-func (row *lease) sortedOrders() []*rpc.AnnouncedOrder {
+func (row *lease) sortedAnnouncements() []*rpc.AnnouncedOrder {
 	orders := make([]*rpc.AnnouncedOrder, 0, len(row.announced))
 	for _, endpoint := range slices.Sorted(maps.Keys(row.announced)) {
 		orders = append(orders, row.announced[endpoint])
@@ -170,25 +177,25 @@
 	return orders
 }
 
-func (l *leases) save(snapshot *rpc.Snapshot) {
+func (l *leaseTable) save(snapshot *rpc.Snapshot) {
 	for _, name := range slices.Sorted(maps.Keys(l.rows)) {
 		row := l.rows[name]
 		snapshot.Leases = append(snapshot.Leases, &rpc.LeaseRow{
 			Name:    name,
 			Holder:  &rpc.ClaimOwner{Instance: row.holder.instance, Boot: row.holder.boot},
 			Fence:   row.fence,
-			Expires: int64(row.expires), Announced: row.sortedOrders(),
+			Expires: int64(row.expiresAt), Announced: row.sortedAnnouncements(),
 		})
 	}
 	snapshot.Loads = l.sortedLoads()
 }
 
-func (l *leases) load(snapshot *rpc.Snapshot) {
+func (l *leaseTable) restore(snapshot *rpc.Snapshot) {
 	for _, saved := range snapshot.GetLeases() {
 		row := &lease{
-			holder:    owner{saved.GetHolder().GetInstance(), saved.GetHolder().GetBoot()},
+			holder:    processID{saved.GetHolder().GetInstance(), saved.GetHolder().GetBoot()},
 			fence:     saved.GetFence(),
-			expires:   time.Duration(saved.GetExpires()),
+			expiresAt: time.Duration(saved.GetExpires()),
 			announced: map[string]*rpc.AnnouncedOrder{},
 		}
 		for _, order := range saved.GetAnnounced() {
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// Limits bounds the replicated state. It is part of the state machine's
-// version: replicas with different limits would drift apart, so it is not a
-// setting.
+// Limits bounds the size of the replicated state and sets its timeouts.
+// Replicas with different limits would diverge, so the limits belong to the
+// version of the state machine and are not a setting.
 type Limits struct {
-	// MaxRevisions and RevisionBytes bound the history of configurations; the
-	// oldest revisions go first.
+	// MaxRevisions and MaxHistoryBytes bound the configuration history; the
+	// oldest revisions are dropped first.
 	MaxRevisions    int
 	MaxHistoryBytes int
-	// MaxRememberedRequests is how many operators' requests are remembered with their first
-	// answer.
+	// MaxRememberedRequests is the number of operator requests whose first
+	// answer is kept, so that resent requests are answered alike.
 	MaxRememberedRequests int
-	// ClaimedTTL is how long a claim that was never dispatched is kept. It is
-	// above the longest time that work may be held back.
+	// ClaimedTTL is how long a claim is retained that was never dispatched. It
+	// exceeds the longest time for which work may be held in a queue.
 	ClaimedTTL time.Duration
-	// SessionTimeout is how long an owner that is not heard of counts as alive.
-	// Then its claims that were not dispatched can be taken over.
+	// SessionTimeout is how long an instance counts as alive after its last
+	// message. After that, its claims that were not dispatched can be taken
+	// over.
 	SessionTimeout time.Duration
-	// ClaimRetention is how long a claim is kept after its dispatch or its answer.
+	// ClaimRetention is how long a claim is retained after its dispatch or its
+	// answer.
 	ClaimRetention time.Duration
-	// MaxClaims bounds the claims kept, ClaimsPerOrganisation those of one
-	// organisation. New claims above are refused: forgetting an old key early
-	// could run its work twice.
+	// MaxClaims bounds the retained claims, MaxClaimsPerOrganisation those of
+	// one organisation. Above the bounds new claims are refused: evicting an
+	// old key early could execute its work twice.
 	MaxClaims                int
 	MaxClaimsPerOrganisation int
-	// MaxAnswerBytes bounds one stored answer, AllAnswerBytes all together. An
-	// answer that does not fit is forgotten, its claim is not.
+	// MaxAnswerBytes bounds the body of one stored answer, MaxTotalAnswerBytes
+	// those of all answers. The body of an answer that does not fit is dropped;
+	// its claim is retained.
 	MaxAnswerBytes      int
 	MaxTotalAnswerBytes int
 }
@@ -49,20 +52,22 @@
 }
 
 const (
-	// minLostAfter and maxLostAfter bound how long dispatched work is waited
-	// for before its outcome counts as unknown.
-	minLostAfter = time.Second
-	maxLostAfter = 5 * time.Hour
-	// maxRetryAfter bounds the advice to those who find a claim in progress.
+	// minOutcomeTimeout and maxOutcomeTimeout bound how long after its dispatch
+	// the work of a claim may go without an answer before its outcome counts as
+	// unknown.
+	minOutcomeTimeout = time.Second
+	maxOutcomeTimeout = 5 * time.Hour
+	// maxRetryAfter bounds the retry delay advised to a caller whose claim is
+	// in progress.
 	maxRetryAfter = time.Second
-	// minLease and maxLease bound the duration of a lease.
-	minLease = time.Second
-	maxLease = time.Minute
-	// maxAnnounced bounds the orders that are announced at once.
-	maxAnnounced = 1024
-	// manySessions is how many instances are remembered before old ones are
-	// looked for and forgotten.
-	manySessions = 1024
-	// maxNameBytes bounds names and keys in commands.
+	// minLeaseDuration and maxLeaseDuration bound the duration of a lease.
+	minLeaseDuration = time.Second
+	maxLeaseDuration = time.Minute
+	// maxAnnouncedOrders bounds the orders in one announcement.
+	maxAnnouncedOrders = 1024
+	// sessionSweepThreshold is the number of sessions from which on a new
+	// session first evicts those that have been silent for the claim retention.
+	sessionSweepThreshold = 1024
+	// maxNameBytes bounds the names, keys and tokens in commands.
 	maxNameBytes = 512
 )
--- a/control/state/recover.go
+++ b/control/state/recover.go
@@ -9,26 +9,31 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// RecoveryOptions says how a state is taken over into a new group after the old one
-// was lost. What the old group decided after the backup is not known.
+// RecoveryOptions sets how a new group starts from a backup after the old group
+// was lost. The decisions of the old group after the backup are not known.
 type RecoveryOptions struct {
 	Group    uint64
 	Founders []*rpc.Founder
-	// MinRevision is the highest revision that any instance has in force.
-	// The restored configuration gets a higher number, or instances that have
-	// newer ones would never take it, and two contents would share a number.
+	// MinRevision is the highest revision that any instance has in force. The
+	// restored configuration gets a higher number. Otherwise instances with
+	// newer revisions would never take it, and two contents would share a
+	// number.
 	MinRevision uint64
-	// UnknownKeyHold is how long keys that the backup does not know are refused.
-	// Their work may have run after the backup was taken.
+	// UnknownKeyHold is how long claims on keys that are not in the backup are
+	// refused. Their work may have run after the backup was taken.
 	UnknownKeyHold time.Duration
 	// Wall is the time of the restore, in Unix nanoseconds.
 	Wall int64
 }
 
-// recoveryOperator is who the history names for a restored revision.
+// recoveryOperator is the operator that the history names for a restored
+// revision.
 const recoveryOperator = "restore"
 
-// Recover returns the snapshot that the new group starts from.
+// Recover converts the snapshot of a backup into the initial snapshot of the
+// new group. Claims that were not dispatched at the time of the backup become
+// dispatched with an unknown outcome, and every lease is held for its longest
+// duration.
 func Recover(encoded []byte, r RecoveryOptions) ([]byte, error) {
 	snapshot, err := decodeSnapshot(encoded)
 	if err != nil {
@@ -44,7 +49,7 @@
 	now := time.Duration(snapshot.GetNow())
 	snapshot.ClaimsHeldUntil = int64(now + r.UnknownKeyHold)
 	for _, row := range snapshot.GetClaims() {
-		// It may have been dispatched after the backup.
+		// The claim may have been dispatched after the backup.
 		if row.GetStage() == rpc.ClaimStage_STAGE_CLAIMED {
 			row.Stage = rpc.ClaimStage_STAGE_DISPATCHED
 			row.LostAt = int64(now)
@@ -52,7 +57,7 @@
 		}
 	}
 	for _, row := range snapshot.GetLeases() {
-		row.Expires = int64(now + maxLease)
+		row.Expires = int64(now + maxLeaseDuration)
 	}
 	recovered, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	return recovered, trace.Wrap(err)
--- a/control/state/reference_model_test.go
+++ b/control/state/reference_model_test.go
@@ -12,25 +12,25 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// naiveClaims is what the claims mean, in one copy: a plain list that is
-// searched for everything, without queues, counters or snapshots.
-type naiveClaims struct {
-	limits Limits
-	rows   []*naiveRow
-	heard  map[string]time.Duration
-	boots  map[string]uint64
+// claimModel is the reference model of claimTable: a list with linear search,
+// without queues, counters or snapshots.
+type claimModel struct {
+	limits   Limits
+	rows     []*claimModelRow
+	lastSeen map[string]time.Duration
+	boots    map[string]uint64
 }
 
-type naiveRow struct {
+type claimModelRow struct {
 	key, body, owner, token, mark string
 	boot, fence                   uint64
 	stage                         string
 	since                         time.Duration
 }
 
-func (n *naiveClaims) find(now time.Duration, key string) *naiveRow {
-	var found *naiveRow
-	var kept []*naiveRow
+func (n *claimModel) find(now time.Duration, key string) *claimModelRow {
+	var found *claimModelRow
+	var kept []*claimModelRow
 	for _, row := range n.rows {
 		lives := n.limits.ClaimRetention
 		if row.stage == "claimed" {
@@ -48,35 +48,35 @@
 	return found
 }
 
-func (n *naiveClaims) lost(now time.Duration, row *naiveRow) bool {
-	return n.boots[row.owner] > row.boot || now-n.heard[row.owner] >= n.limits.SessionTimeout
+func (n *claimModel) ownerLost(now time.Duration, row *claimModelRow) bool {
+	return n.boots[row.owner] > row.boot || now-n.lastSeen[row.owner] >= n.limits.SessionTimeout
 }
 
-// claim returns what a Claim is answered with, in words.
-func (n *naiveClaims) claim(now time.Duration, index uint64, c *rpc.Claim) string {
+// claim returns the expected answer to a Claim as text.
+func (n *claimModel) claim(now time.Duration, index uint64, c *rpc.Claim) string {
 	instance, boot := c.GetOwner().GetInstance(), c.GetOwner().GetBoot()
 	if boot >= n.boots[instance] {
-		n.boots[instance], n.heard[instance] = boot, now
+		n.boots[instance], n.lastSeen[instance] = boot, now
 	}
 	row := n.find(now, c.GetKey())
 	switch {
 	case row == nil && len(n.rows) >= n.limits.MaxClaimsPerOrganisation:
 		return "REFUSED_CLAIMS_FULL"
 	case row == nil:
-		row = &naiveRow{key: c.GetKey(), body: string(c.GetBody())}
+		row = &claimModelRow{key: c.GetKey(), body: string(c.GetBody())}
 		n.rows = append(n.rows, row)
 	case row.body != string(c.GetBody()):
 		return "REFUSED_KEY_REUSED"
 	case row.stage == "done":
 		return "CLAIM_DONE"
-	case row.stage == "dispatched" && (n.lost(now, row) || now-row.since >= time.Minute):
+	case row.stage == "dispatched" && (n.ownerLost(now, row) || now-row.since >= time.Minute):
 		return "CLAIM_UNKNOWN"
 	case row.stage == "dispatched":
 		return "CLAIM_IN_PROGRESS"
 	case row.owner == instance && row.boot == boot && row.token == c.GetToken():
 		return fmt.Sprint("CLAIM_NEW ", row.fence)
 	case row.owner == instance && row.boot == boot && c.GetAlone():
-	case !n.lost(now, row):
+	case !n.ownerLost(now, row):
 		return "CLAIM_IN_PROGRESS"
 	}
 	row.stage, row.owner, row.boot, row.token = "claimed", instance, boot, c.GetToken()
@@ -84,7 +84,7 @@
 	return fmt.Sprint("CLAIM_NEW ", index)
 }
 
-func (n *naiveClaims) mark(now time.Duration, m *rpc.MarkDispatched) string {
+func (n *claimModel) markDispatched(now time.Duration, m *rpc.MarkDispatched) string {
 	row := n.find(now, m.GetKey())
 	switch {
 	case row == nil || row.fence != m.GetFence():
@@ -98,7 +98,7 @@
 	return "REFUSED_ALREADY_DISPATCHED"
 }
 
-func (n *naiveClaims) finish(now time.Duration, f *rpc.FinishClaim) string {
+func (n *claimModel) finish(now time.Duration, f *rpc.FinishClaim) string {
 	row := n.find(now, f.GetKey())
 	switch {
 	case row == nil || row.fence != f.GetFence() || row.stage == "claimed":
@@ -109,7 +109,7 @@
 	return "done"
 }
 
-func (n *naiveClaims) release(now time.Duration, r *rpc.ReleaseClaim) string {
+func (n *claimModel) release(now time.Duration, r *rpc.ReleaseClaim) string {
 	row := n.find(now, r.GetKey())
 	if row == nil {
 		return "done"
@@ -122,11 +122,11 @@
 	if row.stage == "done" {
 		return "REFUSED_CLAIM_LOST"
 	}
-	n.rows = slices.DeleteFunc(n.rows, func(other *naiveRow) bool { return other == row })
+	n.rows = slices.DeleteFunc(n.rows, func(other *claimModelRow) bool { return other == row })
 	return "done"
 }
 
-func inWords(r *rpc.Result) string {
+func resultText(r *rpc.Result) string {
 	switch {
 	case r.GetDone() != nil:
 		return "done"
@@ -138,12 +138,12 @@
 	return r.GetClaim().GetState().String()
 }
 
-// The replicated claims answer as the naive ones do, over days of log time,
-// restarts from snapshots, and any order of messages.
-func TestClaimsAgainstNaiveVersion(t *testing.T) {
+// The claim table answers as the reference model does, over days of log time,
+// restores from snapshots, and any order of messages.
+func TestClaimsMatchReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, replica := newWorld(), newWorld()
-		n := &naiveClaims{limits: w.limits, heard: map[string]time.Duration{}, boots: map[string]uint64{}}
+		w, replica := newHarness(), newHarness()
+		n := &claimModel{limits: w.limits, lastSeen: map[string]time.Duration{}, boots: map[string]uint64{}}
 		key := func() string { return rapid.SampledFrom([]string{"k1", "k2", "k3", "k4", "k5"}).Draw(t, "key") }
 		granted := []*rpc.ClaimAnswer{{}}
 		keys := []string{""}
@@ -161,7 +161,7 @@
 					Alone: rapid.Bool().Draw(t, "alone"),
 				}}}
 				result := w.run(command)
-				assert.Equal(t, inWords(result), n.claim(w.time, w.index, command.GetClaim()))
+				assert.Equal(t, resultText(result), n.claim(w.time, w.index, command.GetClaim()))
 				if result.GetClaim().GetState() == rpc.ClaimState_CLAIM_NEW {
 					granted, keys = append(granted, result.GetClaim()), append(keys, command.GetClaim().GetKey())
 				}
@@ -170,13 +170,13 @@
 				at, with := grant()
 				token := rapid.SampledFrom([]string{"d1", "d2"}).Draw(t, "mark")
 				m := &rpc.MarkDispatched{Key: at, Fence: with, Token: token, LostAfterNanos: int64(time.Minute)}
-				got := inWords(w.run(&rpc.Command{Action: &rpc.Command_MarkDispatched{MarkDispatched: m}}))
-				assert.Equal(t, got, n.mark(w.time, m))
+				got := resultText(w.run(&rpc.Command{Action: &rpc.Command_MarkDispatched{MarkDispatched: m}}))
+				assert.Equal(t, got, n.markDispatched(w.time, m))
 			},
 			"finish": func(t *rapid.T) {
 				at, with := grant()
 				f := &rpc.FinishClaim{Key: at, Fence: with, Answer: &rpc.StoredAnswer{Body: []byte("123456789")}}
-				got := inWords(w.run(&rpc.Command{Action: &rpc.Command_FinishClaim{FinishClaim: f}}))
+				got := resultText(w.run(&rpc.Command{Action: &rpc.Command_FinishClaim{FinishClaim: f}}))
 				assert.Equal(t, got, n.finish(w.time, f))
 			},
 			"release": func(t *rapid.T) {
@@ -185,7 +185,7 @@
 					r = &rpc.ReleaseClaim{}
 					r.Key, r.Fence = grant()
 				}
-				got := inWords(w.run(&rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: r}}))
+				got := resultText(w.run(&rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: r}}))
 				assert.Equal(t, got, n.release(w.time, r))
 			},
 			"time": func(t *rapid.T) {
--- a/control/state/sessions.go
+++ b/control/state/sessions.go
@@ -8,74 +8,78 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// sessions is which processes own claims and when each was last heard of. It
-// only decides how soon a claim may be taken over and what a resend is told;
-// that work runs at most once depends on fences alone.
-type sessions struct {
+// sessionTable is a failure detector: it holds when each process that owns
+// claims was last heard from. It only determines how soon a claim can be taken
+// over and what a resent request is told. At-most-once execution depends on
+// fencing tokens alone.
+type sessionTable struct {
 	limits Limits
 	rows   map[string]session
 }
 
+// session is the liveness record of an instance: its newest process and when
+// that was last heard from.
 type session struct {
-	boot uint64
-	seen time.Duration
+	boot     uint64
+	lastSeen time.Duration
 }
 
-func newSessions(limits Limits) sessions {
-	return sessions{limits: limits, rows: map[string]session{}}
+func newSessionTable(limits Limits) sessionTable {
+	return sessionTable{limits: limits, rows: map[string]session{}}
 }
 
-// seen records a sign of life. One of an older process comes late and counts
-// for nothing.
-func (s *sessions) seen(now time.Duration, from owner) {
+// recordHeartbeat records that a process is alive. A delayed message from an
+// earlier process of the instance is ignored.
+func (s *sessionTable) recordHeartbeat(now time.Duration, from processID) {
 	row, known := s.rows[from.instance]
 	if known && from.boot < row.boot {
 		return
 	}
-	if !known && len(s.rows) >= manySessions {
+	if !known && len(s.rows) >= sessionSweepThreshold {
 		maps.DeleteFunc(s.rows, func(_ string, old session) bool {
-			return now-old.seen >= s.limits.ClaimRetention
+			return now-old.lastSeen >= s.limits.ClaimRetention
 		})
 	}
-	s.rows[from.instance] = session{boot: from.boot, seen: now}
+	s.rows[from.instance] = session{boot: from.boot, lastSeen: now}
 }
 
-// lostIn returns how long it takes until the process counts as lost, zero if it
-// does already: it is not heard of, or a newer one runs in its place.
-func (s *sessions) lostIn(now time.Duration, o owner) time.Duration {
-	row, known := s.rows[o.instance]
-	if !known || row.boot > o.boot {
+// timeUntilLost returns how long it takes until a process counts as lost. It is
+// zero if the process is unknown, has timed out, or was replaced by a newer one
+// of its instance.
+func (s *sessionTable) timeUntilLost(now time.Duration, process processID) time.Duration {
+	row, known := s.rows[process.instance]
+	if !known || row.boot > process.boot {
 		return 0
 	}
-	return max(0, row.seen+s.limits.SessionTimeout-now)
+	return max(0, row.lastSeen+s.limits.SessionTimeout-now)
 }
 
-// keepAlive answers a KeepAlive.
-func (c *claims) keepAlive(now time.Duration, request *rpc.KeepAlive) *rpc.Result {
-	from := owner{request.GetOwner().GetInstance(), request.GetOwner().GetBoot()}
+// keepAlive applies a heartbeat of a process that owns claims.
+func (c *claimTable) keepAlive(now time.Duration, request *rpc.KeepAlive) *rpc.Result {
+	from := processID{request.GetOwner().GetInstance(), request.GetOwner().GetBoot()}
 	if from.instance == "" || len(from.instance) > maxNameBytes {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
-	c.sessions.seen(now, from)
+	c.sessions.recordHeartbeat(now, from)
 	return done()
 }
 
-func (s *sessions) save(snapshot *rpc.Snapshot) {
+func (s *sessionTable) save(snapshot *rpc.Snapshot) {
 	for _, instance := range slices.Sorted(maps.Keys(s.rows)) {
 		row := s.rows[instance]
 		snapshot.Sessions = append(snapshot.Sessions, &rpc.SessionRow{
 			Instance: instance,
 			Boot:     row.boot,
-			Seen:     int64(row.seen),
+			Seen:     int64(row.lastSeen),
 		})
 	}
 }
 
-func (s *sessions) load(snapshot *rpc.Snapshot) {
+func (s *sessionTable) restore(snapshot *rpc.Snapshot) {
 	for _, saved := range snapshot.GetSessions() {
 		s.rows[saved.GetInstance()] = session{
-			boot: saved.GetBoot(),
-			seen: time.Duration(saved.GetSeen()),
+			boot:     saved.GetBoot(),
+			lastSeen: time.Duration(saved.GetSeen()),
 		}
 	}
 }
--- a/control/state/state.go
+++ b/control/state/state.go
@@ -1,10 +1,13 @@
-// Package state is the replicated state machine of the control instances: the
-// configuration, the claims for work that runs at most once, the leases for
-// orders to endpoints, and the documents of operators.
+// Package state implements the replicated state machine of the control group,
+// to which the consensus log is applied. It holds the configuration history,
+// the idempotency claims that give keyed requests at-most-once execution, the
+// fenced leases and weight loads of the controllers that send orders to
+// endpoints, and the documents of operators.
 //
-// It is pure. Equal commands in equal order give equal states and results at
-// every replica, so nothing here reads a clock, a random source or the order of
-// a map. It is not safe for concurrent use.
+// The state machine is deterministic: equal commands in equal order give equal
+// states and results at every replica. Nothing here reads a clock or a random
+// source, or depends on the iteration order of a map. It is not safe for
+// concurrent use.
 package state
 
 import (
@@ -19,52 +22,54 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// snapshotVersion is written into snapshots; Restore refuses any other.
+// snapshotVersion is the format version written into snapshots. Restore rejects
+// any other version.
 const snapshotVersion = 1
 
-// State is the replicated state.
+// State is the replicated state machine.
 //
-// Its time is the log time: each command carries a stamp that the proposing
-// leader took from its own monotonic clock, counted on from the newest stamp in
-// its log when it was elected. Log time therefore never runs faster than the
-// fastest leader's clock, also across changes of leader, and a duration that
-// has passed in log time has passed everywhere, but for the drift of clocks.
+// Its clock is the log time. Each command carries a stamp from the monotonic
+// clock of the leader that proposed it. A newly elected leader continues from
+// the newest stamp in its log, so log time never runs faster than the fastest
+// leader's clock, also across leader changes. A duration that has elapsed in
+// log time has therefore elapsed in real time at every instance, except for
+// clock drift.
 type State struct {
 	limits        Limits
 	group         uint64
 	founders      []*rpc.Founder
 	now           time.Duration
-	configuration configurations
-	claims        claims
-	leases        leases
-	documents     documents
+	configuration configurationStore
+	claims        claimTable
+	leases        leaseTable
+	documents     documentStore
 }
 
-// New returns an empty state. All replicas must be given equal limits.
+// New returns an empty state machine. All replicas must use equal limits.
 func New(limits Limits) *State {
 	return &State{
 		limits:        limits,
-		configuration: newConfigurations(limits),
-		claims:        newClaims(limits),
-		leases:        newLeases(),
-		documents:     newDocuments(),
+		configuration: newConfigurationStore(limits),
+		claims:        newClaimTable(limits),
+		leases:        newLeaseTable(),
+		documents:     newDocumentStore(),
 	}
 }
 
-// Bootstrap names the group and the replicas it starts with. It is called once, on
-// an empty state, before the first snapshot is taken of it.
+// Bootstrap sets the ID of the group and its founding replicas. It is called
+// once, on an empty state, before the first snapshot is taken.
 func (s *State) Bootstrap(group uint64, founders []*rpc.Founder) {
 	s.group, s.founders = group, founders
 }
 
-// Group returns what Found was given.
+// Group returns the group ID and the founders that were given to Bootstrap.
 func (s *State) Group() (uint64, []*rpc.Founder) { return s.group, s.founders }
 
 // Now returns the log time of the newest command.
 func (s *State) Now() time.Duration { return s.now }
 
-// Apply runs one committed log entry. An entry that cannot be read changes
-// nothing, at every replica alike.
+// Apply decodes and executes one committed log entry. An entry that cannot be
+// decoded is refused as malformed and changes nothing at any replica.
 func (s *State) Apply(index uint64, entry []byte) (*rpc.Command, *rpc.Result) {
 	command := &rpc.Command{}
 	if err := proto.Unmarshal(entry, command); err != nil {
@@ -73,8 +78,8 @@
 	return command, s.Execute(index, command)
 }
 
-// Execute is Apply for a decoded command. The index must grow from call to
-// call; fencing numbers are taken from it.
+// Execute applies a decoded command. The index is the log index of the command
+// and must increase from call to call, because fencing tokens are log indexes.
 func (s *State) Execute(index uint64, command *rpc.Command) *rpc.Result {
 	s.now = max(s.now, time.Duration(command.GetStamp()))
 	s.claims.expire(s.now)
@@ -112,41 +117,44 @@
 	}
 }
 
-// Revision returns the number of the configuration in force, zero for none.
+// Revision returns the number of the configuration in force, zero if there is
+// none.
 func (s *State) Revision() tables.Revision {
 	return tables.Revision(s.configuration.revision)
 }
 
-// Content returns the configuration in force. The caller must not change it.
+// Content returns the configuration in force. The caller must not modify it.
 func (s *State) Content() *configuration.Content { return s.configuration.content }
 
-// History returns the kept revisions, oldest first. The caller must not change
-// them.
+// History returns the retained revisions, oldest first. The caller must not
+// modify them.
 func (s *State) History() []*rpc.Revision { return s.configuration.history }
 
-// ChangesSince returns the items that bring a copy at the given revision up to
-// date, and false if the history no longer reaches back to it.
+// ChangesSince returns the items that update a copy from the given revision to
+// the one in force. It returns false if the history no longer reaches back to
+// that revision; the copy then needs the whole content.
 func (s *State) ChangesSince(revision tables.Revision) ([]*rpc.Item, bool) {
 	return s.configuration.changesSince(uint64(revision))
 }
 
-// Loads returns the weight loads that may be running, by endpoint.
+// Loads returns the weight loads that may be running, sorted by endpoint.
 func (s *State) Loads() []*rpc.Load { return s.leases.sortedLoads() }
 
-// ClaimCount returns the number of claims kept.
+// ClaimCount returns the number of retained claims.
 func (s *State) ClaimCount() int { return len(s.claims.rows) }
 
 // Snapshot encodes the state. Equal states give equal bytes.
 func (s *State) Snapshot() ([]byte, error) { return EncodeSnapshot(s.TakeSnapshot()) }
 
-// EncodeSnapshot encodes what Save returned.
+// EncodeSnapshot encodes the result of TakeSnapshot deterministically.
 func EncodeSnapshot(snapshot *rpc.Snapshot) ([]byte, error) {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	return encoded, trace.Wrap(err)
 }
 
-// TakeSnapshot returns a copy of the state. It shares only what is never modified with
-// the state, so it may be encoded while the state goes on.
+// TakeSnapshot returns a copy of the state. The copy shares only immutable
+// values with the state, so it can be encoded while further commands are
+// applied.
 func (s *State) TakeSnapshot() *rpc.Snapshot {
 	snapshot := &rpc.Snapshot{
 		Version:  snapshotVersion,
@@ -161,8 +169,8 @@
 	return snapshot
 }
 
-// Restore replaces the state by a snapshot. After an error the state is as it
-// was.
+// Restore replaces the state by an encoded snapshot. If it returns an error,
+// the state is unchanged.
 func (s *State) Restore(encoded []byte) error {
 	snapshot, err := decodeSnapshot(encoded)
 	if err != nil {
@@ -172,10 +180,10 @@
 	fresh.group = snapshot.GetGroup()
 	fresh.founders = snapshot.GetFounders()
 	fresh.now = time.Duration(snapshot.GetNow())
-	fresh.configuration.load(snapshot)
-	fresh.claims.load(snapshot)
-	fresh.leases.load(snapshot)
-	fresh.documents.load(snapshot)
+	fresh.configuration.restore(snapshot)
+	fresh.claims.restore(snapshot)
+	fresh.leases.restore(snapshot)
+	fresh.documents.restore(snapshot)
 	*s = *fresh
 	return nil
 }
@@ -197,21 +205,23 @@
 	return snapshot, nil
 }
 
-// HistoryGapError means that the revisions of a history do not follow each other.
+// HistoryGapError reports that the revisions in a snapshot's history are not
+// consecutive.
 type HistoryGapError struct{ Revision uint64 }
 
-// Error names the first revision out of place.
+// Error names the first revision that is out of sequence.
 func (e *HistoryGapError) Error() string {
 	return fmt.Sprintf("revision %d is out of place in the history", e.Revision)
 }
 
-// InvalidSnapshotError means that a snapshot cannot be read by this version.
+// InvalidSnapshotError reports a snapshot that cannot be decoded, or that has a
+// format version unknown to this program.
 type InvalidSnapshotError struct {
 	Version uint32
 	Cause   error
 }
 
-// Error gives the cause.
+// Error describes the decoding failure or the version mismatch.
 func (e *InvalidSnapshotError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("snapshot cannot be read: %v", e.Cause)
@@ -219,7 +229,7 @@
 	return fmt.Sprintf("snapshot has version %d, this version reads %d", e.Version, snapshotVersion)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the decoding failure, nil for a version mismatch.
 func (e *InvalidSnapshotError) Unwrap() error { return e.Cause }
 
 func done() *rpc.Result {
@@ -227,10 +237,10 @@
 }
 
 func refused(reason rpc.RefusalReason) *rpc.Result {
-	return refusedFor(reason, 0)
+	return refusedWithRetry(reason, 0)
 }
 
-func refusedFor(reason rpc.RefusalReason, retryAfter time.Duration) *rpc.Result {
+func refusedWithRetry(reason rpc.RefusalReason, retryAfter time.Duration) *rpc.Result {
 	refusal := &rpc.Refusal{Reason: reason, RetryAfterNanos: int64(retryAfter)}
 	return &rpc.Result{Answer: &rpc.Result_Refusal{Refusal: refusal}}
 }
