--- a/control/rollout/planner.go
+++ b/control/rollout/planner.go
@@ -133,10 +133,10 @@
 // Planner decides which engines to poll and which to update, as a state machine per engine. It
 // limits the number of concurrent updates. It is not safe for concurrent use.
 type Planner struct {
-	engines map[tables.EndpointID]*engineState
-	targets map[string]uint64
-	// noOrdersBefore is the earliest time for orders to an endpoint.
-	noOrdersBefore map[tables.EndpointID]tables.Instant
+	engineStates map[tables.EndpointID]*engineState
+	targets      map[string]uint64
+	// notBefore is the earliest time for orders to an endpoint.
+	notBefore map[tables.EndpointID]tables.Instant
 	// MaxConcurrent overrides how many engines load at once; zero derives it from their number.
 	MaxConcurrent int
 }
@@ -144,14 +144,12 @@
 // NewPlanner returns a planner without engines and targets.
 func NewPlanner() *Planner {
 	return &Planner{
-		engines: map[tables.EndpointID]*engineState{}, targets: map[string]uint64{}, noOrdersBefore: map[tables.EndpointID]tables.Instant{},
+		engineStates: map[tables.EndpointID]*engineState{}, targets: map[string]uint64{}, notBefore: map[tables.EndpointID]tables.Instant{},
 	}
 }
 
 // DelayOrders prevents orders to an endpoint until the given time.
-func (p *Planner) DelayOrders(id tables.EndpointID, until tables.Instant) {
-	p.noOrdersBefore[id] = until
-}
+func (p *Planner) DelayOrders(id tables.EndpointID, until tables.Instant) { p.notBefore[id] = until }
 
 // SetTarget sets the version that a model should be served with. A target is never lowered.
 func (p *Planner) SetTarget(model string, version uint64) {
@@ -168,9 +166,9 @@
 			continue // a plain service
 		}
 		present[e.ID] = true
-		known := p.engines[e.ID]
+		known := p.engineStates[e.ID]
 		if known == nil || known.Born != e.Born && e.Born != 0 {
-			p.engines[e.ID] = &engineState{Endpoint: e.Clone()}
+			p.engineStates[e.ID] = &engineState{Endpoint: e.Clone()}
 			continue
 		}
 		weights := known.Weights
@@ -179,9 +177,9 @@
 			known.Weights[model] = max(known.Weights[model], version)
 		}
 	}
-	for id := range p.engines {
+	for id := range p.engineStates {
 		if !present[id] {
-			delete(p.engines, id)
+			delete(p.engineStates, id)
 		}
 	}
 }
@@ -227,7 +225,7 @@
 	}
 	for _, r := range engines {
 		_, version := p.pendingUpdate(r)
-		if cordonedCount >= p.maxConcurrent()/2 || version == 0 || r.phase != idle || !r.sequenceKnown || r.polling || r.Draining || now < p.noOrdersBefore[r.ID] {
+		if cordonedCount >= p.maxConcurrent()/2 || version == 0 || r.phase != idle || !r.sequenceKnown || r.polling || r.Draining || now < p.notBefore[r.ID] {
 			continue
 		}
 		cordonedCount++
@@ -272,8 +270,8 @@
 // ones never. Engines with equal weights alternate between zones, so that no zone loses all its
 // engines at once.
 func (p *Planner) inUpdateOrder() []*engineState {
-	engines := make([]*engineState, 0, len(p.engines))
-	for _, r := range p.engines {
+	engines := make([]*engineState, 0, len(p.engineStates))
+	for _, r := range p.engineStates {
 		engines = append(engines, r)
 	}
 	slices.SortFunc(engines, func(a, b *engineState) int { return cmp.Compare(a.ID, b.ID) })
@@ -302,13 +300,13 @@
 	if p.MaxConcurrent > 0 {
 		return p.MaxConcurrent
 	}
-	return max(minConcurrent, (len(p.engines)+concurrencyDivisor-1)/concurrencyDivisor)
+	return max(minConcurrent, (len(p.engineStates)+concurrencyDivisor-1)/concurrencyDivisor)
 }
 
 // HandleReport processes the report of a poll, nil if the engine did not answer. It returns whether
 // the report completes an update.
 func (p *Planner) HandleReport(now tables.Instant, id tables.EndpointID, report *Report) bool {
-	r := p.engines[id]
+	r := p.engineStates[id]
 	if r == nil {
 		return false
 	}
@@ -350,7 +348,7 @@
 
 // HandleOrderResult processes an engine's answer to an order; zero means none.
 func (p *Planner) HandleOrderResult(now tables.Instant, id tables.EndpointID, result OrderResult) {
-	r := p.engines[id]
+	r := p.engineStates[id]
 	if r == nil || r.phase != orderSent {
 		return
 	}
@@ -371,7 +369,7 @@
 
 // Converged reports whether no update runs and every engine not draining serves the targets.
 func (p *Planner) Converged() bool {
-	for _, r := range p.engines {
+	for _, r := range p.engineStates {
 		if _, version := p.pendingUpdate(r); version != 0 && !r.Draining || r.phase != idle {
 			return false
 		}
@@ -381,14 +379,14 @@
 
 // Updating reports whether an engine is cordoned for an order or known to execute one.
 func (p *Planner) Updating(id tables.EndpointID) bool {
-	r := p.engines[id]
+	r := p.engineStates[id]
 	return r != nil && r.phase != idle && !r.unconfirmed
 }
 
 // Cordoned returns the engines that will receive an order soon, sorted by ID.
 func (p *Planner) Cordoned() []tables.EndpointID {
 	var ids []tables.EndpointID
-	for id, r := range p.engines {
+	for id, r := range p.engineStates {
 		if r.phase == cordoned {
 			ids = append(ids, id)
 		}
--- a/control/rollout/planner_test.go
+++ b/control/rollout/planner_test.go
@@ -215,14 +215,14 @@
 		s.step()
 	}
 	assert.Equal(t, s.maxLoading, 0)
-	silent := 0
-	for id, r := range s.planner.engines {
+	unconfirmed := 0
+	for id, r := range s.planner.engineStates {
 		if r.unconfirmed {
-			silent++
+			unconfirmed++
 			assert.Equal(t, s.planner.Updating(id), false)
 		}
 	}
-	assert.Equal(t, silent, 2)
+	assert.Equal(t, unconfirmed, 2)
 	for s.now < maxReportAge+cordonTime {
 		s.step()
 	}
