--- a/control/state/claims.go
+++ b/control/state/claims.go
@@ -153,6 +153,7 @@
 	return claimResult(&rpc.ClaimAnswer{State: rpc.ClaimState_CLAIM_UNKNOWN})
 }
 
+// grant makes a process the owner of the row under a new fencing token.
 func (c *claimTable) grant(index uint64, now time.Duration, id claimID, row *claim, to processID, token string) *rpc.Result {
 	row.stage = rpc.ClaimStage_STAGE_CLAIMED
 	row.owner = to
@@ -283,6 +284,7 @@
 	}
 }
 
+// expire removes the rows that have expired and prunes the answer queue.
 func (c *claimTable) expire(now time.Duration) {
 	c.claimedQueue = c.expireQueue(c.claimedQueue, now)
 	c.retentionQueue = c.expireQueue(c.retentionQueue, now)
--- a/control/state/claims_test.go
+++ b/control/state/claims_test.go
@@ -18,6 +18,7 @@
 	time  time.Duration
 }
 
+// newHarness returns a harness with small limits, so that tests reach them.
 func newHarness() *harness {
 	limits := DefaultLimits()
 	limits.MaxClaims, limits.MaxClaimsPerOrganisation = 6, 4
--- a/control/state/configurations.go
+++ b/control/state/configurations.go
@@ -143,6 +143,8 @@
 	}
 }
 
+// recordAccepted stores an acceptance as the first answer of a request and returns
+// it.
 func (c *configurationStore) recordAccepted(id requestID, digest uint64, wall int64) *rpc.Result {
 	known := &rpc.RememberedRequest{
 		Operator: id.operator,
@@ -155,6 +157,7 @@
 	return acceptedResult(known, false)
 }
 
+// recordConflict stores a conflict as the first answer of a request and returns it.
 func (c *configurationStore) recordConflict(id requestID, digest, base uint64, wall int64) *rpc.Result {
 	known := &rpc.RememberedRequest{
 		Operator: id.operator,
@@ -182,6 +185,7 @@
 	return &rpc.Revision{}
 }
 
+// withoutChanges returns the metadata of a revision.
 func withoutChanges(revision *rpc.Revision) *rpc.Revision {
 	return &rpc.Revision{
 		Number:   revision.GetNumber(),
@@ -276,6 +280,8 @@
 	return id.request != "" && len(id.request) <= maxNameBytes && len(id.operator) <= maxNameBytes
 }
 
+// lifeChangeDigest hashes the contents of a request, so that a resend can be told
+// from another request under the same ID.
 func lifeChangeDigest(request *rpc.ChangeLife) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/control/state/limits.go
+++ b/control/state/limits.go
@@ -11,7 +11,7 @@
 	MaxRevisions    int
 	MaxHistoryBytes int
 	// MaxRememberedRequests is the number of operator requests whose first
-	// answer is kept, so that resent requests are answered alike.
+	// answer is kept, so that a resent request gets the same answer.
 	MaxRememberedRequests int
 	// ClaimedTTL is how long a claim is retained that was never dispatched. It
 	// exceeds the longest time for which work may be held in a queue.
--- a/control/state/state.go
+++ b/control/state/state.go
@@ -217,6 +217,8 @@
 // InvalidSnapshotError reports a snapshot that cannot be decoded, or that has a
 // format version unknown to this program.
 type InvalidSnapshotError struct {
+	// Version is the format version of the snapshot. Cause is the decoding failure,
+	// nil if the version is unknown.
 	Version uint32
 	Cause   error
 }
