--- a/control/state/reference_model_test.go
+++ b/control/state/reference_model_test.go
@@ -21,22 +21,23 @@
 	boots    map[string]uint64
 }
 
+// claimModelRow is the expected row of one key. since is when its stage began.
 type claimModelRow struct {
-	key, body, owner, token, mark string
-	boot, fence                   uint64
-	stage                         string
-	since                         time.Duration
+	key, body, owner, token, dispatchToken string
+	boot, fence                            uint64
+	stage                                  string
+	since                                  time.Duration
 }
 
 func (n *claimModel) find(now time.Duration, key string) *claimModelRow {
 	var found *claimModelRow
 	var kept []*claimModelRow
 	for _, row := range n.rows {
-		lives := n.limits.ClaimRetention
+		lifetime := n.limits.ClaimRetention
 		if row.stage == "claimed" {
-			lives = n.limits.ClaimedTTL
+			lifetime = n.limits.ClaimedTTL
 		}
-		if now-row.since >= lives {
+		if now-row.since >= lifetime {
 			continue
 		}
 		kept = append(kept, row)
@@ -90,9 +91,9 @@
 	case row == nil || row.fence != m.GetFence():
 		return "REFUSED_CLAIM_LOST"
 	case row.stage == "claimed":
-		row.stage, row.mark, row.since = "dispatched", m.GetToken(), now
+		row.stage, row.dispatchToken, row.since = "dispatched", m.GetToken(), now
 		return "done"
-	case row.mark == m.GetToken():
+	case row.dispatchToken == m.GetToken():
 		return "done"
 	}
 	return "REFUSED_ALREADY_DISPATCHED"
