--- a/peers/peers.go
+++ b/peers/peers.go
@@ -61,10 +61,10 @@
 			Boot:     tables.BootID(s.GetBoot()),
 		},
 		CrashPoint: quarantine.CrashPoint{
-			Likely:   s.GetLikely(),
+			Likely:          s.GetLikely(),
 			AttemptTokens:   int(s.GetTokens()),
-			AnswerTokens: int(s.GetPosition()),
-			SinceFirstToken:      time.Duration(max(s.GetRanNanos(), 0)),
+			AnswerTokens:    int(s.GetPosition()),
+			SinceFirstToken: time.Duration(max(s.GetRanNanos(), 0)),
 		},
 		Convicted: s.GetConvicted(),
 		Age:       time.Duration(max(s.GetAgeNanos(), 0)),
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -16,8 +16,8 @@
 func TestSuspectsAreSentWhole(t *testing.T) {
 	s := quarantine.Suspect{
 		Fingerprint: 7,
-		Incarnation:        quarantine.Incarnation{Endpoint: "e", Boot: "b"},
-		CrashPoint:        quarantine.CrashPoint{Likely: true, AttemptTokens: 3, AnswerTokens: 9, SinceFirstToken: time.Second},
+		Incarnation: quarantine.Incarnation{Endpoint: "e", Boot: "b"},
+		CrashPoint:  quarantine.CrashPoint{Likely: true, AttemptTokens: 3, AnswerTokens: 9, SinceFirstToken: time.Second},
 		Convicted:   true,
 		Age:         time.Minute,
 	}
--- a/systems/membership/hints.go
+++ b/systems/membership/hints.go
@@ -224,9 +224,9 @@
 			Instance: tables.InstanceID(in.GetSender().GetInstance()),
 			Endpoint: tables.EndpointID(encoded.GetEndpoint()),
 			Running:  int(encoded.GetRunning()), CacheTokens: int(encoded.GetTokens()), PrefillTokens: int(encoded.GetPrefill()),
-			LinkBusy:   time.Duration(encoded.GetLinkMs()) * time.Millisecond,
+			LinkBusy:  time.Duration(encoded.GetLinkMs()) * time.Millisecond,
 			AbsentFor: time.Duration(encoded.GetAbsentMs()) * time.Millisecond,
-			Limit:  decodeRateLimit(encoded.GetLimit()),
+			Limit:     decodeRateLimit(encoded.GetLimit()),
 		})
 	}
 }
--- a/systems/membership/membership.go
+++ b/systems/membership/membership.go
@@ -101,8 +101,8 @@
 type Config struct {
 	// ProbeInterval is the time between two probes; half a second is enough for the
 	// direct answer, see ProbeTimeout.
-	ProbeInterval       time.Duration
-	ProbeTimeout time.Duration
+	ProbeInterval time.Duration
+	ProbeTimeout  time.Duration
 	// IndirectProbes is how many others are asked to ping one that did not answer.
 	IndirectProbes int
 	// DeadRetention is how long dead instances are kept and tried again, so that zones
@@ -157,8 +157,8 @@
 	Config Config
 	// Seeds are addresses to join through. They are tried as long as they are
 	// not those of living members.
-	Seeds []netip.AddrPort
-	RandomSeed  uint64
+	Seeds      []netip.AddrPort
+	RandomSeed uint64
 	// UseSchedulers lets schedulers choose endpoints in groups beyond WideGroup.
 	UseSchedulers bool
 }
@@ -179,7 +179,7 @@
 	ScheduleMessage *rpc.ScheduleMessage
 	// UsageMessage is a message about organisations' usage, from the same.
 	UsageMessage *rpc.UsageMessage
-	From  Sender
+	From         Sender
 	// NewerRevisionAt is set to the control address of an instance that has a newer
 	// revision in force than this one.
 	NewerRevisionAt netip.AddrPort
--- a/systems/membership/simulation_test.go
+++ b/systems/membership/simulation_test.go
@@ -85,8 +85,8 @@
 			Control:  netip.AddrPortFrom(node.address.Addr(), 8081),
 			Boot:     w.boots,
 		},
-		Seeds: []netip.AddrPort{w.nodes[0].address},
-		RandomSeed:  uint64(i),
+		Seeds:      []netip.AddrPort{w.nodes[0].address},
+		RandomSeed: uint64(i),
 	})
 }
 
--- a/systems/quarantine/quarantine.go
+++ b/systems/quarantine/quarantine.go
@@ -83,23 +83,23 @@
 	CrashDetectionLag time.Duration
 	// MaxIncidents, Candidates and Convicted bound what is remembered: incidents,
 	// candidates of one incident, and convictions. The oldest go first.
-	MaxIncidents  int
-	MaxCandidates int
-	MaxConvictions  int
+	MaxIncidents   int
+	MaxCandidates  int
+	MaxConvictions int
 }
 
 // The defaults of Options.
 const (
 	DefaultLikelyWindow      = 5 * time.Second
-	DefaultSettleDelay     = 500 * time.Millisecond
-	DefaultOwnershipWindow        = 5 * time.Second
-	DefaultOutliveMargin    = 1500 * time.Millisecond
-	DefaultRetention     = 10 * time.Minute
-	DefaultCrashDetectionLag        = 2 * time.Second
-	DefaultBurstWindow      = 2 * time.Second
-	DefaultMaxIncidents  = 64
-	DefaultMaxCandidates = 256
-	DefaultMaxConvictions  = 1024
+	DefaultSettleDelay       = 500 * time.Millisecond
+	DefaultOwnershipWindow   = 5 * time.Second
+	DefaultOutliveMargin     = 1500 * time.Millisecond
+	DefaultRetention         = 10 * time.Minute
+	DefaultCrashDetectionLag = 2 * time.Second
+	DefaultBurstWindow       = 2 * time.Second
+	DefaultMaxIncidents      = 64
+	DefaultMaxCandidates     = 256
+	DefaultMaxConvictions    = 1024
 )
 
 func (o Options) withDefaults() Options {
@@ -136,7 +136,7 @@
 	Fingerprint tables.Fingerprint
 	// Incarnation is the incident; it is empty for a conviction.
 	Incarnation Incarnation
-	CrashPoint CrashPoint
+	CrashPoint  CrashPoint
 	// Convicted is set in place of Life.
 	Convicted bool
 	Age       time.Duration
@@ -149,8 +149,8 @@
 	// Likely is set when the attempt was young.
 	Likely bool
 	// AttemptTokens counts those of the attempt, Position those of the whole answer.
-	AttemptTokens   int
-	AnswerTokens int
+	AttemptTokens int
+	AnswerTokens  int
 	// SinceFirstToken is how long ago the attempt's first token was; zero before it.
 	SinceFirstToken time.Duration
 }
