--- a/parts/parts.go
+++ b/parts/parts.go
@@ -21,10 +21,10 @@
 
 // NewID is the name of a model's part. The scope keeps those apart that must
 // not share: the organisation of an isolated one, or empty.
-func NewID(model, scope, id string) ID {
+func NewID(model, scope, hash string) ID {
 	var d xxhash.Digest
 	d.Reset()
-	for _, text := range []string{scope, model, id} {
+	for _, text := range []string{scope, model, hash} {
 		_, _ = d.WriteString(text)
 		_, _ = d.Write([]byte{0})
 	}
@@ -49,12 +49,12 @@
 
 // ParseKey is the key of a part that an engine names; false if the salt is not one
 // of this system's.
-func ParseKey(salt, model, id string) (Key, bool) {
+func ParseKey(salt, model, hash string) (Key, bool) {
 	text, marked := strings.CutPrefix(salt, saltPrefix)
 	number, scope, split := strings.Cut(text, "/")
 	version, err := strconv.ParseUint(number, 10, 64)
 	if !marked || !split || err != nil {
 		return 0, false
 	}
-	return NewID(model, scope, id).KeyAt(version), true
+	return NewID(model, scope, hash).KeyAt(version), true
 }
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -19,11 +19,11 @@
 	// answerTimeout is how long a scheduler may take: a round trip within a zone and
 	// the time in which a slow machine gets to run. silentPause is how long one that
 	// did not answer is not asked, and unreadyPause one that knows too little.
-	answerTimeout = 40 * time.Millisecond
-	silentPause   = 500 * time.Millisecond
-	unreadyPause  = 200 * time.Millisecond
-	// maxAsked is how many schedulers are asked for one request.
-	maxAsked = 2
+	answerTimeout  = 40 * time.Millisecond
+	silentBackoff  = 500 * time.Millisecond
+	unreadyBackoff = 200 * time.Millisecond
+	// maxSchedulersAsked is how many schedulers are asked for one request.
+	maxSchedulersAsked = 2
 	// maxParts and maxTried keep a question within a datagram.
 	maxParts = 40
 	maxTried = 8
@@ -44,9 +44,9 @@
 
 // Client asks schedulers. It is safe for concurrent use.
 type Client struct {
-	options ClientOptions
-	calls   *datagram.Calls[*rpc.ScheduleAnswer]
-	silent  datagram.Silent
+	options  ClientOptions
+	calls    *datagram.Calls[*rpc.ScheduleAnswer]
+	backoffs datagram.Silent
 }
 
 // NewClient returns a client.
@@ -63,10 +63,10 @@
 	// Reason says why there is no endpoint now.
 	Reason dispatch.RejectReason
 
-	client *Client
-	at     netip.AddrPort
-	number uint64
-	begun  bool
+	client    *Client
+	scheduler netip.AddrPort
+	number    uint64
+	started   bool
 }
 
 // Ask has a scheduler choose an endpoint. It returns nil if the instance has to choose
@@ -75,58 +75,58 @@
 	if len(r.SharedParts) > maxParts || len(r.Tried) > maxTried {
 		return nil
 	}
-	for range maxAsked {
-		scheduler, found := c.pick(keyOf(r))
+	for range maxSchedulersAsked {
+		scheduler, found := c.pickScheduler(schedulerKey(r))
 		if !found || scheduler.Instance == c.options.Self {
 			return nil
 		}
-		answer, number := c.askOne(ctx, scheduler, r)
+		answer, number := c.askScheduler(ctx, scheduler, r)
 		if answer.GetReady() {
 			return &Assignment{
 				Choice: decodeChoice(answer), Reason: dispatch.RejectReason(answer.GetReason()),
-				client: c, at: scheduler.Address, number: number,
+				client: c, scheduler: scheduler.Address, number: number,
 			}
 		}
 		if ctx.Err() != nil {
 			return nil
 		}
-		c.leave(scheduler, answer == nil)
+		c.backOff(scheduler, answer == nil)
 	}
 	return nil
 }
 
-// keyOf draws the scheduler of a request: requests that share their whole beginning
+// schedulerKey draws the scheduler of a request: requests that share their whole beginning
 // have the same one.
-func keyOf(r *dispatch.Request) uint64 {
+func schedulerKey(r *dispatch.Request) uint64 {
 	if len(r.SharedParts) == 0 {
 		return uint64(r.ArrivedAt)
 	}
 	return uint64(r.SharedParts[len(r.SharedParts)-1].Name)
 }
 
-// pick returns the scheduler of a request of those that answer.
-func (c *Client) pick(key uint64) (membership.EntryInstance, bool) {
+// pickScheduler returns the scheduler of a request of those that answer.
+func (c *Client) pickScheduler(key uint64) (membership.EntryInstance, bool) {
 	now := c.options.Now()
-	return datagram.Pick(key, c.options.Schedulers(), func(id tables.InstanceID) bool { return c.silent.Left(id, now) })
+	return datagram.Pick(key, c.options.Schedulers(), func(id tables.InstanceID) bool { return c.backoffs.Left(id, now) })
 }
 
-// askOne asks one scheduler; a nil answer means that none came in time.
-func (c *Client) askOne(ctx context.Context, s membership.EntryInstance, r *dispatch.Request) (*rpc.ScheduleAnswer, uint64) {
+// askScheduler asks one scheduler; a nil answer means that none came in time.
+func (c *Client) askScheduler(ctx context.Context, s membership.EntryInstance, r *dispatch.Request) (*rpc.ScheduleAnswer, uint64) {
 	answer, number, _ := c.calls.Ask(ctx, answerTimeout, func(number uint64) {
-		c.options.Send(s.Address, &rpc.ScheduleMessage{Number: number, Question: question(c.options.Now(), r)})
+		c.options.Send(s.Address, &rpc.ScheduleMessage{Number: number, Question: encodeQuestion(c.options.Now(), r)})
 	})
 	return answer, number
 }
 
-// leave asks others for a while.
-func (c *Client) leave(s membership.EntryInstance, silent bool) {
-	pause := unreadyPause
+// backOff asks others for a while.
+func (c *Client) backOff(s membership.EntryInstance, silent bool) {
+	pause := unreadyBackoff
 	if silent {
-		pause = silentPause
+		pause = silentBackoff
 		events.SchedulerSilent.Log(c.options.Log, zap.String("scheduler", string(s.Instance)))
 	}
 	now := c.options.Now()
-	c.silent.Leave(s.Instance, now, now+pause)
+	c.backoffs.Leave(s.Instance, now, now+pause)
 }
 
 // HandleAnswer takes an answer. One that comes too late is given back: the scheduler must
@@ -136,7 +136,7 @@
 		return
 	}
 	if answer.GetEndpoint() != "" {
-		late := &Assignment{client: c, at: from, number: number}
+		late := &Assignment{client: c, scheduler: from, number: number}
 		late.NotifyEnded(dispatch.Cancelled)
 	}
 }
@@ -144,10 +144,10 @@
 // NotifyStarted notifies the scheduler that the endpoint works on the request. Later calls do
 // nothing.
 func (a *Assignment) NotifyStarted() {
-	if a == nil || a.begun {
+	if a == nil || a.started {
 		return
 	}
-	a.begun = true
+	a.started = true
 	a.notify(&rpc.AttemptProgress{Began: true})
 }
 
@@ -158,6 +158,6 @@
 
 func (a *Assignment) notify(progress *rpc.AttemptProgress) {
 	if a != nil {
-		a.client.options.Send(a.at, &rpc.ScheduleMessage{Number: a.number, Progress: progress})
+		a.client.options.Send(a.scheduler, &rpc.ScheduleMessage{Number: a.number, Progress: progress})
 	}
 }
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -19,18 +19,18 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// question describes a request to a scheduler.
-func question(now tables.Instant, r *dispatch.Request) *rpc.ScheduleQuestion {
+// encodeQuestion describes a request to a scheduler.
+func encodeQuestion(now tables.Instant, r *dispatch.Request) *rpc.ScheduleQuestion {
 	q := &rpc.ScheduleQuestion{
 		Service:       r.Service.Name,
 		Model:         r.Model,
 		Priority:      int32(r.Priority),
-		TargetMs:      inMilliseconds(r.Route.Target),
+		TargetMs:      toMilliseconds(r.Route.Target),
 		PromptTokens:  uint32(r.PromptTokens),
 		OutputTokens:  uint32(r.OutputTokens),
-		WaitedMs:      inMilliseconds(now - r.ArrivedAt),
-		LeftMs:        inMilliseconds(r.Deadline - now),
-		HoldMs:        inMilliseconds(r.PrefillWaitUntil - now),
+		WaitedMs:      toMilliseconds(now - r.ArrivedAt),
+		LeftMs:        toMilliseconds(r.Deadline - now),
+		HoldMs:        toMilliseconds(r.PrefillWaitUntil - now),
 		Counted:       r.DemandCounted(),
 		Arrivals:      uint32(r.DeliveredAttempts),
 		OnlyConfirmed: r.ConfirmedOnly,
@@ -44,8 +44,8 @@
 	return q
 }
 
-// request is what a scheduler chooses for.
-func request(now tables.Instant, q *rpc.ScheduleQuestion, service *routes.Service) *dispatch.Request {
+// decodeQuestion is what a scheduler chooses for.
+func decodeQuestion(now tables.Instant, q *rpc.ScheduleQuestion, service *routes.Service) *dispatch.Request {
 	r := &dispatch.Request{
 		Service:           service,
 		Route:             &routes.Route{Target: fromMilliseconds(q.GetTargetMs())},
@@ -75,7 +75,7 @@
 func encodeChoice(c dispatch.Decision) *rpc.ScheduleAnswer {
 	return &rpc.ScheduleAnswer{
 		Ready: true, Endpoint: string(c.Endpoint), Source: string(c.CacheSource), Store: string(c.CacheStore),
-		Weights: c.WeightsVersion, ExpectedMs: inMilliseconds(c.ExpectedLatency), Uncached: uint32(c.UncachedTokens), Rule: string(c.Rule),
+		Weights: c.WeightsVersion, ExpectedMs: toMilliseconds(c.ExpectedLatency), Uncached: uint32(c.UncachedTokens), Rule: string(c.Rule),
 		Limit: encodeLimit(c.Limit),
 	}
 }
@@ -92,7 +92,7 @@
 	if l == nil {
 		return nil
 	}
-	return &rpc.EndpointRateLimit{Limited: l.Limited, PerSecond: l.PerSecond, AgeMs: inMilliseconds(l.Age)}
+	return &rpc.EndpointRateLimit{Limited: l.Limited, PerSecond: l.PerSecond, AgeMs: toMilliseconds(l.Age)}
 }
 
 func decodeLimit(l *rpc.EndpointRateLimit) *dispatch.RateLimitReport {
@@ -104,6 +104,6 @@
 	}
 }
 
-func inMilliseconds(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
+func toMilliseconds(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
 
 func fromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -22,15 +22,15 @@
 
 const model = "m"
 
-// placer chooses with a real dispatcher.
-type placer struct {
+// dispatcherPlacer chooses with a real dispatcher.
+type dispatcherPlacer struct {
 	dispatch *dispatch.Dispatcher
 	service  *routes.Service
 	now      tables.Instant
 }
 
-func newPlacer(endpoints int) *placer {
-	p := &placer{
+func newDispatcherPlacer(endpoints int) *dispatcherPlacer {
+	p := &dispatcherPlacer{
 		dispatch: dispatch.New(dispatch.Options{Zone: "a", RetryBudget: dispatch.RetryBudget{Window: time.Second}}),
 		service:  &routes.Service{Name: "s", Slots: 4, CacheTokens: 100_000},
 		now:      time.Second,
@@ -44,28 +44,30 @@
 		}
 	}
 	p.dispatch.SetEndpoints(known)
-	p.dispatch.RecordWeightsVersion(weightsNamed())
+	p.dispatch.RecordWeightsVersion(targetVersion())
 	return p
 }
 
-func (p *placer) Service(name string) *routes.Service {
+func (p *dispatcherPlacer) Service(name string) *routes.Service {
 	if name != p.service.Name {
 		return nil
 	}
 	return p.service
 }
 
-func (p *placer) PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.RejectReason) {
+func (p *dispatcherPlacer) PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.RejectReason) {
 	return p.dispatch.Place(p.now, r)
 }
 
-func (p *placer) AttemptStarted(a *dispatch.Attempt) { p.dispatch.RecordResponseStart(p.now, a) }
+func (p *dispatcherPlacer) AttemptStarted(a *dispatch.Attempt) {
+	p.dispatch.RecordResponseStart(p.now, a)
+}
 
-func (p *placer) AttemptEnded(a *dispatch.Attempt, how dispatch.Outcome) {
+func (p *dispatcherPlacer) AttemptEnded(a *dispatch.Attempt, how dispatch.Outcome) {
 	p.dispatch.RecordOutcome(p.now, a, how)
 }
 
-func (p *placer) running() int {
+func (p *dispatcherPlacer) running() int {
 	running := 0
 	for _, load := range p.dispatch.TakeLoadReports(p.now) {
 		running += load.Running
@@ -73,8 +75,8 @@
 	return running
 }
 
-// zone is an asking instance and two schedulers. Messages go through the wire's form.
-type zone struct {
+// testZone is an asking instance and two schedulers. Messages go through the wire's form.
+type testZone struct {
 	client  *Client
 	servers map[netip.AddrPort]*Server
 	// silent are schedulers that get no message.
@@ -88,8 +90,8 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), n)
 }
 
-func newZone(now func() tables.Instant, placers ...*placer) *zone {
-	z := &zone{servers: map[netip.AddrPort]*Server{}, silent: map[netip.AddrPort]bool{}, lost: func(*rpc.ScheduleMessage) bool { return false }}
+func newTestZone(now func() tables.Instant, placers ...*dispatcherPlacer) *testZone {
+	z := &testZone{servers: map[netip.AddrPort]*Server{}, silent: map[netip.AddrPort]bool{}, lost: func(*rpc.ScheduleMessage) bool { return false }}
 	var schedulers []membership.EntryInstance
 	for i, p := range placers {
 		at := address(uint16(1 + i))
@@ -104,7 +106,7 @@
 	return z
 }
 
-func (z *zone) send(to netip.AddrPort, message *rpc.ScheduleMessage) {
+func (z *testZone) send(to netip.AddrPort, message *rpc.ScheduleMessage) {
 	wire, err := proto.Marshal(message)
 	if err != nil {
 		panic(err)
@@ -127,7 +129,7 @@
 	}
 }
 
-func generation(p *placer, prompt parts.ID) *dispatch.Request {
+func generationRequest(p *dispatcherPlacer, prompt parts.ID) *dispatch.Request {
 	return &dispatch.Request{
 		Service: p.service, Route: &routes.Route{Target: time.Second}, Model: model,
 		PromptTokens: 1000, OutputTokens: 10, ArrivedAt: p.now, Deadline: p.now + 5*time.Second, PrefillWaitUntil: p.now,
@@ -138,11 +140,11 @@
 // TestAttemptCountsAtItsScheduler guards against schedulers that do not know what they
 // have sent where, or that go on counting what has ended.
 func TestAttemptCountsAtItsScheduler(t *testing.T) {
-	p := newPlacer(3)
-	z := newZone(func() tables.Instant { return p.now }, p)
+	p := newDispatcherPlacer(3)
+	z := newTestZone(func() tables.Instant { return p.now }, p)
 	var open []*Assignment
 	for i := range 6 {
-		assignment := z.client.Ask(t.Context(), generation(p, parts.ID(i)))
+		assignment := z.client.Ask(t.Context(), generationRequest(p, parts.ID(i)))
 		assert.Equal(t, assignment.Reason, dispatch.RejectReason(""))
 		open = append(open, assignment)
 	}
@@ -157,13 +159,13 @@
 // TestRequestsOfOnePromptHaveOneScheduler guards against a prompt that is read at
 // several endpoints since several instances chose for it at the same moment.
 func TestRequestsOfOnePromptHaveOneScheduler(t *testing.T) {
-	first, second := newPlacer(3), newPlacer(3)
-	z := newZone(func() tables.Instant { return first.now }, first, second)
+	first, second := newDispatcherPlacer(3), newDispatcherPlacer(3)
+	z := newTestZone(func() tables.Instant { return first.now }, first, second)
 	at := map[parts.ID]netip.AddrPort{}
 	used := map[netip.AddrPort]bool{}
 	for i := range 40 {
 		prompt := parts.ID(i % 20)
-		assert.Assert(t, z.client.Ask(t.Context(), generation(first, prompt)) != nil)
+		assert.Assert(t, z.client.Ask(t.Context(), generationRequest(first, prompt)) != nil)
 		asked := z.asked[len(z.asked)-1]
 		if before, known := at[prompt]; known {
 			assert.Equal(t, asked, before)
@@ -176,11 +178,11 @@
 // TestSilentSchedulerIsLeft guards against callers that wait for a frozen scheduler
 // one after the other.
 func TestSilentSchedulerIsLeft(t *testing.T) {
-	first, second := newPlacer(3), newPlacer(3)
-	z := newZone(func() tables.Instant { return first.now }, first, second)
+	first, second := newDispatcherPlacer(3), newDispatcherPlacer(3)
+	z := newTestZone(func() tables.Instant { return first.now }, first, second)
 	z.silent[address(1)] = true
 	for i := range 20 {
-		assert.Assert(t, z.client.Ask(t.Context(), generation(first, parts.ID(i))) != nil, "the other one chooses")
+		assert.Assert(t, z.client.Ask(t.Context(), generationRequest(first, parts.ID(i))) != nil, "the other one chooses")
 	}
 	asked := 0
 	for _, at := range z.asked {
@@ -190,9 +192,9 @@
 	}
 	assert.Equal(t, asked, 1)
 	z.silent[address(1)] = false
-	first.now += silentPause
+	first.now += silentBackoff
 	for i := range 20 {
-		z.client.Ask(t.Context(), generation(first, parts.ID(i)))
+		z.client.Ask(t.Context(), generationRequest(first, parts.ID(i)))
 	}
 	assert.Assert(t, len(z.asked) > 41-20)
 	assert.Assert(t, first.running() > 0, "it is asked again")
@@ -201,38 +203,38 @@
 // TestWithoutSchedulersAnInstanceChoosesItself guards against requests that fail since
 // no scheduler answers.
 func TestWithoutSchedulersAnInstanceChoosesItself(t *testing.T) {
-	p := newPlacer(3)
-	z := newZone(func() tables.Instant { return p.now }, p)
+	p := newDispatcherPlacer(3)
+	z := newTestZone(func() tables.Instant { return p.now }, p)
 	z.silent[address(1)] = true
-	assert.Assert(t, z.client.Ask(t.Context(), generation(p, 1)) == nil)
+	assert.Assert(t, z.client.Ask(t.Context(), generationRequest(p, 1)) == nil)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Assert(t, z.client.Ask(ended, generation(p, 1)) == nil)
+	assert.Assert(t, z.client.Ask(ended, generationRequest(p, 1)) == nil)
 }
 
 // TestLostEndIsNoticed guards against endpoints that count as full for ever since the
 // word that attempts have ended was lost.
 func TestLostEndIsNoticed(t *testing.T) {
-	p := newPlacer(1)
-	z := newZone(func() tables.Instant { return p.now }, p)
+	p := newDispatcherPlacer(1)
+	z := newTestZone(func() tables.Instant { return p.now }, p)
 	z.lost = func(m *rpc.ScheduleMessage) bool { return m.GetProgress() != nil }
 	for i := range 4 {
-		z.client.Ask(t.Context(), generation(p, parts.ID(i))).NotifyEnded(dispatch.Completed)
+		z.client.Ask(t.Context(), generationRequest(p, parts.ID(i))).NotifyEnded(dispatch.Completed)
 	}
-	assert.Equal(t, z.client.Ask(t.Context(), generation(p, 9)).Reason, dispatch.NoCapacity)
-	p.now += 5*time.Second + endMargin
+	assert.Equal(t, z.client.Ask(t.Context(), generationRequest(p, 9)).Reason, dispatch.NoCapacity)
+	p.now += 5*time.Second + expiryGrace
 	z.servers[address(1)].ExpireAttempts()
 	assert.Equal(t, p.running(), 0, "also if nobody asks any more")
-	assert.Equal(t, z.client.Ask(t.Context(), generation(p, 9)).Reason, dispatch.RejectReason(""))
+	assert.Equal(t, z.client.Ask(t.Context(), generationRequest(p, 9)).Reason, dispatch.RejectReason(""))
 	assert.Equal(t, p.running(), 1)
 }
 
 // TestAnswerThatComesTooLateIsGivenBack guards against attempts that a scheduler counts
 // and nobody makes.
 func TestAnswerThatComesTooLateIsGivenBack(t *testing.T) {
-	p := newPlacer(3)
-	z := newZone(func() tables.Instant { return p.now }, p)
-	q := question(p.now, generation(p, 1))
+	p := newDispatcherPlacer(3)
+	z := newTestZone(func() tables.Instant { return p.now }, p)
+	q := encodeQuestion(p.now, generationRequest(p, 1))
 	answer := z.servers[address(1)].Choose("asker", 7, q)
 	assert.Equal(t, p.running(), 1)
 	z.client.HandleAnswer(address(1), 7, answer)
@@ -242,9 +244,9 @@
 // TestRepeatedQuestionCountsOnce guards against an attempt that counts twice since its
 // datagram came twice.
 func TestRepeatedQuestionCountsOnce(t *testing.T) {
-	p := newPlacer(3)
-	z := newZone(func() tables.Instant { return p.now }, p)
-	q := question(p.now, generation(p, 1))
+	p := newDispatcherPlacer(3)
+	z := newTestZone(func() tables.Instant { return p.now }, p)
+	q := encodeQuestion(p.now, generationRequest(p, 1))
 	first := z.servers[address(1)].Choose("asker", 7, q)
 	again := z.servers[address(1)].Choose("asker", 7, q)
 	assert.Equal(t, first.GetEndpoint(), again.GetEndpoint())
@@ -254,11 +256,11 @@
 // TestSchedulerSeesTheRequestAsItIs guards against choices for another request than the
 // caller's: a part, a bound or a failed endpoint that is lost on the way.
 func TestSchedulerSeesTheRequestAsItIs(t *testing.T) {
-	p := newPlacer(3)
-	r := generation(p, 5)
+	p := newDispatcherPlacer(3)
+	r := generationRequest(p, 5)
 	r.Priority, r.Tried = 3, []tables.EndpointID{"A", "B"}
 	r.ArrivedAt = p.now - 200*time.Millisecond
-	got := request(p.now, question(p.now, r), p.service)
+	got := decodeQuestion(p.now, encodeQuestion(p.now, r), p.service)
 	assert.Equal(t, got.Priority, 3)
 	assert.DeepEqual(t, got.Tried, r.Tried)
 	assert.DeepEqual(t, got.SharedParts, r.SharedParts)
@@ -270,19 +272,19 @@
 	assert.Equal(t, got.Route.Target, r.Route.Target)
 }
 
-func weightsNamed() weights.TargetVersion { return weights.TargetVersion{Model: model, Version: 1} }
+func targetVersion() weights.TargetVersion { return weights.TargetVersion{Model: model, Version: 1} }
 
 // TestBurstOfOnePromptFillsNoEndpointBeyondItsPlaces guards against a crowd of instances
 // that send a prompt which has become popular to the one endpoint that holds it, where
 // most wait or are rejected while other endpoints rest.
 func TestBurstOfOnePromptFillsNoEndpointBeyondItsPlaces(t *testing.T) {
-	p := newPlacer(8)
-	z := newZone(func() tables.Instant { return p.now }, p)
-	z.client.Ask(t.Context(), generation(p, 1)).NotifyStarted()
+	p := newDispatcherPlacer(8)
+	z := newTestZone(func() tables.Instant { return p.now }, p)
+	z.client.Ask(t.Context(), generationRequest(p, 1)).NotifyStarted()
 	p.now += time.Second
 	placed := map[tables.EndpointID]int{}
 	for range 30 {
-		assignment := z.client.Ask(t.Context(), generation(p, 1))
+		assignment := z.client.Ask(t.Context(), generationRequest(p, 1))
 		assert.Equal(t, assignment.Reason, dispatch.RejectReason(""))
 		placed[assignment.Choice.Endpoint]++
 	}
--- a/schedule/server.go
+++ b/schedule/server.go
@@ -21,10 +21,10 @@
 }
 
 const (
-	// sweepEvery is the time between two looks for attempts whose end was not reported,
+	// sweepInterval is the time between two looks for attempts whose end was not reported,
 	// and endMargin how long after its caller's deadline one counts as ended.
-	sweepEvery = 500 * time.Millisecond
-	endMargin  = 500 * time.Millisecond
+	sweepInterval = 500 * time.Millisecond
+	expiryGrace   = 500 * time.Millisecond
 )
 
 // attemptKey names an attempt of an instance that asked.
@@ -33,10 +33,10 @@
 	number   uint64
 }
 
-// assigned is an attempt that this instance has chosen for another.
-type assigned struct {
-	attempt *dispatch.Attempt
-	until   tables.Instant
+// remoteAttempt is an attempt that this instance has chosen for another.
+type remoteAttempt struct {
+	attempt   *dispatch.Attempt
+	expiresAt tables.Instant
 }
 
 // Server chooses for other instances. It is safe for concurrent use.
@@ -44,14 +44,14 @@
 	placer Placer
 	now    func() tables.Instant
 
-	mu      sync.Mutex
-	open    map[attemptKey]assigned
-	sweptAt tables.Instant
+	mu       sync.Mutex
+	attempts map[attemptKey]remoteAttempt
+	sweptAt  tables.Instant
 }
 
 // NewServer returns a server; now reads a monotonic clock.
 func NewServer(placer Placer, now func() tables.Instant) *Server {
-	return &Server{placer: placer, now: now, open: map[attemptKey]assigned{}}
+	return &Server{placer: placer, now: now, attempts: map[attemptKey]remoteAttempt{}}
 }
 
 // Choose chooses an endpoint for an attempt of another instance.
@@ -59,19 +59,19 @@
 	key, now := attemptKey{instance: by, number: number}, s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known, repeated := s.open[key]; repeated {
+	if known, repeated := s.attempts[key]; repeated {
 		return encodeChoice(known.attempt.Decision(now))
 	}
 	service := s.placer.Service(q.GetService())
 	if service == nil {
 		return &rpc.ScheduleAnswer{}
 	}
-	r := request(now, q, service)
+	r := decodeQuestion(now, q, service)
 	chosen, reason := s.placer.PlaceRequest(r)
 	if chosen == nil {
 		return &rpc.ScheduleAnswer{Ready: true, Reason: string(reason)}
 	}
-	s.open[key] = assigned{attempt: chosen, until: r.Deadline + endMargin}
+	s.attempts[key] = remoteAttempt{attempt: chosen, expiresAt: r.Deadline + expiryGrace}
 	return encodeChoice(chosen.Decision(now))
 }
 
@@ -80,15 +80,15 @@
 	key := attemptKey{instance: by, number: number}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, open := s.open[key]
-	if !open {
+	known, found := s.attempts[key]
+	if !found {
 		return
 	}
 	if p.GetBegan() {
 		s.placer.AttemptStarted(known.attempt)
 	}
 	if p.GetEnded() {
-		delete(s.open, key)
+		delete(s.attempts, key)
 		s.placer.AttemptEnded(known.attempt, dispatch.DecodeOutcome(p.GetEnd()))
 	}
 }
@@ -100,13 +100,13 @@
 	now := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now-s.sweptAt < sweepEvery {
+	if now-s.sweptAt < sweepInterval {
 		return
 	}
 	s.sweptAt = now
-	for key, one := range s.open {
-		if now >= one.until {
-			delete(s.open, key)
+	for key, one := range s.attempts {
+		if now >= one.expiresAt {
+			delete(s.attempts, key)
 			s.placer.AttemptEnded(one.attempt, dispatch.Cancelled)
 		}
 	}
--- a/usage/bench_test.go
+++ b/usage/bench_test.go
@@ -11,12 +11,12 @@
 func BenchmarkDebit(b *testing.B) {
 	for _, organisations := range []int{16, 8600} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
-			a, ids := accounts(organisations)
+			owner, ids := ownerWithLimits(organisations)
 			now := time.Second
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += time.Millisecond
-				a.Debit(now, "i", Debit{Subject: ids[i%len(ids)], Cost: 900})
+				owner.Debit(now, "i", Debit{Subject: ids[i%len(ids)], Cost: 900})
 			}
 		})
 	}
@@ -28,19 +28,19 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		a, ids := accounts(8600)
+		owner, ids := ownerWithLimits(8600)
 		for _, id := range ids {
-			a.Debit(time.Second, "i", Debit{Subject: id, Cost: 900})
-			a.ApplyReport(time.Second, "remote", Report{Subject: id, BootEpoch: 1})
+			owner.Debit(time.Second, "i", Debit{Subject: id, Cost: 900})
+			owner.ApplyReport(time.Second, "remote", Report{Subject: id, BootEpoch: 1})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(ids)), "bytes/account")
-		runtime.KeepAlive(a)
+		runtime.KeepAlive(owner)
 	}
 }
 
-func accounts(n int) (*BucketOwner, []Subject) {
+func ownerWithLimits(n int) (*BucketOwner, []Subject) {
 	limits := map[Subject]Limit{}
 	var ids []Subject
 	for i := range n {
@@ -48,7 +48,7 @@
 		limits[id] = limit
 		ids = append(ids, id)
 	}
-	a := NewBucketOwner(0, "z", 1)
-	a.SetLimits(limits)
-	return a, ids
+	owner := NewBucketOwner(0, "z", 1)
+	owner.SetLimits(limits)
+	return owner, ids
 }
--- a/usage/client.go
+++ b/usage/client.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// answerTimeout is how long an accountant may take: a round trip within a zone and
+	// replyTimeout is how long an accountant may take: a round trip within a zone and
 	// the time in which a slow machine gets to run. silentPause is how long one that did
 	// not answer is not asked.
-	answerTimeout = 40 * time.Millisecond
-	silentPause   = 500 * time.Millisecond
-	// maxAsked is how many accountants are asked for one request.
-	maxAsked = 2
-	// forgetPeriod is the time between two looks for meters that are not in use.
-	forgetPeriod = 10 * time.Second
+	replyTimeout  = 40 * time.Millisecond
+	silentBackoff = 500 * time.Millisecond
+	// maxOwnersAsked is how many accountants are asked for one request.
+	maxOwnersAsked = 2
+	// sweepInterval is the time between two looks for meters that are not in use.
+	sweepInterval = 10 * time.Second
 )
 
 // Basis says what a decision rests on.
@@ -77,49 +77,49 @@
 // Client decides whether requests are within the limits of their subjects. It is
 // safe for concurrent use.
 type Client struct {
-	options ClientOptions
-	calls   *datagram.Calls[*rpc.UsageAnswer]
-	silent  datagram.Silent
+	options  ClientOptions
+	calls    *datagram.Calls[*rpc.UsageAnswer]
+	backoffs datagram.Silent
 
-	mu        sync.Mutex
-	meters    map[Subject]*LocalLimiter
-	forgotten tables.Instant
+	mu       sync.Mutex
+	limiters map[Subject]*LocalLimiter
+	sweptAt  tables.Instant
 }
 
 // NewClient returns a client.
 func NewClient(o ClientOptions) *Client {
 	return &Client{
-		options: o, calls: datagram.NewCalls[*rpc.UsageAnswer](o.BootEpoch), meters: map[Subject]*LocalLimiter{},
+		options: o, calls: datagram.NewCalls[*rpc.UsageAnswer](o.BootEpoch), limiters: map[Subject]*LocalLimiter{},
 	}
 }
 
-func keyOf(id Subject) uint64 { return xxhash.Sum64String(string(id)) }
+func subjectHash(id Subject) uint64 { return xxhash.Sum64String(string(id)) }
 
 // Admit decides about a request of the given cost, and counts it if it is admitted.
 func (c *Client) Admit(ctx context.Context, id Subject, limit Limit, cost int64) Decision {
 	if !limit.Limited() {
 		return Decision{Admitted: true, Basis: ByNoLimit}
 	}
-	switch step, retryAfter := c.decide(id, cost); step {
+	switch verdict, retryAfter := c.check(id, cost); verdict {
 	case Admit:
-		c.report(id)
-		return c.decision(id, Decision{Admitted: true, Basis: ByLease})
+		c.reportUse(id)
+		return c.withLevel(id, Decision{Admitted: true, Basis: ByLease})
 	case Reject:
-		return c.decision(id, Decision{RetryAfter: retryAfter, Basis: ByCachedRefusal})
+		return c.withLevel(id, Decision{RetryAfter: retryAfter, Basis: ByCachedRefusal})
 	}
-	for range maxAsked {
-		answer, answered := c.ask(ctx, id, limit, cost)
-		if answered {
-			return c.decision(id, Decision{Admitted: answer.Admitted, RetryAfter: answer.RetryAfter, Basis: ByOwner})
+	for range maxOwnersAsked {
+		reply, replied := c.askOwner(ctx, id, limit, cost)
+		if replied {
+			return c.withLevel(id, Decision{Admitted: reply.Admitted, RetryAfter: reply.RetryAfter, Basis: ByOwner})
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
 	if limit.Strict {
-		return c.decision(id, Decision{RetryAfter: silentPause, Basis: ByNoOwner})
+		return c.withLevel(id, Decision{RetryAfter: silentBackoff, Basis: ByNoOwner})
 	}
-	return c.decideAlone(id, limit, cost)
+	return c.admitFromShare(id, limit, cost)
 }
 
 // Charge counts use that nobody is asked about: a further run of a request, or, negative,
@@ -129,148 +129,148 @@
 		return
 	}
 	c.mu.Lock()
-	c.meter(id).Charge(c.options.Now(), amount)
+	c.limiter(id).Charge(c.options.Now(), amount)
 	c.mu.Unlock()
-	c.report(id)
+	c.reportUse(id)
 }
 
-// meter returns an organisation's meter. It is called with mu held.
-func (c *Client) meter(id Subject) *LocalLimiter {
+// limiter returns an organisation's limiter. It is called with mu held.
+func (c *Client) limiter(id Subject) *LocalLimiter {
 	now := c.options.Now()
-	if now-c.forgotten > forgetPeriod {
-		c.forgotten = now
-		for other, m := range c.meters {
+	if now-c.sweptAt > sweepInterval {
+		c.sweptAt = now
+		for other, m := range c.limiters {
 			if m.Idle(now) {
-				delete(c.meters, other)
+				delete(c.limiters, other)
 			}
 		}
 	}
-	m := c.meters[id]
+	m := c.limiters[id]
 	if m == nil {
 		m = &LocalLimiter{}
-		c.meters[id] = m
+		c.limiters[id] = m
 	}
 	return m
 }
 
-func (c *Client) decide(id Subject, cost int64) (Verdict, time.Duration) {
+func (c *Client) check(id Subject, cost int64) (Verdict, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.meter(id).Check(c.options.Now(), cost)
+	return c.limiter(id).Check(c.options.Now(), cost)
 }
 
-func (c *Client) decideAlone(id Subject, limit Limit, cost int64) Decision {
+func (c *Client) admitFromShare(id Subject, limit Limit, cost int64) Decision {
 	c.mu.Lock()
-	admitted, after := c.meter(id).AdmitFromShare(c.options.Now(), limit, c.options.InstanceCount(), cost)
+	admitted, retryAfter := c.limiter(id).AdmitFromShare(c.options.Now(), limit, c.options.InstanceCount(), cost)
 	c.mu.Unlock()
-	return c.decision(id, Decision{Admitted: admitted, RetryAfter: after, Basis: ByLocalShare})
+	return c.withLevel(id, Decision{Admitted: admitted, RetryAfter: retryAfter, Basis: ByLocalShare})
 }
 
-// decision adds what is known of the account.
-func (c *Client) decision(id Subject, d Decision) Decision {
+// withLevel adds what is known of the account.
+func (c *Client) withLevel(id Subject, d Decision) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m := c.meter(id); m.known {
-		d.Level, d.LevelAge = m.level, c.options.Now()-m.knownAt
+	if m := c.limiter(id); m.replied {
+		d.Level, d.LevelAge = m.level, c.options.Now()-m.repliedAt
 	}
 	return d
 }
 
-// ask has an accountant decide about a request; answered is false if none did.
-func (c *Client) ask(ctx context.Context, id Subject, limit Limit, cost int64) (answer DebitReply, answered bool) {
-	accountant, found := c.pick(id)
+// askOwner has an accountant decide about a request; answered is false if none did.
+func (c *Client) askOwner(ctx context.Context, id Subject, limit Limit, cost int64) (reply DebitReply, replied bool) {
+	owner, found := c.pickOwner(id)
 	if !found {
 		return DebitReply{}, false
 	}
-	d := c.debit(id, cost)
+	d := c.newDebit(id, cost)
 	if limit.Strict {
 		d.Limit = limit
 	}
-	if accountant.Instance == c.options.Self {
-		answer = c.options.Server.Debit(membership.Sender{Instance: c.options.Self, Address: accountant.Address}, d)
-		return c.took(d, answer)
+	if owner.Instance == c.options.Self {
+		reply = c.options.Server.Debit(membership.Sender{Instance: c.options.Self, Address: owner.Address}, d)
+		return c.applyReply(d, reply)
 	}
-	got, _, found := c.calls.Ask(ctx, answerTimeout, func(number uint64) {
-		c.options.Send(accountant.Address, &rpc.UsageMessage{Number: number, Debit: encodeDebit(d)})
+	got, _, found := c.calls.Ask(ctx, replyTimeout, func(number uint64) {
+		c.options.Send(owner.Address, &rpc.UsageMessage{Number: number, Debit: encodeDebit(d)})
 	})
 	if found && got.GetReady() {
-		return c.took(d, decodeAnswer(got))
+		return c.applyReply(d, decodeReply(got))
 	}
-	c.undo(d)
+	c.rollBack(d)
 	if ctx.Err() == nil {
 		now := c.options.Now()
-		c.silent.Leave(accountant.Instance, now, now+silentPause)
-		events.AccountantSilent.Log(c.options.Log, zap.String("accountant", string(accountant.Instance)), zap.Bool("answered", found))
+		c.backoffs.Leave(owner.Instance, now, now+silentBackoff)
+		events.AccountantSilent.Log(c.options.Log, zap.String("accountant", string(owner.Instance)), zap.Bool("answered", found))
 	}
 	return DebitReply{}, false
 }
 
-// report sends what was used without asking to the accountant, and takes its answer when
+// reportUse sends what was used without asking to the accountant, and takes its answer when
 // it comes. Nobody waits for it: what is lost goes with the next.
-func (c *Client) report(id Subject) {
-	accountant, found := c.pick(id)
+func (c *Client) reportUse(id Subject) {
+	owner, found := c.pickOwner(id)
 	if !found {
 		return
 	}
-	d := c.debit(id, 0)
-	if accountant.Instance == c.options.Self {
-		answer := c.options.Server.Debit(membership.Sender{Instance: c.options.Self, Address: accountant.Address}, d)
-		_, _ = c.took(d, answer)
+	d := c.newDebit(id, 0)
+	if owner.Instance == c.options.Self {
+		reply := c.options.Server.Debit(membership.Sender{Instance: c.options.Self, Address: owner.Address}, d)
+		_, _ = c.applyReply(d, reply)
 		return
 	}
 	go func() {
-		got, _, answered := c.calls.Ask(context.Background(), answerTimeout, func(number uint64) {
-			c.options.Send(accountant.Address, &rpc.UsageMessage{Number: number, Debit: encodeDebit(d)})
+		got, _, replied := c.calls.Ask(context.Background(), replyTimeout, func(number uint64) {
+			c.options.Send(owner.Address, &rpc.UsageMessage{Number: number, Debit: encodeDebit(d)})
 		})
-		if answered && got.GetReady() {
-			_, _ = c.took(d, decodeAnswer(got))
+		if replied && got.GetReady() {
+			_, _ = c.applyReply(d, decodeReply(got))
 			return
 		}
-		c.undo(d)
+		c.rollBack(d)
 	}()
 }
 
-// pick returns the accountant of the own zone that is to be asked.
-func (c *Client) pick(id Subject) (membership.EntryInstance, bool) {
+// pickOwner returns the accountant of the own zone that is to be asked.
+func (c *Client) pickOwner(id Subject) (membership.EntryInstance, bool) {
 	now := c.options.Now()
-	return datagram.Pick(keyOf(id), c.options.EntriesByZone()[c.options.Zone], func(other tables.InstanceID) bool {
-		return c.silent.Left(other, now)
+	return datagram.Pick(subjectHash(id), c.options.EntriesByZone()[c.options.Zone], func(other tables.InstanceID) bool {
+		return c.backoffs.Left(other, now)
 	})
 }
 
-func (c *Client) debit(id Subject, cost int64) Debit {
+func (c *Client) newDebit(id Subject, cost int64) Debit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.meter(id).NewDebit(c.options.Now(), id, cost)
+	return c.limiter(id).NewDebit(c.options.Now(), id, cost)
 }
 
-func (c *Client) undo(d Debit) {
+func (c *Client) rollBack(d Debit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.meter(d.Subject).RollBack(d)
+	c.limiter(d.Subject).RollBack(d)
 }
 
-func (c *Client) took(d Debit, a DebitReply) (DebitReply, bool) {
+func (c *Client) applyReply(d Debit, reply DebitReply) (DebitReply, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !a.Ready {
-		c.meter(d.Subject).RollBack(d)
-		return a, false
+	if !reply.Ready {
+		c.limiter(d.Subject).RollBack(d)
+		return reply, false
 	}
-	c.meter(d.Subject).ApplyReply(c.options.Now(), d, a)
-	return a, true
+	c.limiter(d.Subject).ApplyReply(c.options.Now(), d, reply)
+	return reply, true
 }
 
 // HandleReply takes an accountant's answer to one of this instance's debits.
-func (c *Client) HandleReply(number uint64, answer *rpc.UsageAnswer) {
-	c.calls.Answered(number, answer)
+func (c *Client) HandleReply(number uint64, reply *rpc.UsageAnswer) {
+	c.calls.Answered(number, reply)
 }
 
 // RevokeLease notes that an accountant has ended a lease.
 func (c *Client) RevokeLease(id Subject) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m := c.meters[id]; m != nil {
+	if m := c.limiters[id]; m != nil {
 		m.RevokeLease(c.options.Now())
 	}
 }
@@ -281,8 +281,8 @@
 	case message.GetAnswer() != nil:
 		c.HandleReply(message.GetNumber(), message.GetAnswer())
 	case message.GetDebit() != nil:
-		answer := c.options.Server.Debit(from, decodeDebit(message.GetDebit()))
-		c.options.Send(from.Address, &rpc.UsageMessage{Number: message.GetNumber(), Answer: encodeAnswer(answer)})
+		reply := c.options.Server.Debit(from, decodeDebit(message.GetDebit()))
+		c.options.Send(from.Address, &rpc.UsageMessage{Number: message.GetNumber(), Answer: encodeReply(reply)})
 	case message.GetLeaseEnded() != "":
 		c.RevokeLease(Subject(message.GetLeaseEnded()))
 	default:
--- a/usage/endpoints_test.go
+++ b/usage/endpoints_test.go
@@ -14,29 +14,29 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-var engine = EndpointSubject("engine")
+var engineSubject = EndpointSubject("engine")
 
 const endpointWindow = 4 * time.Second
 
-// endpointAllowed is how many requests an endpoint that takes so many a second bears within
+// maxEndpointUse is how many requests an endpoint that takes so many a second bears within
 // endpointWindow.
-func endpointAllowed(perSecond float64) int64 {
+func maxEndpointUse(perSecond float64) int64 {
 	return int64(1.5*perSecond*endpointWindow.Seconds() + 5)
 }
 
-// atRates runs a deployment whose instances want to send an endpoint twenty times what it takes.
-func atRates(t *testing.T, f func(s *sim), check func(t *testing.T, s *sim, perSecond float64)) {
+// forEachRate runs a deployment whose instances want to send an endpoint twenty times what it takes.
+func forEachRate(t *testing.T, f func(s *simulation), check func(t *testing.T, s *simulation, perSecond float64)) {
 	for _, perSecond := range []float64{0.05, 1, 1.2, 5, 40} {
-		atSizes(t, func(t *testing.T, n int) {
-			s := newSim(n, nil)
-			s.named = map[Subject]Limit{engine: EndpointLimit(perSecond)}
-			s.run(settle)
-			s.loadOnes(engine, 20*max(perSecond, 1), settle+30*time.Second)
+		forEachSize(t, func(t *testing.T, n int) {
+			s := newSimulation(n, nil)
+			s.endpointLimits = map[Subject]Limit{engineSubject: EndpointLimit(perSecond)}
+			s.runUntil(warmUp)
+			s.generateUnitLoad(engineSubject, 20*max(perSecond, 1), warmUp+30*time.Second)
 			f(s)
-			s.run(settle + 31*time.Second)
-			most := s.most(engine, endpointWindow)
-			t.Logf("%v a second: %d within the window of %d, %d in all", perSecond, most, endpointAllowed(perSecond), s.used(engine, 0))
-			assert.Assert(t, most <= endpointAllowed(perSecond), "%v a second: %d, allowed %d", perSecond, most, endpointAllowed(perSecond))
+			s.runUntil(warmUp + 31*time.Second)
+			most := s.peakUse(engineSubject, endpointWindow)
+			t.Logf("%v a second: %d within the window of %d, %d in all", perSecond, most, maxEndpointUse(perSecond), s.totalUse(engineSubject, 0))
+			assert.Assert(t, most <= maxEndpointUse(perSecond), "%v a second: %d, allowed %d", perSecond, most, maxEndpointUse(perSecond))
 			check(t, s, perSecond)
 		})
 	}
@@ -45,8 +45,8 @@
 // Guards against an endpoint getting more than it takes from many instances that each know
 // its limit, and against most of the limit being of no use.
 func TestInstancesTogetherKeepAnEndpointsLimit(t *testing.T) {
-	atRates(t, func(*sim) {}, func(t *testing.T, s *sim, perSecond float64) {
-		usable := float64(s.used(engine, settle)) / (max(perSecond, minEndpointRate) * 30)
+	forEachRate(t, func(*simulation) {}, func(t *testing.T, s *simulation, perSecond float64) {
+		usable := float64(s.totalUse(engineSubject, warmUp)) / (max(perSecond, minEndpointRequestsPerSecond) * 30)
 		assert.Assert(t, usable >= 0.75, "%.3f", usable)
 	})
 }
@@ -54,25 +54,25 @@
 // Guards against an endpoint's limit being exceeded when zones are cut off from each other:
 // each zone's accountant goes on.
 func TestAnEndpointsLimitHoldsAcrossACut(t *testing.T) {
-	atRates(t, func(s *sim) {
-		s.after(5*time.Second, func() { s.cut = func(a, b string) bool { return a != b } })
-		s.after(15*time.Second, func() { s.cut = func(string, string) bool { return false } })
-	}, func(t *testing.T, s *sim, _ float64) {
-		assert.Assert(t, s.used(engine, settle+7*time.Second) > 0)
+	forEachRate(t, func(s *simulation) {
+		s.after(5*time.Second, func() { s.partitioned = func(a, b string) bool { return a != b } })
+		s.after(15*time.Second, func() { s.partitioned = func(string, string) bool { return false } })
+	}, func(t *testing.T, s *simulation, _ float64) {
+		assert.Assert(t, s.totalUse(engineSubject, warmUp+7*time.Second) > 0)
 	})
 }
 
 // Guards against an endpoint's limit being given out anew by each accountant that starts.
 func TestAnEndpointsLimitHoldsAcrossRestarts(t *testing.T) {
-	atRates(t, func(s *sim) {
+	forEachRate(t, func(s *simulation) {
 		for i := range 8 {
 			s.after(time.Duration(i+2)*2*time.Second, func() {
-				lost := s.accountantOf(s.zones[i%len(s.zones)], engine)
-				s.lose(lost)
-				s.after(time.Second, func() { s.start(lost) })
+				lost := s.ownerOf(s.zones[i%len(s.zones)], engineSubject)
+				s.crash(lost)
+				s.after(time.Second, func() { s.boot(lost) })
 			})
 		}
-	}, func(*testing.T, *sim, float64) {})
+	}, func(*testing.T, *simulation, float64) {})
 }
 
 // Guards against requests at an endpoint that names a limit while nobody counts them.
@@ -87,7 +87,7 @@
 		},
 		Send: func(netip.AddrPort, *rpc.UsageMessage) {},
 	})
-	decision := c.Admit(context.Background(), engine, EndpointLimit(5), 1)
+	decision := c.Admit(context.Background(), engineSubject, EndpointLimit(5), 1)
 	assert.Equal(t, decision.Basis, ByNoOwner)
 	assert.Assert(t, !decision.Admitted)
 	assert.Assert(t, decision.RetryAfter > 0)
@@ -96,14 +96,14 @@
 // Guards against a limit that another zone knows being lost on the way between accountants.
 func TestLimitsOfEndpointsGoWithDebitsAndReports(t *testing.T) {
 	limit := EndpointLimit(1.2)
-	assert.Equal(t, decodeDebit(encodeDebit(Debit{Subject: engine, Limit: limit})).Limit, limit)
-	assert.Equal(t, decodeReport(encodeReport(Report{Subject: engine, Limit: limit})).Limit, limit)
+	assert.Equal(t, decodeDebit(encodeDebit(Debit{Subject: engineSubject, Limit: limit})).Limit, limit)
+	assert.Equal(t, decodeReport(encodeReport(Report{Subject: engineSubject, Limit: limit})).Limit, limit)
 	assert.Equal(t, decodeDebit(encodeDebit(Debit{Subject: org})).Limit, Limit{})
 
-	a := NewBucketOwner(time.Second, "a", 1)
-	a.ApplyReport(2*time.Second, "i2", Report{Subject: engine, Limit: limit, Zone: "b", Admitted: 1, BootEpoch: 1, Demand: 1})
-	answer, _ := a.Debit(2*time.Second, "i1", Debit{Subject: engine})
-	assert.Assert(t, answer.Ready)
-	unknown, _ := a.Debit(2*time.Second, "i1", Debit{Subject: EndpointSubject("unknown")})
+	owner := NewBucketOwner(time.Second, "a", 1)
+	owner.ApplyReport(2*time.Second, "i2", Report{Subject: engineSubject, Limit: limit, Zone: "b", Admitted: 1, BootEpoch: 1, Demand: 1})
+	reply, _ := owner.Debit(2*time.Second, "i1", Debit{Subject: engineSubject})
+	assert.Assert(t, reply.Ready)
+	unknown, _ := owner.Debit(2*time.Second, "i1", Debit{Subject: EndpointSubject("unknown")})
 	assert.Assert(t, !unknown.Ready)
 }
--- a/usage/owner.go
+++ b/usage/owner.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// leaseTime is how long an instance may admit requests without asking, and leasePart
+	// leaseDuration is how long an instance may admit requests without asking, and leasePart
 	// the part of the burst that must be left for it. Within the lease instances may use
 	// more than is left; that part bounds by how much.
-	leaseTime = time.Second
-	leasePart = 0.5
-	// silentAfter is after how long without a report another accountant counts as cut
+	leaseDuration    = time.Second
+	leaseMinFraction = 0.5
+	// partitionTimeout is after how long without a report another accountant counts as cut
 	// off. Accountants of accounts in use report several times in it.
-	silentAfter = 1200 * time.Millisecond
-	// strictSilentAfter is the same for strict limits: until then each side of a cut uses
+	partitionTimeout = 1200 * time.Millisecond
+	// strictPartitionTimeout is the same for strict limits: until then each side of a cut uses
 	// the whole limit, and a false alarm only leaves some of it unused.
-	strictSilentAfter = 600 * time.Millisecond
-	// reportPeriod is the time between two reports of an account whose level is high,
+	strictPartitionTimeout = 600 * time.Millisecond
+	// reportInterval is the time between two reports of an account whose level is high,
 	// tightPeriod that of others, and reportPart the part of the burst whose use brings
 	// the next report forward to tightPeriod.
-	reportPeriod = 400 * time.Millisecond
-	tightPeriod  = 50 * time.Millisecond
-	reportPart   = 1.0 / 16
-	// idlePart is the part of the limit's rate below which a demand counts as none.
-	idlePart = 0.01
-	// learnFor is how long after it was opened an account takes over levels that instances
+	reportInterval      = 400 * time.Millisecond
+	earlyReportInterval = 50 * time.Millisecond
+	earlyReportFraction = 1.0 / 16
+	// idleDemandFraction is the part of the limit's rate below which a demand counts as none.
+	idleDemandFraction = 0.01
+	// levelAdoptionWindow is how long after it was opened an account takes over levels that instances
 	// have from the accountant before.
-	learnFor = time.Second
-	// idleAfter is after how long without use an account is forgotten. Its bucket is full
+	levelAdoptionWindow = time.Second
+	// bucketIdleTimeout is after how long without use an account is forgotten. Its bucket is full
 	// by then: bursts are a few seconds' worth of the rate.
-	idleAfter = 30 * time.Second
-	// remoteForget is after how long a silent accountant no longer counts. Instances of
+	bucketIdleTimeout = 30 * time.Second
+	// peerTimeout is after how long a silent accountant no longer counts. Instances of
 	// its zone that live have another accountant by then.
-	remoteForget = 2 * time.Minute
+	peerTimeout = 2 * time.Minute
 )
 
 // Debit is what an entry instance asks of an accountant: to admit one request, to note use
@@ -88,173 +88,173 @@
 
 // BucketOwner keeps the accounts of subjects for its zone.
 type BucketOwner struct {
-	life uint64
-	zone tables.Zone
-	// unknown is until when use may have been counted elsewhere without a report to this
+	bootEpoch uint64
+	zone      tables.Zone
+	// unaccountedUntil is until when use may have been counted elsewhere without a report to this
 	// accountant: its start, or the loss of another one of its zone.
-	unknown tables.Instant
-	limits  map[Subject]Limit
-	// accounts holds those in use.
-	accounts map[Subject]*account
-	sweptAt  tables.Instant
+	unaccountedUntil tables.Instant
+	limits           map[Subject]Limit
+	// buckets holds those in use.
+	buckets map[Subject]*sharedBucket
+	sweptAt tables.Instant
 }
 
 // NewBucketOwner returns an accountant without accounts. Life tells it from those of the
 // same instance before a restart.
 func NewBucketOwner(now tables.Instant, zone tables.Zone, life uint64) *BucketOwner {
-	return &BucketOwner{life: life, zone: zone, unknown: now, accounts: map[Subject]*account{}}
+	return &BucketOwner{bootEpoch: life, zone: zone, unaccountedUntil: now, buckets: map[Subject]*sharedBucket{}}
 }
 
 // SetLimits puts limits in force. What was used under the limit before counts under the
 // next one. A higher burst can be used at once.
-func (a *BucketOwner) SetLimits(limits map[Subject]Limit) {
-	for id, acc := range a.accounts {
-		acc.level += max(0, limits[id].Burst-a.limits[id].Burst)
+func (o *BucketOwner) SetLimits(limits map[Subject]Limit) {
+	for id, acc := range o.buckets {
+		acc.level += max(0, limits[id].Burst-o.limits[id].Burst)
 	}
-	a.limits = limits
+	o.limits = limits
 }
 
 // NoteOwnerLost notes that another accountant of the zone may be gone, with its accounts.
-func (a *BucketOwner) NoteOwnerLost(now tables.Instant) { a.unknown = now }
+func (o *BucketOwner) NoteOwnerLost(now tables.Instant) { o.unaccountedUntil = now }
 
 // Debit takes use into an account and decides about a request. Holders lists the instances
 // whose leases end by it: the level has become low.
-func (a *BucketOwner) Debit(now tables.Instant, by tables.InstanceID, d Debit) (answer DebitReply, holders []tables.InstanceID) {
-	limit := a.limitOf(d.Subject, d.Limit)
+func (o *BucketOwner) Debit(now tables.Instant, by tables.InstanceID, d Debit) (reply DebitReply, revoked []tables.InstanceID) {
+	limit := o.limitOf(d.Subject, d.Limit)
 	if !limit.Limited() {
 		return DebitReply{}, nil
 	}
-	acc := a.account(now, d.Subject, limit)
+	acc := o.bucketFor(now, d.Subject, limit)
 	if d.Limit.Limited() {
-		acc.named = d.Limit
+		acc.carriedLimit = d.Limit
 	}
-	acc.advance(now, limit)
-	if d.LevelKnown && now-acc.opened <= learnFor {
+	acc.advanceTo(now, limit)
+	if d.LevelKnown && now-acc.openedAt <= levelAdoptionWindow {
 		acc.level = min(acc.level, float64(d.Level)+limit.Rate*d.LevelAge.Seconds())
 	}
-	acc.use(now, d.Spent)
+	acc.consume(now, d.Spent)
 	acc.demand.add(now, float64(max(0, d.Spent)+d.Cost))
-	answer = DebitReply{Ready: true, Admitted: d.Cost == 0 || acc.admits(limit, d.Cost)}
+	reply = DebitReply{Ready: true, Admitted: d.Cost == 0 || acc.admits(limit, d.Cost)}
 	switch {
-	case !answer.Admitted:
-		answer.RetryAfter = acc.returnAfter(now, limit, d.Cost)
+	case !reply.Admitted:
+		reply.RetryAfter = acc.nextRetryAfter(now, limit, d.Cost)
 	default:
-		acc.use(now, d.Cost)
+		acc.consume(now, d.Cost)
 	}
-	holders = acc.lease(now, by, limit, &answer)
-	answer.Level, answer.Demand = wholeLevel(acc.level), int64(acc.totalDemand(now))
-	return answer, holders
+	revoked = acc.grantOrRevokeLeases(now, by, limit, &reply)
+	reply.Level, reply.Demand = floorLevel(acc.level), int64(acc.totalDemand(now))
+	return reply, revoked
 }
 
 // limitOf is a subject's limit: the configuration's, or else the one that is named.
-func (a *BucketOwner) limitOf(id Subject, named Limit) Limit {
-	if limit, configured := a.limits[id]; configured {
+func (o *BucketOwner) limitOf(id Subject, carried Limit) Limit {
+	if limit, configured := o.limits[id]; configured {
 		return limit
 	}
-	if acc := a.accounts[id]; acc != nil && !named.Limited() {
-		return acc.named
+	if acc := o.buckets[id]; acc != nil && !carried.Limited() {
+		return acc.carriedLimit
 	}
-	return named
+	return carried
 }
 
-// wholeLevel rounds down: what is passed on of a level must not add to it.
-func wholeLevel(level float64) int64 { return int64(math.Floor(level)) }
+// floorLevel rounds down: what is passed on of a level must not add to it.
+func floorLevel(level float64) int64 { return int64(math.Floor(level)) }
 
-// account returns an account, opened if there is none.
+// bucketFor returns an bucketFor, opened if there is none.
 //
 // What was used before the accountant's start, or before another one was lost, is not known
 // and counts as spent: the level begins at zero then. So instances may be restarted without
 // the limit of a window that spans the restart being exceeded.
-func (a *BucketOwner) account(now tables.Instant, id Subject, limit Limit) *account {
-	acc := a.accounts[id]
+func (o *BucketOwner) bucketFor(now tables.Instant, id Subject, limit Limit) *sharedBucket {
+	acc := o.buckets[id]
 	if acc == nil {
-		acc = &account{
-			bucket:  bucket{at: a.unknown},
-			zone:    a.zone,
-			opened:  now,
-			remotes: map[tables.InstanceID]*remote{},
-			holders: map[tables.InstanceID]tables.Instant{},
+		acc = &sharedBucket{
+			tokenBucket: tokenBucket{updatedAt: o.unaccountedUntil},
+			zone:        o.zone,
+			openedAt:    now,
+			peers:       map[tables.InstanceID]*peerOwner{},
+			leases:      map[tables.InstanceID]tables.Instant{},
 		}
 		acc.refill(now, limit, 1)
-		a.accounts[id] = acc
+		o.buckets[id] = acc
 	}
-	acc.used = now
+	acc.usedAt = now
 	return acc
 }
 
 // ApplyReport takes another accountant's report.
-func (a *BucketOwner) ApplyReport(now tables.Instant, from tables.InstanceID, in Report) {
-	limit := a.limitOf(in.Subject, in.Limit)
+func (o *BucketOwner) ApplyReport(now tables.Instant, from tables.InstanceID, in Report) {
+	limit := o.limitOf(in.Subject, in.Limit)
 	if !limit.Limited() {
 		return
 	}
-	_, known := a.accounts[in.Subject]
-	acc := a.account(now, in.Subject, limit)
-	acc.advance(now, limit)
+	_, known := o.buckets[in.Subject]
+	acc := o.bucketFor(now, in.Subject, limit)
+	acc.advanceTo(now, limit)
 	if !known {
 		acc.level = min(acc.level, float64(in.Level))
-		acc.named = in.Limit
+		acc.carriedLimit = in.Limit
 	}
-	r := acc.remotes[from]
+	r := acc.peers[from]
 	if r == nil {
-		r = &remote{zone: in.Zone, life: in.BootEpoch, admitted: in.Admitted}
-		acc.remotes[from] = r
+		r = &peerOwner{zone: in.Zone, bootEpoch: in.BootEpoch, admitted: in.Admitted}
+		acc.peers[from] = r
 	}
-	if r.life != in.BootEpoch {
-		r.life, r.admitted = in.BootEpoch, 0
+	if r.bootEpoch != in.BootEpoch {
+		r.bootEpoch, r.admitted = in.BootEpoch, 0
 	}
 	if in.Admitted > r.admitted || r.silent {
-		acc.level -= float64(in.Admitted-r.admitted) - r.assumed
+		acc.level -= float64(in.Admitted-r.admitted) - r.assumedUse
 	}
 	r.admitted = max(r.admitted, in.Admitted)
-	r.silent, r.assumed = false, 0
-	r.demand, r.at = float64(in.Demand), now
+	r.silent, r.assumedUse = false, 0
+	r.demand, r.reportedAt = float64(in.Demand), now
 }
 
 // DueReports lists what is to be sent to the other accountants now.
-func (a *BucketOwner) DueReports(now tables.Instant) []Report {
-	a.sweep(now)
+func (o *BucketOwner) DueReports(now tables.Instant) []Report {
+	o.evictIdle(now)
 	var due []Report
-	for id, acc := range a.accounts {
-		limit := a.limitOf(id, acc.named)
-		if !acc.due(now, limit) {
+	for id, acc := range o.buckets {
+		limit := o.limitOf(id, acc.carriedLimit)
+		if !acc.reportDue(now, limit) {
 			continue
 		}
-		acc.advance(now, limit)
-		acc.reported, acc.reportedDemand, acc.reportedAt = acc.admitted, acc.activeDemand(now, limit), now
+		acc.advanceTo(now, limit)
+		acc.reportedTotal, acc.reportedDemand, acc.reportedAt = acc.admitted, acc.activeDemand(now, limit), now
 		due = append(due, Report{
-			Subject: id, Limit: acc.named, Zone: a.zone, Admitted: acc.admitted, BootEpoch: a.life,
-			Demand: int64(acc.reportedDemand), Level: wholeLevel(acc.level),
+			Subject: id, Limit: acc.carriedLimit, Zone: o.zone, Admitted: acc.admitted, BootEpoch: o.bootEpoch,
+			Demand: int64(acc.reportedDemand), Level: floorLevel(acc.level),
 		})
 	}
 	return due
 }
 
 // Empty says whether there is nothing to report for now.
-func (a *BucketOwner) Empty() bool { return len(a.accounts) == 0 }
+func (o *BucketOwner) Empty() bool { return len(o.buckets) == 0 }
 
 // Peers lists the accountants that have reported of an account.
-func (a *BucketOwner) Peers(id Subject) []tables.InstanceID {
-	acc := a.accounts[id]
+func (o *BucketOwner) Peers(id Subject) []tables.InstanceID {
+	acc := o.buckets[id]
 	if acc == nil {
 		return nil
 	}
 	var all []tables.InstanceID
-	for peer := range acc.remotes {
+	for peer := range acc.peers {
 		all = append(all, peer)
 	}
 	return all
 }
 
-// sweep forgets accounts that are not in use.
-func (a *BucketOwner) sweep(now tables.Instant) {
-	if now-a.sweptAt < time.Second {
+// evictIdle forgets accounts that are not in use.
+func (o *BucketOwner) evictIdle(now tables.Instant) {
+	if now-o.sweptAt < time.Second {
 		return
 	}
-	a.sweptAt = now
-	for id, acc := range a.accounts {
-		if now-acc.used > idleAfter || !a.limitOf(id, acc.named).Limited() {
-			delete(a.accounts, id)
+	o.sweptAt = now
+	for id, acc := range o.buckets {
+		if now-acc.usedAt > bucketIdleTimeout || !o.limitOf(id, acc.carriedLimit).Limited() {
+			delete(o.buckets, id)
 		}
 	}
 }
--- a/usage/server.go
+++ b/usage/server.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// reportCheck is the time between two looks for reports that are due, and idleCheck
+	// reportPollInterval is the time between two looks for reports that are due, and idleCheck
 	// the same while there are no accounts.
-	reportCheck = 25 * time.Millisecond
-	idleCheck   = 250 * time.Millisecond
-	// maxReports keeps a message within a datagram.
-	maxReports = 12
+	reportPollInterval = 25 * time.Millisecond
+	idlePollInterval   = 250 * time.Millisecond
+	// maxReportsPerDatagram keeps a message within a datagram.
+	maxReportsPerDatagram = 12
 )
 
 // ServerOptions set a Server up.
@@ -41,8 +41,8 @@
 type Server struct {
 	options ServerOptions
 
-	mu         sync.Mutex
-	accountant *BucketOwner
+	mu    sync.Mutex
+	owner *BucketOwner
 	// addresses are those of instances that have sent something.
 	addresses map[tables.InstanceID]netip.AddrPort
 }
@@ -50,7 +50,7 @@
 // NewServer returns a server without accounts.
 func NewServer(o ServerOptions) *Server {
 	return &Server{
-		options: o, accountant: NewBucketOwner(o.Now(), o.Zone, o.BootEpoch),
+		options: o, owner: NewBucketOwner(o.Now(), o.Zone, o.BootEpoch),
 		addresses: map[tables.InstanceID]netip.AddrPort{},
 	}
 }
@@ -59,14 +59,14 @@
 func (s *Server) SetLimits(limits map[Subject]Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.accountant.SetLimits(limits)
+	s.owner.SetLimits(limits)
 }
 
 // NoteEntriesLost notes that entry instances of the zone are gone.
 func (s *Server) NoteEntriesLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.accountant.NoteOwnerLost(s.options.Now())
+	s.owner.NoteOwnerLost(s.options.Now())
 }
 
 // Debit answers an entry instance of the zone, and ends the leases of others if little is
@@ -74,9 +74,9 @@
 func (s *Server) Debit(by membership.Sender, d Debit) DebitReply {
 	s.mu.Lock()
 	s.addresses[by.Instance] = by.Address
-	answer, ended := s.accountant.Debit(s.options.Now(), by.Instance, d)
+	reply, revoked := s.owner.Debit(s.options.Now(), by.Instance, d)
 	var notify []netip.AddrPort
-	for _, holder := range ended {
+	for _, holder := range revoked {
 		notify = append(notify, s.addresses[holder])
 	}
 	s.mu.Unlock()
@@ -85,7 +85,7 @@
 			s.options.Send(at, &rpc.UsageMessage{LeaseEnded: string(d.Subject)})
 		}
 	}
-	return answer
+	return reply
 }
 
 // HandleReports takes another accountant's reports.
@@ -94,16 +94,16 @@
 	defer s.mu.Unlock()
 	s.addresses[from.Instance] = from.Address
 	for _, report := range reports {
-		s.accountant.ApplyReport(s.options.Now(), from.Instance, decodeReport(report))
+		s.owner.ApplyReport(s.options.Now(), from.Instance, decodeReport(report))
 	}
 }
 
 // Run sends reports to other accountants until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	for {
-		pause := reportCheck
-		if s.report() {
-			pause = idleCheck
+		pause := reportPollInterval
+		if s.sendReports() {
+			pause = idlePollInterval
 		}
 		if wait.For(ctx, pause) != nil {
 			return
@@ -111,23 +111,23 @@
 	}
 }
 
-// report sends the reports that are due, and says whether there are no accounts.
-func (s *Server) report() (idle bool) {
-	for at, reports := range s.due() {
-		for chunk := range slices.Chunk(reports, maxReports) {
+// sendReports sends the reports that are due, and says whether there are no accounts.
+func (s *Server) sendReports() (empty bool) {
+	for at, reports := range s.dueReports() {
+		for chunk := range slices.Chunk(reports, maxReportsPerDatagram) {
 			s.options.Send(at, &rpc.UsageMessage{Reports: chunk})
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.accountant.Empty()
+	return s.owner.Empty()
 }
 
-// due lists the reports that are due, by receiver.
-func (s *Server) due() map[netip.AddrPort][]*rpc.UsageReport {
+// dueReports lists the reports that are dueReports, by receiver.
+func (s *Server) dueReports() map[netip.AddrPort][]*rpc.UsageReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reports := s.accountant.DueReports(s.options.Now())
+	reports := s.owner.DueReports(s.options.Now())
 	if len(reports) == 0 {
 		return nil
 	}
@@ -146,11 +146,11 @@
 func (s *Server) receivers(id Subject, zones map[tables.Zone][]membership.EntryInstance) []netip.AddrPort {
 	at := map[tables.InstanceID]netip.AddrPort{}
 	for _, entries := range zones {
-		if first, found := draw(id, entries); found {
+		if first, found := pickOwnerOf(id, entries); found {
 			at[first.Instance] = first.Address
 		}
 	}
-	for _, peer := range s.accountant.Peers(id) {
+	for _, peer := range s.owner.Peers(id) {
 		if _, named := at[peer]; !named && s.addresses[peer].IsValid() {
 			at[peer] = s.addresses[peer]
 		}
@@ -163,7 +163,7 @@
 	return all
 }
 
-// draw picks a subject's accountant among entry instances.
-func draw(id Subject, entries []membership.EntryInstance) (membership.EntryInstance, bool) {
-	return datagram.Pick(keyOf(id), entries, func(tables.InstanceID) bool { return false })
+// pickOwnerOf picks a subject's accountant among entry instances.
+func pickOwnerOf(id Subject, entries []membership.EntryInstance) (membership.EntryInstance, bool) {
+	return datagram.Pick(subjectHash(id), entries, func(tables.InstanceID) bool { return false })
 }
--- a/usage/shared_bucket.go
+++ b/usage/shared_bucket.go
@@ -6,159 +6,159 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// account is a subject's token bucket for the whole deployment, as one accountant
+// sharedBucket is a subject's token bucket for the whole deployment, as one accountant
 // knows it.
-type account struct {
-	bucket
+type sharedBucket struct {
+	tokenBucket
 	zone tables.Zone
-	// named is the limit that debits and reports carry, for subjects that the configuration
+	// carriedLimit is the limit that debits and reports carry, for subjects that the configuration
 	// has none for.
-	named    Limit
-	admitted int64
-	demand   demand
-	opened   tables.Instant
-	used     tables.Instant
-	// remotes are the accountants of other zones, and others of this zone that were
+	carriedLimit Limit
+	admitted     int64
+	demand       averagedRate
+	openedAt     tables.Instant
+	usedAt       tables.Instant
+	// peers are the accountants of other zones, and others of this zone that were
 	// asked for a while.
-	remotes map[tables.InstanceID]*remote
-	// holders are instances with a lease, until when.
-	holders map[tables.InstanceID]tables.Instant
-	// returnAt is when the next refused caller had better come back.
-	returnAt tables.Instant
-	// reported, reportedDemand and reportedAt are those of the last report.
-	reported       int64
+	peers map[tables.InstanceID]*peerOwner
+	// leases are instances with a lease, until when.
+	leases map[tables.InstanceID]tables.Instant
+	// nextRetryAt is when the next refused caller had better come back.
+	nextRetryAt tables.Instant
+	// reportedTotal, reportedDemand and reportedAt are those of the last report.
+	reportedTotal  int64
 	reportedDemand float64
 	reportedAt     tables.Instant
 }
 
-// remote is another accountant of the same subject.
-type remote struct {
-	zone     tables.Zone
-	life     uint64
-	admitted int64
-	demand   float64
-	at       tables.Instant
+// peerOwner is another accountant of the same subject.
+type peerOwner struct {
+	zone       tables.Zone
+	bootEpoch  uint64
+	admitted   int64
+	demand     float64
+	reportedAt tables.Instant
 	// silent is set while no report comes: it is then taken to use part of the limit,
 	// assumed so far.
-	silent  bool
-	part    float64
-	assumed float64
+	silent     bool
+	share      float64
+	assumedUse float64
 }
 
-// use takes an amount from the level.
-func (c *account) use(now tables.Instant, amount int64) {
-	c.admitted += amount
-	c.level -= float64(amount)
+// consume takes an amount from the level.
+func (b *sharedBucket) consume(now tables.Instant, amount int64) {
+	b.admitted += amount
+	b.level -= float64(amount)
 }
 
-// advance brings the level up to date. Accountants that are silent are taken to use their
+// advanceTo brings the level up to date. Accountants that are silent are taken to use their
 // parts.
-func (c *account) advance(now tables.Instant, limit Limit) {
-	c.forgetReplaced(now)
-	c.noteSilent(now, limit)
+func (b *sharedBucket) advanceTo(now tables.Instant, limit Limit) {
+	b.dropReplacedPeers(now)
+	b.reserveForSilentPeers(now, limit)
 	left := 1.0
-	elapsed := max(0, now-c.at).Seconds()
-	for _, r := range c.remotes {
+	elapsed := max(0, now-b.updatedAt).Seconds()
+	for _, r := range b.peers {
 		if r.silent {
-			left -= r.part
-			r.assumed += r.part * limit.Rate * elapsed
+			left -= r.share
+			r.assumedUse += r.share * limit.Rate * elapsed
 		}
 	}
-	c.refill(now, limit, max(0, left))
+	b.refill(now, limit, max(0, left))
 }
 
-// forgetReplaced drops silent accountants whose zone has another one now: nothing is to be
+// dropReplacedPeers drops silent accountants whose zone has another one now: nothing is to be
 // set aside for them.
-func (c *account) forgetReplaced(now tables.Instant) {
-	for id, r := range c.remotes {
-		if r.zone == c.zone && now-r.at > silentAfter {
-			delete(c.remotes, id)
+func (b *sharedBucket) dropReplacedPeers(now tables.Instant) {
+	for id, r := range b.peers {
+		if r.zone == b.zone && now-r.reportedAt > partitionTimeout {
+			delete(b.peers, id)
 			continue
 		}
-		for _, other := range c.remotes {
-			if other.zone == r.zone && other.at > r.at+silentAfter {
-				delete(c.remotes, id)
+		for _, other := range b.peers {
+			if other.zone == r.zone && other.reportedAt > r.reportedAt+partitionTimeout {
+				delete(b.peers, id)
 				break
 			}
 		}
 	}
 }
 
-// noteSilent finds accountants that have fallen silent, and sets their parts of the limit
+// reserveForSilentPeers finds accountants that have fallen silent, and sets their parts of the limit
 // and of what is left of the burst aside.
-func (c *account) noteSilent(now tables.Instant, limit Limit) {
-	total := c.totalDemand(now)
-	for id, r := range c.remotes {
+func (b *sharedBucket) reserveForSilentPeers(now tables.Instant, limit Limit) {
+	total := b.totalDemand(now)
+	for id, r := range b.peers {
 		switch {
-		case now-r.at > remoteForget:
-			delete(c.remotes, id)
-		case !r.silent && now-r.at > limit.silentAfter() && r.demand > 0:
+		case now-r.reportedAt > peerTimeout:
+			delete(b.peers, id)
+		case !r.silent && now-r.reportedAt > limit.partitionTimeout() && r.demand > 0:
 			r.silent = true
-			r.part = partOf(r.demand, total, limit.Rate, len(c.remotes)+1)
-			r.assumed = r.part * max(0, c.level)
-			c.level -= r.assumed
+			r.share = limitShare(r.demand, total, limit.Rate, len(b.peers)+1)
+			r.assumedUse = r.share * max(0, b.level)
+			b.level -= r.assumedUse
 		}
 	}
 }
 
 // activeDemand is what callers ask of this accountant, without what is next to nothing: a
 // part of the limit is set aside for accountants with demand when they fall silent.
-func (c *account) activeDemand(now tables.Instant, limit Limit) float64 {
-	own := c.demand.now(now)
-	if own < idlePart*limit.Rate {
+func (b *sharedBucket) activeDemand(now tables.Instant, limit Limit) float64 {
+	own := b.demand.value(now)
+	if own < idleDemandFraction*limit.Rate {
 		return 0
 	}
 	return own
 }
 
 // totalDemand is the demand of all zones.
-func (c *account) totalDemand(now tables.Instant) float64 {
-	total := c.demand.now(now)
-	for _, r := range c.remotes {
+func (b *sharedBucket) totalDemand(now tables.Instant) float64 {
+	total := b.demand.value(now)
+	for _, r := range b.peers {
 		total += r.demand
 	}
 	return total
 }
 
-// lease decides whether the instance may go on without asking. When the level becomes low
-// it returns those that hold a lease.
-func (c *account) lease(now tables.Instant, by tables.InstanceID, limit Limit, answer *DebitReply) (ended []tables.InstanceID) {
+// grantOrRevokeLeases decides whether the instance may go on without asking. When the level becomes low
+// it returns those that hold a grantOrRevokeLeases.
+func (b *sharedBucket) grantOrRevokeLeases(now tables.Instant, by tables.InstanceID, limit Limit, reply *DebitReply) (revoked []tables.InstanceID) {
 	if limit.Strict {
 		return nil
 	}
-	if c.level >= leasePart*limit.Burst {
-		c.holders[by] = now + leaseTime
-		answer.Lease = leaseTime
+	if b.level >= leaseMinFraction*limit.Burst {
+		b.leases[by] = now + leaseDuration
+		reply.Lease = leaseDuration
 		return nil
 	}
-	for id, until := range c.holders {
+	for id, until := range b.leases {
 		if until > now && id != by {
-			ended = append(ended, id)
+			revoked = append(revoked, id)
 		}
 	}
-	clear(c.holders)
-	return ended
+	clear(b.leases)
+	return revoked
 }
 
-// returnAfter is when a refused caller had better come back: one after the other, as the
+// nextRetryAfter is when a refused caller had better come back: one after the other, as the
 // bucket refills. Under a strict limit the request goes elsewhere and nobody comes back for it,
 // so it is when the next one may be admitted.
-func (c *account) returnAfter(now tables.Instant, limit Limit, cost int64) time.Duration {
+func (b *sharedBucket) nextRetryAfter(now tables.Instant, limit Limit, cost int64) time.Duration {
 	if limit.Strict {
-		return c.admitsIn(limit, cost, 1)
+		return b.timeUntilAdmits(limit, cost, 1)
 	}
-	c.returnAt = max(c.returnAt, now+c.admitsIn(limit, cost, 1))
-	after := c.returnAt - now
-	c.returnAt = min(c.returnAt+time.Duration(float64(cost)/limit.Rate*float64(time.Second)), now+maxReturn)
+	b.nextRetryAt = max(b.nextRetryAt, now+b.timeUntilAdmits(limit, cost, 1))
+	after := b.nextRetryAt - now
+	b.nextRetryAt = min(b.nextRetryAt+time.Duration(float64(cost)/limit.Rate*float64(time.Second)), now+maxRetryAfter)
 	return after
 }
 
-// due says whether a report of the account is to be sent now.
-func (c *account) due(now tables.Instant, limit Limit) bool {
-	since := now - c.reportedAt
-	if since >= reportPeriod {
-		return c.admitted != c.reported || c.reportedDemand > 0 || c.activeDemand(now, limit) > 0
+// reportDue says whether a report of the account is to be sent now.
+func (b *sharedBucket) reportDue(now tables.Instant, limit Limit) bool {
+	since := now - b.reportedAt
+	if since >= reportInterval {
+		return b.admitted != b.reportedTotal || b.reportedDemand > 0 || b.activeDemand(now, limit) > 0
 	}
-	used := float64(c.admitted - c.reported)
-	return since >= tightPeriod && used > reportPart*limit.Burst
+	used := float64(b.admitted - b.reportedTotal)
+	return since >= earlyReportInterval && used > earlyReportFraction*limit.Burst
 }
--- a/usage/sim_test.go
+++ b/usage/sim_test.go
@@ -10,90 +10,90 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// sim is a deployment of entry instances in zones under virtual time. Messages take a
+// simulation is a deployment of entry instances in zones under virtual time. Messages take a
 // while, and are lost between zones that are cut off from each other.
-type sim struct {
+type simulation struct {
 	now     tables.Instant
 	events  eventQueue
 	random  *rand.Rand
 	zones   []string
 	members []*simInstance
 	limits  map[Subject]Limit
-	// named are the limits that instances know from elsewhere than the configuration.
-	named map[Subject]Limit
-	// cut says whether two zones cannot reach each other.
-	cut func(a, b string) bool
-	// admitted are the runs of each organisation, refused counts requests.
-	admitted map[Subject][]run
-	refused  map[Subject]int
-	messages int
+	// endpointLimits are the limits that instances know from elsewhere than the configuration.
+	endpointLimits map[Subject]Limit
+	// partitioned says whether two zones cannot reach each other.
+	partitioned func(a, b string) bool
+	// admissions are the runs of each organisation, refused counts requests.
+	admissions map[Subject][]admission
+	refused    map[Subject]int
+	messages   int
 }
 
-type run struct {
+type admission struct {
 	at   tables.Instant
 	cost int64
 }
 
 type simInstance struct {
-	name       tables.InstanceID
-	zone       string
-	accountant *BucketOwner
-	meters     map[Subject]*LocalLimiter
-	down       bool
-	life       uint64
+	name      tables.InstanceID
+	zone      string
+	owner     *BucketOwner
+	limiters  map[Subject]*LocalLimiter
+	down      bool
+	bootEpoch uint64
 }
 
 const (
-	nearDelay = 500 * time.Microsecond
-	farDelay  = 2 * time.Millisecond
+	sameZoneDelay  = 500 * time.Microsecond
+	crossZoneDelay = 2 * time.Millisecond
 )
 
-func newSim(instances int, limits map[Subject]Limit) *sim {
-	s := &sim{
+func newSimulation(instances int, limits map[Subject]Limit) *simulation {
+	s := &simulation{
 		random: rand.New(rand.NewPCG(1, 2)), zones: []string{"a", "b", "c"}, limits: limits,
-		cut:      func(string, string) bool { return false },
-		admitted: map[Subject][]run{}, refused: map[Subject]int{},
+		partitioned: func(string, string) bool { return false },
+		admissions:  map[Subject][]admission{}, refused: map[Subject]int{},
 	}
 	for i := range instances {
 		m := &simInstance{name: tables.InstanceID(fmt.Sprintf("i%d", i)), zone: s.zones[i%len(s.zones)]}
 		s.members = append(s.members, m)
-		s.start(m)
+		s.boot(m)
 	}
-	s.after(0, s.report)
+	s.after(0, s.sendReports)
 	return s
 }
 
-// start gives an instance a new life.
-func (s *sim) start(m *simInstance) {
-	m.life++
-	m.accountant = NewBucketOwner(s.now, tables.Zone(m.zone), m.life)
-	m.accountant.SetLimits(s.limits)
-	m.meters = map[Subject]*LocalLimiter{}
+// boot gives an instance a new life.
+func (s *simulation) boot(m *simInstance) {
+	m.bootEpoch++
+	m.owner = NewBucketOwner(s.now, tables.Zone(m.zone), m.bootEpoch)
+	m.owner.SetLimits(s.limits)
+	m.limiters = map[Subject]*LocalLimiter{}
 	m.down = false
 }
 
-// lose ends an instance for good. The others of its zone notice.
-func (s *sim) lose(m *simInstance) {
+// crash ends an instance for good. The others of its zone notice.
+func (s *simulation) crash(m *simInstance) {
 	m.down = true
 	for _, other := range s.members {
 		if other.zone == m.zone {
-			other.accountant.NoteOwnerLost(s.now)
+			other.owner.NoteOwnerLost(s.now)
 		}
 	}
 }
 
-func (s *sim) setLimits(limits map[Subject]Limit) {
+func (s *simulation) setLimits(limits map[Subject]Limit) {
 	s.limits = limits
 	for _, m := range s.members {
-		m.accountant.SetLimits(limits)
+		m.owner.SetLimits(limits)
 	}
 }
 
-func (s *sim) after(d time.Duration, f func()) {
+func (s *simulation) after(d time.Duration, f func()) {
 	heap.Push(&s.events, event{at: s.now + d, order: len(s.events), do: f})
 }
 
-func (s *sim) run(until tables.Instant) {
+func (s *simulation) runUntil(until tables.Instant) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
@@ -103,24 +103,24 @@
 }
 
 // send delivers a message unless the way is cut.
-func (s *sim) send(from, to *simInstance, deliver func()) {
+func (s *simulation) send(from, to *simInstance, deliver func()) {
 	s.messages++
-	delay := nearDelay
+	delay := sameZoneDelay
 	if from.zone != to.zone {
-		delay = farDelay
+		delay = crossZoneDelay
 	}
-	if s.cut(from.zone, to.zone) {
+	if s.partitioned(from.zone, to.zone) {
 		return
 	}
-	life := to.life
+	life := to.bootEpoch
 	s.after(delay, func() {
-		if !to.down && to.life == life {
+		if !to.down && to.bootEpoch == life {
 			deliver()
 		}
 	})
 }
 
-func (s *sim) entries(zone string) []membership.EntryInstance {
+func (s *simulation) entries(zone string) []membership.EntryInstance {
 	var all []membership.EntryInstance
 	for _, m := range s.members {
 		if m.zone == zone && !m.down {
@@ -130,7 +130,7 @@
 	return all
 }
 
-func (s *sim) find(name tables.InstanceID) *simInstance {
+func (s *simulation) find(name tables.InstanceID) *simInstance {
 	for _, m := range s.members {
 		if m.name == name {
 			return m
@@ -139,27 +139,27 @@
 	return nil
 }
 
-func (s *sim) accountantOf(zone string, org Subject) *simInstance {
-	first, found := draw(org, s.entries(zone))
+func (s *simulation) ownerOf(zone string, org Subject) *simInstance {
+	first, found := pickOwnerOf(org, s.entries(zone))
 	if !found {
 		return nil
 	}
 	return s.find(first.Instance)
 }
 
-func (m *simInstance) meter(org Subject) *LocalLimiter {
-	if m.meters[org] == nil {
-		m.meters[org] = &LocalLimiter{}
+func (m *simInstance) limiter(org Subject) *LocalLimiter {
+	if m.limiters[org] == nil {
+		m.limiters[org] = &LocalLimiter{}
 	}
-	return m.meters[org]
+	return m.limiters[org]
 }
 
 // request has a caller ask an instance.
-func (s *sim) request(m *simInstance, org Subject, cost int64) {
+func (s *simulation) request(m *simInstance, org Subject, cost int64) {
 	if m.down {
 		return
 	}
-	switch step, _ := m.meter(org).Check(s.now, cost); step {
+	switch verdict, _ := m.limiter(org).Check(s.now, cost); verdict {
 	case Admit:
 		s.admit(org, cost)
 		s.debit(m, org, 0)
@@ -170,29 +170,29 @@
 	}
 }
 
-func (s *sim) admit(org Subject, cost int64) {
-	s.admitted[org] = append(s.admitted[org], run{at: s.now, cost: cost})
+func (s *simulation) admit(org Subject, cost int64) {
+	s.admissions[org] = append(s.admissions[org], admission{at: s.now, cost: cost})
 }
 
 // debit asks the accountant, or, if it is down, decides alone.
-func (s *sim) debit(m *simInstance, org Subject, cost int64) {
-	d := m.meter(org).NewDebit(s.now, org, cost)
-	d.Limit = s.named[org]
-	to := s.accountantOf(m.zone, org)
+func (s *simulation) debit(m *simInstance, org Subject, cost int64) {
+	d := m.limiter(org).NewDebit(s.now, org, cost)
+	d.Limit = s.endpointLimits[org]
+	to := s.ownerOf(m.zone, org)
 	if to == nil {
 		return
 	}
 	s.send(m, to, func() {
-		answer, ended := to.accountant.Debit(s.now, m.name, d)
-		for _, holder := range ended {
+		reply, revoked := to.owner.Debit(s.now, m.name, d)
+		for _, holder := range revoked {
 			h := s.find(holder)
-			s.send(to, h, func() { h.meter(org).RevokeLease(s.now) })
+			s.send(to, h, func() { h.limiter(org).RevokeLease(s.now) })
 		}
 		s.send(to, m, func() {
-			m.meter(org).ApplyReply(s.now, d, answer)
+			m.limiter(org).ApplyReply(s.now, d, reply)
 			switch {
 			case cost == 0:
-			case answer.Admitted:
+			case reply.Admitted:
 				s.admit(org, cost)
 			default:
 				s.refused[org]++
@@ -201,26 +201,26 @@
 	})
 }
 
-// report passes accountants' reports on, as Server does.
-func (s *sim) report() {
+// sendReports passes accountants' reports on, as Server does.
+func (s *simulation) sendReports() {
 	for _, m := range s.members {
 		if m.down {
 			continue
 		}
-		for _, r := range m.accountant.DueReports(s.now) {
+		for _, r := range m.owner.DueReports(s.now) {
 			for _, zone := range s.zones {
-				if to := s.accountantOf(zone, r.Subject); to != nil && to != m {
-					s.send(m, to, func() { to.accountant.ApplyReport(s.now, m.name, r) })
+				if to := s.ownerOf(zone, r.Subject); to != nil && to != m {
+					s.send(m, to, func() { to.owner.ApplyReport(s.now, m.name, r) })
 				}
 			}
 		}
 	}
-	s.after(reportCheck, s.report)
+	s.after(reportPollInterval, s.sendReports)
 }
 
-// load has callers of an organisation ask instances of some zones, perSecond units in all
+// generateLoad has callers of an organisation ask instances of some zones, perSecond units in all
 // with requests of the given mean cost, from now until then.
-func (s *sim) load(org Subject, perSecond float64, cost int64, until tables.Instant, zones ...string) {
+func (s *simulation) generateLoad(org Subject, perSecond float64, cost int64, until tables.Instant, zones ...string) {
 	var targets []*simInstance
 	for _, m := range s.members {
 		for _, zone := range zones {
@@ -242,8 +242,8 @@
 	s.after(0, next)
 }
 
-// loadOnes is load with requests of cost 1.
-func (s *sim) loadOnes(subject Subject, perSecond float64, until tables.Instant) {
+// generateUnitLoad is load with requests of cost 1.
+func (s *simulation) generateUnitLoad(subject Subject, perSecond float64, until tables.Instant) {
 	var next func()
 	next = func() {
 		if s.now >= until {
@@ -255,14 +255,14 @@
 	s.after(0, next)
 }
 
-// most is the highest use within a sliding window, and used all of it since then.
-func (s *sim) most(org Subject, window time.Duration) int64 {
+// peakUse is the highest use within a sliding window, and used all of it since then.
+func (s *simulation) peakUse(org Subject, window time.Duration) int64 {
 	var sum, highest int64
 	first := 0
-	for _, r := range s.admitted[org] {
+	for _, r := range s.admissions[org] {
 		sum += r.cost
-		for s.admitted[org][first].at <= r.at-window {
-			sum -= s.admitted[org][first].cost
+		for s.admissions[org][first].at <= r.at-window {
+			sum -= s.admissions[org][first].cost
 			first++
 		}
 		highest = max(highest, sum)
@@ -270,9 +270,9 @@
 	return highest
 }
 
-func (s *sim) used(org Subject, since tables.Instant) int64 {
+func (s *simulation) totalUse(org Subject, since tables.Instant) int64 {
 	var sum int64
-	for _, r := range s.admitted[org] {
+	for _, r := range s.admissions[org] {
 		if r.at >= since {
 			sum += r.cost
 		}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -44,108 +44,108 @@
 }
 
 const (
-	// minEndpointRate is the least rate of an endpoint's limit that is enforced, in requests
+	// minEndpointRequestsPerSecond is the least rate of an endpoint's limit that is enforced, in requests
 	// a second: only by its answers an endpoint can lift a limit.
-	minEndpointRate = 0.25
-	// endpointBurst is the number of requests that an endpoint may get at once.
-	endpointBurst = 1
+	minEndpointRequestsPerSecond = 0.25
+	// endpointBurstRequests is the number of requests that an endpoint may get at once.
+	endpointBurstRequests = 1
 )
 
 // EndpointLimit is what is enforced where an endpoint takes so many requests a second.
 func EndpointLimit(perSecond float64) Limit {
-	return Limit{Rate: max(perSecond, minEndpointRate), Burst: endpointBurst, Strict: true}
+	return Limit{Rate: max(perSecond, minEndpointRequestsPerSecond), Burst: endpointBurstRequests, Strict: true}
 }
 
 // Limited says whether there is a limit.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-func (l Limit) silentAfter() time.Duration {
+func (l Limit) partitionTimeout() time.Duration {
 	if l.Strict {
-		return strictSilentAfter
+		return strictPartitionTimeout
 	}
-	return silentAfter
+	return partitionTimeout
 }
 
 // Tolerance is by how much use may exceed a limit within a window before that counts as an
 // excess: by Overage as a part of the limit, and by Slack beyond that.
 type Tolerance struct{ Overage, Slack float64 }
 
-// tolerancePart is the part of the tolerance that is given out, so that no request within
+// toleranceFraction is the part of the tolerance that is given out, so that no request within
 // the limit is refused because accounts differ in the order of requests. The rest is for
 // what no report has brought to the accounts yet.
-const tolerancePart = 0.5
+const toleranceFraction = 0.5
 
 // Relax returns the limit that accounts enforce.
 func (t Tolerance) Relax(l Limit) Limit {
-	factor := 1 + tolerancePart*t.Overage
-	return Limit{Rate: factor * l.Rate, Burst: factor*l.Burst + tolerancePart*t.Slack}
+	factor := 1 + toleranceFraction*t.Overage
+	return Limit{Rate: factor * l.Rate, Burst: factor*l.Burst + toleranceFraction*t.Slack}
 }
 
-// bucket is a token bucket that may go into debt: a request that costs more than the
-// bucket holds when it is full is admitted at a level of requiredPart of that.
-type bucket struct {
-	level float64
-	at    tables.Instant
+// tokenBucket is a token tokenBucket that may go into debt: a request that costs more than the
+// tokenBucket holds when it is full is admitted at a level of requiredPart of that.
+type tokenBucket struct {
+	level     float64
+	updatedAt tables.Instant
 }
 
 // refill brings the level up to date, at a part of the limit's rate.
-func (b *bucket) refill(now tables.Instant, l Limit, part float64) {
-	if now > b.at {
-		b.level += part * l.Rate * (now - b.at).Seconds()
-		b.at = now
+func (b *tokenBucket) refill(now tables.Instant, l Limit, share float64) {
+	if now > b.updatedAt {
+		b.level += share * l.Rate * (now - b.updatedAt).Seconds()
+		b.updatedAt = now
 	}
 	b.level = min(b.level, l.Burst)
 }
 
-// requiredPart is the part of the burst that is enough for a request of any cost.
-const requiredPart = 0.25
+// requiredFraction is the part of the burst that is enough for a request of any cost.
+const requiredFraction = 0.25
 
-// required is the level at which a request is admitted. Small requests pass at a lower one:
+// requiredLevel is the level at which a request is admitted. Small requests pass at a lower one:
 // of an organisation that is at its limit they are many, and cost others little.
-func required(l Limit, cost int64) float64 { return min(float64(cost), requiredPart*l.Burst) }
+func requiredLevel(l Limit, cost int64) float64 { return min(float64(cost), requiredFraction*l.Burst) }
 
 // admits says whether the level is high enough for a request.
-func (b *bucket) admits(l Limit, cost int64) bool { return b.level >= required(l, cost) }
+func (b *tokenBucket) admits(l Limit, cost int64) bool { return b.level >= requiredLevel(l, cost) }
 
-// admitsIn is how long the bucket needs until it admits a request, at a part of the
+// timeUntilAdmits is how long the bucket needs until it admits a request, at a part of the
 // limit's rate.
-func (b *bucket) admitsIn(l Limit, cost int64, part float64) time.Duration {
-	missing := required(l, cost) - b.level
+func (b *tokenBucket) timeUntilAdmits(l Limit, cost int64, share float64) time.Duration {
+	missing := requiredLevel(l, cost) - b.level
 	if missing <= 0 {
 		return 0
 	}
-	seconds := min(missing/(max(part, minPart)*l.Rate), maxReturn.Seconds())
+	seconds := min(missing/(max(share, minShare)*l.Rate), maxRetryAfter.Seconds())
 	return time.Duration(seconds * float64(time.Second))
 }
 
 const (
-	// minPart bounds how long a part of a limit makes a caller wait.
-	minPart = 1e-3
-	// maxReturn bounds the time after which refused callers are asked to come back.
-	maxReturn = 5 * time.Second
+	// minShare bounds how long a part of a limit makes a caller wait.
+	minShare = 1e-3
+	// maxRetryAfter bounds the time after which refused callers are asked to come back.
+	maxRetryAfter = 5 * time.Second
 )
 
-// demandKeep is the time constant with which demand is averaged.
-const demandKeep = 2 * time.Second
+// demandTimeConstant is the time constant with which demand is averaged.
+const demandTimeConstant = 2 * time.Second
 
-// demand is a use a second that is averaged with exponential decay.
-type demand struct {
+// averagedRate is a use a second that is averaged with exponential decay.
+type averagedRate struct {
 	perSecond float64
-	at        tables.Instant
+	updatedAt tables.Instant
 }
 
-func (d *demand) add(now tables.Instant, amount float64) {
-	d.perSecond = max(0, d.now(now)+amount/demandKeep.Seconds())
-	d.at = now
+func (d *averagedRate) add(now tables.Instant, amount float64) {
+	d.perSecond = max(0, d.value(now)+amount/demandTimeConstant.Seconds())
+	d.updatedAt = now
 }
 
-func (d *demand) now(now tables.Instant) float64 {
-	return d.perSecond * math.Exp(-float64(max(0, now-d.at))/float64(demandKeep))
+func (d *averagedRate) value(now tables.Instant) float64 {
+	return d.perSecond * math.Exp(-float64(max(0, now-d.updatedAt))/float64(demandTimeConstant))
 }
 
-// partOf is the part of a limit that falls to one of n with the given demand, where total
+// limitShare is the part of a limit that falls to one of n with the given demand, where total
 // is the demand of all. What nobody asks for is divided equally.
-func partOf(own, total, rate float64, n int) float64 {
+func limitShare(own, total, rate float64, n int) float64 {
 	if total >= rate {
 		return own / total
 	}
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -13,23 +13,23 @@
 const (
 	org    = Subject("org")
 	window = 8 * time.Second
-	// overage is the part by which a window's use may exceed the limit.
-	overage = 0.1
-	// settle is when accounts are full after the start.
-	settle = 2 * time.Second
+	// maxOverage is the part by which a window's use may exceed the limit.
+	maxOverage = 0.1
+	// warmUp is when accounts are full after the start.
+	warmUp = 2 * time.Second
 )
 
 var limit = Limit{Rate: 90_000, Burst: 90_000}
 
-func limited(l Limit) map[Subject]Limit { return map[Subject]Limit{org: l} }
+func limitsOf(l Limit) map[Subject]Limit { return map[Subject]Limit{org: l} }
 
-// allowed is the most use that a window may hold under a limit.
-func allowed(l Limit) int64 { return int64((l.Rate*window.Seconds() + l.Burst) * (1 + overage)) }
+// maxUse is the most use that a window may hold under a limit.
+func maxUse(l Limit) int64 { return int64((l.Rate*window.Seconds() + l.Burst) * (1 + maxOverage)) }
 
-var sizes = []int{9, 68, 300}
+var instanceCounts = []int{9, 68, 300}
 
-func atSizes(t *testing.T, f func(t *testing.T, instances int)) {
-	for _, n := range sizes {
+func forEachSize(t *testing.T, f func(t *testing.T, instances int)) {
+	for _, n := range instanceCounts {
 		t.Run(fmt.Sprint(n), func(t *testing.T) { f(t, n) })
 	}
 }
@@ -39,14 +39,14 @@
 func TestAboveTheLimitAllOfItIsUsed(t *testing.T) {
 	for _, demand := range []float64{1.2, 2, 5} {
 		t.Run(fmt.Sprint(demand), func(t *testing.T) {
-			atSizes(t, func(t *testing.T, n int) {
-				s := newSim(n, limited(limit))
-				s.run(settle)
-				s.load(org, demand*limit.Rate, 6000, settle+20*time.Second, "a", "b", "c")
-				s.run(settle + 21*time.Second)
-				assert.Assert(t, s.most(org, window) <= allowed(limit), "%d of %d", s.most(org, window), allowed(limit))
-				usable := float64(s.used(org, settle+2*time.Second)) / (limit.Rate * 18)
-				t.Logf("usable %.3f, highest window %.3f of the limit, %d messages", usable, float64(s.most(org, window))/(limit.Rate*9), s.messages)
+			forEachSize(t, func(t *testing.T, n int) {
+				s := newSimulation(n, limitsOf(limit))
+				s.runUntil(warmUp)
+				s.generateLoad(org, demand*limit.Rate, 6000, warmUp+20*time.Second, "a", "b", "c")
+				s.runUntil(warmUp + 21*time.Second)
+				assert.Assert(t, s.peakUse(org, window) <= maxUse(limit), "%d of %d", s.peakUse(org, window), maxUse(limit))
+				usable := float64(s.totalUse(org, warmUp+2*time.Second)) / (limit.Rate * 18)
+				t.Logf("usable %.3f, highest window %.3f of the limit, %d messages", usable, float64(s.peakUse(org, window))/(limit.Rate*9), s.messages)
 				assert.Assert(t, usable >= 0.98, "%.3f", usable)
 			})
 		})
@@ -56,30 +56,30 @@
 // Guards against refusals of an organisation that keeps below its limit, however uneven the
 // demand is over zones and instances, beside one that is far above its own.
 func TestBelowTheLimitNothingIsRefused(t *testing.T) {
-	atSizes(t, func(t *testing.T, n int) {
-		s := newSim(n, map[Subject]Limit{org: limit, "greedy": limit})
-		s.run(settle)
-		s.load("greedy", 5*limit.Rate, 6000, settle+20*time.Second, "a", "b")
-		s.load(org, 0.5*limit.Rate, 6000, settle+20*time.Second, "a")
-		s.load(org, 0.05*limit.Rate, 1000, settle+20*time.Second, "b", "c")
-		s.run(settle + 21*time.Second)
+	forEachSize(t, func(t *testing.T, n int) {
+		s := newSimulation(n, map[Subject]Limit{org: limit, "greedy": limit})
+		s.runUntil(warmUp)
+		s.generateLoad("greedy", 5*limit.Rate, 6000, warmUp+20*time.Second, "a", "b")
+		s.generateLoad(org, 0.5*limit.Rate, 6000, warmUp+20*time.Second, "a")
+		s.generateLoad(org, 0.05*limit.Rate, 1000, warmUp+20*time.Second, "b", "c")
+		s.runUntil(warmUp + 21*time.Second)
 		assert.Equal(t, s.refused[org], 0)
 		assert.Assert(t, s.refused["greedy"] > 0)
-		assert.Assert(t, s.most("greedy", window) <= allowed(limit))
+		assert.Assert(t, s.peakUse("greedy", window) <= maxUse(limit))
 	})
 }
 
 // Guards against an organisation being refused because its callers turn to another zone.
 func TestDemandMayMoveBetweenZonesAtOnce(t *testing.T) {
-	atSizes(t, func(t *testing.T, n int) {
-		s := newSim(n, limited(limit))
-		s.run(settle)
+	forEachSize(t, func(t *testing.T, n int) {
+		s := newSimulation(n, limitsOf(limit))
+		s.runUntil(warmUp)
 		for i, zone := range []string{"a", "b", "c", "a", "b"} {
-			from := settle + time.Duration(i)*3*time.Second
-			s.run(from)
-			s.load(org, 0.6*limit.Rate, 6000, from+3*time.Second, zone)
+			from := warmUp + time.Duration(i)*3*time.Second
+			s.runUntil(from)
+			s.generateLoad(org, 0.6*limit.Rate, 6000, from+3*time.Second, zone)
 		}
-		s.run(settle + 16*time.Second)
+		s.runUntil(warmUp + 16*time.Second)
 		assert.Equal(t, s.refused[org], 0)
 	})
 }
@@ -89,22 +89,22 @@
 func TestZonesThatAreCutOffShareTheLimit(t *testing.T) {
 	for _, demand := range []float64{0.6, 1.5} {
 		t.Run(fmt.Sprint(demand), func(t *testing.T) {
-			atSizes(t, func(t *testing.T, n int) {
-				s := newSim(n, limited(limit))
-				s.run(settle)
-				end := settle + 30*time.Second
-				s.load(org, 0.6*demand*limit.Rate, 6000, end, "a")
-				s.load(org, 0.3*demand*limit.Rate, 6000, end, "b")
-				s.load(org, 0.1*demand*limit.Rate, 6000, end, "c")
-				s.run(settle + 8*time.Second)
-				s.cut = func(a, b string) bool { return a != b }
-				s.run(settle + 20*time.Second)
-				during := s.used(org, settle+10*time.Second)
-				s.cut = func(string, string) bool { return false }
-				s.run(end)
+			forEachSize(t, func(t *testing.T, n int) {
+				s := newSimulation(n, limitsOf(limit))
+				s.runUntil(warmUp)
+				end := warmUp + 30*time.Second
+				s.generateLoad(org, 0.6*demand*limit.Rate, 6000, end, "a")
+				s.generateLoad(org, 0.3*demand*limit.Rate, 6000, end, "b")
+				s.generateLoad(org, 0.1*demand*limit.Rate, 6000, end, "c")
+				s.runUntil(warmUp + 8*time.Second)
+				s.partitioned = func(a, b string) bool { return a != b }
+				s.runUntil(warmUp + 20*time.Second)
+				during := s.totalUse(org, warmUp+10*time.Second)
+				s.partitioned = func(string, string) bool { return false }
+				s.runUntil(end)
 				usable := float64(during) / (min(1, demand) * limit.Rate * 10)
-				t.Logf("usable %.3f, highest window %.3f of the limit, refused %d", usable, float64(s.most(org, window))/(limit.Rate*9), s.refused[org])
-				assert.Assert(t, s.most(org, window) <= allowed(limit))
+				t.Logf("usable %.3f, highest window %.3f of the limit, refused %d", usable, float64(s.peakUse(org, window))/(limit.Rate*9), s.refused[org])
+				assert.Assert(t, s.peakUse(org, window) <= maxUse(limit))
 				assert.Assert(t, usable >= 0.95, "%.3f", usable)
 			})
 		})
@@ -114,33 +114,33 @@
 // Guards against a burst of each instance's own after all were restarted: a window spans
 // the restart.
 func TestARestartOfAllGivesNoSecondBurst(t *testing.T) {
-	atSizes(t, func(t *testing.T, n int) {
-		s := newSim(n, limited(limit))
-		s.run(settle)
-		s.load(org, 3*limit.Rate, 6000, settle+20*time.Second, "a", "b", "c")
-		for at := settle + 5*time.Second; at < settle+9*time.Second; at += time.Second {
-			s.run(at)
+	forEachSize(t, func(t *testing.T, n int) {
+		s := newSimulation(n, limitsOf(limit))
+		s.runUntil(warmUp)
+		s.generateLoad(org, 3*limit.Rate, 6000, warmUp+20*time.Second, "a", "b", "c")
+		for at := warmUp + 5*time.Second; at < warmUp+9*time.Second; at += time.Second {
+			s.runUntil(at)
 			for _, m := range s.members {
-				s.start(m)
+				s.boot(m)
 			}
 		}
-		s.run(settle + 21*time.Second)
-		assert.Assert(t, s.most(org, window) <= allowed(limit), "%d of %d", s.most(org, window), allowed(limit))
+		s.runUntil(warmUp + 21*time.Second)
+		assert.Assert(t, s.peakUse(org, window) <= maxUse(limit), "%d of %d", s.peakUse(org, window), maxUse(limit))
 	})
 }
 
 // Guards against a new accountant that knows nothing of what was used under the one before.
 func TestALostAccountantGivesNoSecondBurst(t *testing.T) {
-	atSizes(t, func(t *testing.T, n int) {
-		s := newSim(n, limited(limit))
-		s.run(settle)
-		s.load(org, 2*limit.Rate, 6000, settle+20*time.Second, "a", "b", "c")
+	forEachSize(t, func(t *testing.T, n int) {
+		s := newSimulation(n, limitsOf(limit))
+		s.runUntil(warmUp)
+		s.generateLoad(org, 2*limit.Rate, 6000, warmUp+20*time.Second, "a", "b", "c")
 		for i, zone := range s.zones {
-			s.run(settle + time.Duration(4+i)*time.Second)
-			s.lose(s.accountantOf(zone, org))
+			s.runUntil(warmUp + time.Duration(4+i)*time.Second)
+			s.crash(s.ownerOf(zone, org))
 		}
-		s.run(settle + 21*time.Second)
-		assert.Assert(t, s.most(org, window) <= allowed(limit), "%d of %d", s.most(org, window), allowed(limit))
+		s.runUntil(warmUp + 21*time.Second)
+		assert.Assert(t, s.peakUse(org, window) <= maxUse(limit), "%d of %d", s.peakUse(org, window), maxUse(limit))
 	})
 }
 
@@ -148,73 +148,73 @@
 // force at once.
 func TestLimitsChangeAtOnce(t *testing.T) {
 	low := Limit{Rate: 30_000, Burst: 30_000}
-	s := newSim(68, limited(limit))
-	s.run(settle)
-	s.load(org, 0.6*limit.Rate, 6000, settle+30*time.Second, "a", "b", "c")
-	s.run(settle + 5*time.Second)
+	s := newSimulation(68, limitsOf(limit))
+	s.runUntil(warmUp)
+	s.generateLoad(org, 0.6*limit.Rate, 6000, warmUp+30*time.Second, "a", "b", "c")
+	s.runUntil(warmUp + 5*time.Second)
 	assert.Equal(t, s.refused[org], 0)
-	s.setLimits(limited(low))
-	s.run(settle + 15*time.Second)
-	assert.Assert(t, s.used(org, settle+7*time.Second) <= allowed(low))
-	s.setLimits(limited(limit))
+	s.setLimits(limitsOf(low))
+	s.runUntil(warmUp + 15*time.Second)
+	assert.Assert(t, s.totalUse(org, warmUp+7*time.Second) <= maxUse(low))
+	s.setLimits(limitsOf(limit))
 	before := s.refused[org]
-	s.run(settle + 30*time.Second)
+	s.runUntil(warmUp + 30*time.Second)
 	assert.Equal(t, s.refused[org], before)
 }
 
 // Guards against an instance that wakes with an old lease using it on and on.
 func TestAnOldLeaseEndsWithItsFirstReport(t *testing.T) {
-	a := NewBucketOwner(0, "z", 1)
-	a.SetLimits(limited(limit))
+	owner := NewBucketOwner(0, "z", 1)
+	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
-	m := &LocalLimiter{}
-	d := m.NewDebit(now, org, 1000)
-	answer, _ := a.Debit(now, "sleeper", d)
-	m.ApplyReply(now, d, answer)
-	assert.Assert(t, answer.Lease > 0)
-	used, ended := a.Debit(now, "other", Debit{Subject: org, Cost: int64(limit.Burst)})
+	limiter := &LocalLimiter{}
+	d := limiter.NewDebit(now, org, 1000)
+	reply, _ := owner.Debit(now, "sleeper", d)
+	limiter.ApplyReply(now, d, reply)
+	assert.Assert(t, reply.Lease > 0)
+	used, revoked := owner.Debit(now, "other", Debit{Subject: org, Cost: int64(limit.Burst)})
 	assert.Assert(t, used.Admitted)
-	assert.DeepEqual(t, ended, []tables.InstanceID{"sleeper"})
+	assert.DeepEqual(t, revoked, []tables.InstanceID{"sleeper"})
 	// The notice is lost. The instance's clock has stood still while it was frozen.
-	step, _ := m.Check(now, 1000)
-	assert.Equal(t, step, Admit)
-	d = m.NewDebit(now, org, 0)
-	answer, _ = a.Debit(now+time.Second/2, "sleeper", d)
-	m.ApplyReply(now, d, answer)
-	step, _ = m.Check(now, 1000)
-	assert.Equal(t, step, AskOwner)
+	verdict, _ := limiter.Check(now, 1000)
+	assert.Equal(t, verdict, Admit)
+	d = limiter.NewDebit(now, org, 0)
+	reply, _ = owner.Debit(now+time.Second/2, "sleeper", d)
+	limiter.ApplyReply(now, d, reply)
+	verdict, _ = limiter.Check(now, 1000)
+	assert.Equal(t, verdict, AskOwner)
 }
 
 // Guards against requests that did not run counting for good.
 func TestWhatDidNotRunIsGivenBack(t *testing.T) {
-	a := NewBucketOwner(0, "z", 1)
-	a.SetLimits(limited(limit))
+	owner := NewBucketOwner(0, "z", 1)
+	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
-	m := &LocalLimiter{}
+	limiter := &LocalLimiter{}
 	for range 3 {
-		d := m.NewDebit(now, org, int64(limit.Burst)+1)
-		answer, _ := a.Debit(now, "i", d)
-		m.ApplyReply(now, d, answer)
-		assert.Assert(t, answer.Admitted)
-		m.Charge(now, -int64(limit.Burst)-1)
-		d = m.NewDebit(now, org, 0)
-		answer, _ = a.Debit(now, "i", d)
-		m.ApplyReply(now, d, answer)
+		d := limiter.NewDebit(now, org, int64(limit.Burst)+1)
+		reply, _ := owner.Debit(now, "i", d)
+		limiter.ApplyReply(now, d, reply)
+		assert.Assert(t, reply.Admitted)
+		limiter.Charge(now, -int64(limit.Burst)-1)
+		d = limiter.NewDebit(now, org, 0)
+		reply, _ = owner.Debit(now, "i", d)
+		limiter.ApplyReply(now, d, reply)
 	}
 }
 
 // Guards against refused callers coming back all at the same moment.
 func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
-	a := NewBucketOwner(0, "z", 1)
-	a.SetLimits(limited(limit))
+	owner := NewBucketOwner(0, "z", 1)
+	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
-	a.Debit(now, "i", Debit{Subject: org, Cost: 2 * int64(limit.Burst)})
+	owner.Debit(now, "i", Debit{Subject: org, Cost: 2 * int64(limit.Burst)})
 	last := time.Duration(0)
 	for range 5 {
-		answer, _ := a.Debit(now, "i", Debit{Subject: org, Cost: 9000})
-		assert.Assert(t, !answer.Admitted)
-		assert.Assert(t, answer.RetryAfter > last, "%v after %v", answer.RetryAfter, last)
-		last = answer.RetryAfter
+		reply, _ := owner.Debit(now, "i", Debit{Subject: org, Cost: 9000})
+		assert.Assert(t, !reply.Admitted)
+		assert.Assert(t, reply.RetryAfter > last, "%v after %v", reply.RetryAfter, last)
+		last = reply.RetryAfter
 	}
 	assert.Assert(t, last >= time.Second, "the level is one second of the rate below zero")
 }
@@ -225,26 +225,26 @@
 	for i := range 8600 {
 		limits[Subject(fmt.Sprint(i))] = limit
 	}
-	a := NewBucketOwner(0, "z", 1)
-	a.SetLimits(limits)
+	owner := NewBucketOwner(0, "z", 1)
+	owner.SetLimits(limits)
 	now := time.Second
 	for id := range limits {
-		a.Debit(now, "i", Debit{Subject: id, Cost: 1})
+		owner.Debit(now, "i", Debit{Subject: id, Cost: 1})
 	}
-	a.DueReports(now)
+	owner.DueReports(now)
 	now += time.Minute
-	assert.Equal(t, len(a.DueReports(now)), 0)
-	assert.Assert(t, a.Empty())
+	assert.Equal(t, len(owner.DueReports(now)), 0)
+	assert.Assert(t, owner.Empty())
 }
 
 // Guards against an instance that reaches no accountant using more than its own part.
 func TestAnInstanceThatIsCutOffKeepsToItsOwnPart(t *testing.T) {
-	m, now := &LocalLimiter{}, time.Second
-	m.ApplyReply(now, Debit{}, DebitReply{Ready: true, Level: int64(limit.Burst), Demand: int64(limit.Rate / 2)})
+	limiter, now := &LocalLimiter{}, time.Second
+	limiter.ApplyReply(now, Debit{}, DebitReply{Ready: true, Level: int64(limit.Burst), Demand: int64(limit.Rate / 2)})
 	used := int64(0)
 	for end := now + 10*time.Second; now < end; now += 10 * time.Millisecond {
-		_, _ = m.Check(now, 1000)
-		if admitted, _ := m.AdmitFromShare(now, limit, 68, 1000); admitted {
+		_, _ = limiter.Check(now, 1000)
+		if admitted, _ := limiter.AdmitFromShare(now, limit, 68, 1000); admitted {
 			used += 1000
 		}
 	}
@@ -267,48 +267,48 @@
 
 // Guards against one caller's large requests keeping the small ones of its organisation out.
 func TestSmallRequestsPassAtALowerLevel(t *testing.T) {
-	a := NewBucketOwner(0, "z", 1)
-	a.SetLimits(limited(limit))
+	owner := NewBucketOwner(0, "z", 1)
+	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
-	a.Debit(now, "i", Debit{Subject: org, Cost: int64(limit.Burst) - 1000})
-	large, _ := a.Debit(now, "i", Debit{Subject: org, Cost: 9000})
-	small, _ := a.Debit(now, "i", Debit{Subject: org, Cost: 200})
+	owner.Debit(now, "i", Debit{Subject: org, Cost: int64(limit.Burst) - 1000})
+	large, _ := owner.Debit(now, "i", Debit{Subject: org, Cost: 9000})
+	small, _ := owner.Debit(now, "i", Debit{Subject: org, Cost: 200})
 	assert.Assert(t, !large.Admitted)
 	assert.Assert(t, small.Admitted)
 }
 
 // Guards against an instance's old knowledge of the level undoing what was given back since.
 func TestOldLevelsCountOnlyForANewAccount(t *testing.T) {
-	a := NewBucketOwner(0, "z", 1)
-	a.SetLimits(limited(limit))
+	owner := NewBucketOwner(0, "z", 1)
+	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
 	cost := int64(limit.Burst)
 	stale := Debit{Subject: org, LevelKnown: true, Level: 0}
-	a.Debit(now, "i", Debit{Subject: org, Cost: cost})
-	now += learnFor + time.Second
-	a.Debit(now, "i", Debit{Subject: org, Spent: -cost})
-	a.Debit(now, "j", stale)
-	answer, _ := a.Debit(now, "i", Debit{Subject: org})
-	assert.Equal(t, answer.Level, cost)
+	owner.Debit(now, "i", Debit{Subject: org, Cost: cost})
+	now += levelAdoptionWindow + time.Second
+	owner.Debit(now, "i", Debit{Subject: org, Spent: -cost})
+	owner.Debit(now, "j", stale)
+	reply, _ := owner.Debit(now, "i", Debit{Subject: org})
+	assert.Equal(t, reply.Level, cost)
 
 	successor := NewBucketOwner(0, "z", 1)
-	successor.SetLimits(limited(limit))
-	answer, _ = successor.Debit(now, "j", stale)
-	assert.Equal(t, answer.Level, int64(0))
+	successor.SetLimits(limitsOf(limit))
+	reply, _ = successor.Debit(now, "j", stale)
+	assert.Equal(t, reply.Level, int64(0))
 }
 
 // Guards against a part of the limit being kept for a zone whose callers have left.
 func TestNothingIsSetAsideForAZoneWithoutCallers(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		s := newSim(68, limited(limit))
-		s.run(settle)
-		s.load(org, 0.3*limit.Rate, 6000, settle+4*time.Second, "a")
-		s.run(settle + 14*time.Second)
+		s := newSimulation(68, limitsOf(limit))
+		s.runUntil(warmUp)
+		s.generateLoad(org, 0.3*limit.Rate, 6000, warmUp+4*time.Second, "a")
+		s.runUntil(warmUp + 14*time.Second)
 		if lost {
-			s.cut = func(a, b string) bool { return a == "a" || b == "a" }
+			s.partitioned = func(a, b string) bool { return a == "a" || b == "a" }
 		}
-		s.load(org, 0.8*limit.Rate, 1000, settle+34*time.Second, "b")
-		s.run(settle + 35*time.Second)
+		s.generateLoad(org, 0.8*limit.Rate, 1000, warmUp+34*time.Second, "b")
+		s.runUntil(warmUp + 35*time.Second)
 		assert.Equal(t, s.refused[org], 0, "zone a is cut off: %v", lost)
 	}
 }
@@ -317,14 +317,14 @@
 // another one serves its zone.
 func TestNothingIsSetAsideForAnAccountantThatWasReplaced(t *testing.T) {
 	for _, zone := range []string{"a", "b", "c"} {
-		s := newSim(68, limited(limit))
-		s.run(settle)
-		s.load(org, 0.85*limit.Rate, 1000, settle+30*time.Second, "a", "b", "c")
-		s.run(settle + 5*time.Second)
-		s.lose(s.accountantOf(zone, org))
-		s.run(settle + 8*time.Second)
+		s := newSimulation(68, limitsOf(limit))
+		s.runUntil(warmUp)
+		s.generateLoad(org, 0.85*limit.Rate, 1000, warmUp+30*time.Second, "a", "b", "c")
+		s.runUntil(warmUp + 5*time.Second)
+		s.crash(s.ownerOf(zone, org))
+		s.runUntil(warmUp + 8*time.Second)
 		before := s.refused[org]
-		s.run(settle + 31*time.Second)
+		s.runUntil(warmUp + 31*time.Second)
 		assert.Equal(t, s.refused[org], before, "zone %s", zone)
 	}
 }
--- a/usage/wire.go
+++ b/usage/wire.go
@@ -21,7 +21,7 @@
 func encodeDebit(d Debit) *rpc.UsageDebit {
 	return &rpc.UsageDebit{
 		Subject: string(d.Subject), Limit: encodeLimit(d.Limit), Cost: d.Cost, Spent: d.Spent,
-		LevelKnown: d.LevelKnown, Level: d.Level, LevelAgeMs: inMilliseconds(d.LevelAge),
+		LevelKnown: d.LevelKnown, Level: d.Level, LevelAgeMs: toMilliseconds(d.LevelAge),
 	}
 }
 
@@ -32,17 +32,17 @@
 	}
 }
 
-func encodeAnswer(a DebitReply) *rpc.UsageAnswer {
+func encodeReply(r DebitReply) *rpc.UsageAnswer {
 	return &rpc.UsageAnswer{
-		Ready: a.Ready, Admitted: a.Admitted, RetryAfterMs: inMilliseconds(a.RetryAfter), LeaseMs: inMilliseconds(a.Lease),
-		Level: a.Level, Demand: a.Demand,
+		Ready: r.Ready, Admitted: r.Admitted, RetryAfterMs: toMilliseconds(r.RetryAfter), LeaseMs: toMilliseconds(r.Lease),
+		Level: r.Level, Demand: r.Demand,
 	}
 }
 
-func decodeAnswer(a *rpc.UsageAnswer) DebitReply {
+func decodeReply(a *rpc.UsageAnswer) DebitReply {
 	return DebitReply{
 		Ready: a.GetReady(), Admitted: a.GetAdmitted(), RetryAfter: fromMilliseconds(a.GetRetryAfterMs()),
-		Lease: min(fromMilliseconds(a.GetLeaseMs()), leaseTime), Level: a.GetLevel(), Demand: max(0, a.GetDemand()),
+		Lease: min(fromMilliseconds(a.GetLeaseMs()), leaseDuration), Level: a.GetLevel(), Demand: max(0, a.GetDemand()),
 	}
 }
 
@@ -59,6 +59,6 @@
 	}
 }
 
-func inMilliseconds(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
+func toMilliseconds(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
 
 func fromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/weights/history.go
+++ b/weights/history.go
@@ -15,9 +15,9 @@
 	SetAt   tables.Instant
 }
 
-// maxNamings bounds the versions that are remembered of a model. Engines that
+// maxVersions bounds the versions that are remembered of a model. Engines that
 // are further behind count as outdated since the oldest that is remembered.
-const maxNamings = 32
+const maxVersions = 32
 
 // History holds the versions that were named. Each version is counted from its
 // own naming: an engine at version 1 is outdated since version 2 was named,
@@ -25,18 +25,18 @@
 // whole time again with each, and answer with weights that were replaced long
 // ago. A History is used by one goroutine at a time.
 type History struct {
-	// models lists each model's namings by version, none of them later than one
+	// versions lists each model's namings by version, none of them later than one
 	// with a higher version.
-	models map[string][]TargetVersion
+	versions map[string][]TargetVersion
 }
 
 // Record takes a naming. Told twice, a version counts from the earlier time.
 func (h *History) Record(n TargetVersion) {
-	if h.models == nil {
-		h.models = map[string][]TargetVersion{}
+	if h.versions == nil {
+		h.versions = map[string][]TargetVersion{}
 	}
-	known := h.models[n.Model]
-	at, found := find(known, n.Version)
+	known := h.versions[n.Model]
+	at, found := findVersion(known, n.Version)
 	if found {
 		known[at].SetAt = min(known[at].SetAt, n.SetAt)
 	} else {
@@ -47,16 +47,16 @@
 	for i := len(known) - 2; i >= 0; i-- {
 		known[i].SetAt = min(known[i].SetAt, known[i+1].SetAt)
 	}
-	if len(known) > maxNamings {
+	if len(known) > maxVersions {
 		known[1].SetAt = known[0].SetAt
 		known = known[1:]
 	}
-	h.models[n.Model] = known
+	h.versions[n.Model] = known
 }
 
 // Latest is the newest version of a model, 0 if none was named.
 func (h *History) Latest(model string) uint64 {
-	known := h.models[model]
+	known := h.versions[model]
 	if len(known) == 0 {
 		return 0
 	}
@@ -76,12 +76,12 @@
 // NewerThan lists the namings of versions newer than the given one, oldest first.
 // The caller must not change it.
 func (h *History) NewerThan(model string, version uint64) []TargetVersion {
-	known := h.models[model]
-	at, _ := find(known, version+1)
+	known := h.versions[model]
+	at, _ := findVersion(known, version+1)
 	return known[at:]
 }
 
-func find(known []TargetVersion, version uint64) (int, bool) {
+func findVersion(known []TargetVersion, version uint64) (int, bool) {
 	return slices.BinarySearchFunc(known, version, func(n TargetVersion, version uint64) int {
 		return cmp.Compare(n.Version, version)
 	})
--- a/weights/history_test.go
+++ b/weights/history_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func note(h *History, version uint64, at tables.Instant) {
+func record(h *History, version uint64, at tables.Instant) {
 	h.Record(TargetVersion{Model: "m", Version: version, SetAt: at})
 }
 
@@ -18,9 +18,9 @@
 // and callers would get answers made with weights replaced long before.
 func TestAnEngineIsOutdatedSinceTheFirstNewerVersion(t *testing.T) {
 	var h History
-	note(&h, 1, 0)
-	note(&h, 2, 3*time.Second)
-	note(&h, 3, 6*time.Second)
+	record(&h, 1, 0)
+	record(&h, 2, 3*time.Second)
+	record(&h, 3, 6*time.Second)
 	since, outdated := h.OutdatedSince("m", 1)
 	assert.Equal(t, since, 3*time.Second)
 	assert.Assert(t, outdated)
@@ -36,10 +36,10 @@
 // a control instance that knows when it was named.
 func TestNamingsComeInAnyOrder(t *testing.T) {
 	var h History
-	note(&h, 4, 10*time.Second)
-	note(&h, 3, 2*time.Second)
-	note(&h, 4, 9*time.Second)
-	note(&h, 2, 12*time.Second)
+	record(&h, 4, 10*time.Second)
+	record(&h, 3, 2*time.Second)
+	record(&h, 4, 9*time.Second)
+	record(&h, 2, 12*time.Second)
 	since, _ := h.OutdatedSince("m", 1)
 	assert.Equal(t, since, 2*time.Second)
 	since, _ = h.OutdatedSince("m", 3)
@@ -52,9 +52,9 @@
 func TestDroppedNamingsStillCount(t *testing.T) {
 	var h History
 	for v := range uint64(100) {
-		note(&h, v+1, tables.Instant(v)*time.Second)
+		record(&h, v+1, tables.Instant(v)*time.Second)
 	}
-	assert.Equal(t, len(h.NewerThan("m", 0)), maxNamings)
+	assert.Equal(t, len(h.NewerThan("m", 0)), maxVersions)
 	since, _ := h.OutdatedSince("m", 0)
 	assert.Equal(t, since, time.Duration(0))
 }
