--- a/parts/parts.go
+++ b/parts/parts.go
@@ -1,7 +1,8 @@
-// Package parts names the parts of prompts under which engines keep them: by
-// the caller's name of the part, the model, whom the part may be shared with and
-// the weights that it was made under. A request that is to be placed and what an
-// engine says of its cache lead to the same key.
+// Package parts derives the keys of prefix cache entries. A prompt consists of parts, and an
+// engine caches the key-value state of each. The key of a part is a hash of the caller's
+// hash of the part, the model, the scope within which the part may be shared, and the
+// version of the weights that computed it. The placement of a request and the cache events
+// of an engine yield the same key for the same part.
 package parts
 
 import (
@@ -13,14 +14,15 @@
 	"github.com/carawaystile/carawaystile/systems/placement"
 )
 
-// Key names a part under one weights version.
+// Key identifies a cached part that was computed with one version of the weights.
 type Key uint64
 
-// ID names a part whatever the weights.
+// ID identifies a part regardless of the version of the weights.
 type ID uint64
 
-// NewID is the name of a model's part. The scope keeps those apart that must
-// not share: the organisation of an isolated one, or empty.
+// NewID returns the ID of a model's part. The scope separates parts that must not be shared:
+// it is the organisation's ID if the organisation is isolated, else empty. The hash is the
+// caller's for the part.
 func NewID(model, scope, hash string) ID {
 	var d xxhash.Digest
 	d.Reset()
@@ -31,24 +33,25 @@
 	return ID(d.Sum64())
 }
 
-// KeyAt is the key of a part that was made under a version: what was made under
-// another one must not be used.
+// KeyAt returns the key of the part when computed with the given version of the weights.
+// Parts computed with another version must not be used.
 func (n ID) KeyAt(version uint64) Key {
 	return Key(placement.Mix(uint64(n) ^ version*0x9e3779b97f4a7c15))
 }
 
-// saltPrefix begins the salts of this system.
+// saltPrefix starts each cache salt of this system.
 const saltPrefix = "w"
 
-// Salt is what keeps an engine's cached parts apart. The version is in it:
-// engines and stores do not say under which version a part was made, and an
-// answer from parts of other weights would be wrong.
+// Salt returns the cache salt that separates the cached parts in an engine by weights
+// version and scope. It includes the version because engines and stores don't report which
+// version computed a part, and a response computed from parts of other weights would be
+// wrong.
 func Salt(version uint64, scope string) string {
 	return saltPrefix + strconv.FormatUint(version, 10) + "/" + scope
 }
 
-// ParseKey is the key of a part that an engine names; false if the salt is not one
-// of this system's.
+// ParseKey returns the key of a part that an engine reports by cache salt and hash, and
+// false if the salt is not one of this system's.
 func ParseKey(salt, model, hash string) (Key, bool) {
 	text, marked := strings.CutPrefix(salt, saltPrefix)
 	number, scope, split := strings.Cut(text, "/")
--- a/parts/parts_test.go
+++ b/parts/parts_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// What an engine says that it keeps must be found by the requests that made it.
-func TestAnEnginesWordLeadsToTheRequestsKey(t *testing.T) {
+// Guards against requests not finding a part that an engine reports as cached, because the
+// report yields another key than the request.
+func TestEngineReportYieldsRequestKey(t *testing.T) {
 	for _, scope := range []string{"", "org", "a/b"} {
 		key, ok := ParseKey(Salt(12, scope), "m", "5c1e07a2")
 		assert.Assert(t, ok)
@@ -15,9 +16,9 @@
 	}
 }
 
-// Parts of other weights, of another organisation's wall or of another model
-// are not the same part: an answer made from them would be wrong.
-func TestKeysKeepApart(t *testing.T) {
+// Guards against one key for parts of different weights, isolated organisations or models: a
+// response computed from the wrong part would be wrong.
+func TestKeysDifferByVersionScopeAndModel(t *testing.T) {
 	keys := map[Key]bool{}
 	for _, version := range []uint64{1, 2} {
 		for _, scope := range []string{"", "a", "b"} {
@@ -29,7 +30,8 @@
 	assert.Equal(t, len(keys), 12)
 }
 
-func TestOtherSaltsAreNotOurs(t *testing.T) {
+// Guards against taking cache entries of other systems for ones of this system.
+func TestParseKeyRejectsForeignSalts(t *testing.T) {
 	for _, salt := range []string{"", "w", "w1", "x1/", "w/a", "wx/a", "1/a"} {
 		_, ok := ParseKey(salt, "m", "1")
 		assert.Assert(t, !ok, salt)
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -16,51 +16,54 @@
 )
 
 const (
-	// answerTimeout is how long a scheduler may take: a round trip within a zone and
-	// the time in which a slow machine gets to run. silentPause is how long one that
-	// did not answer is not asked, and unreadyPause one that knows too little.
+	// answerTimeout is how long the client waits for a scheduler's answer: a round trip
+	// within a zone, plus the scheduling delay of a slow machine. After a timeout,
+	// silentBackoff is how long the scheduler is not asked again; unreadyBackoff is the same
+	// after an answer that the scheduler is not ready.
 	answerTimeout  = 40 * time.Millisecond
 	silentBackoff  = 500 * time.Millisecond
 	unreadyBackoff = 200 * time.Millisecond
-	// maxSchedulersAsked is how many schedulers are asked for one request.
+	// maxSchedulersAsked is the number of schedulers that are asked about one attempt.
 	maxSchedulersAsked = 2
-	// maxParts and maxTried keep a question within a datagram.
+	// maxParts and maxTried keep a question within one datagram.
 	maxParts = 40
 	maxTried = 8
 )
 
-// ClientOptions set a Client up.
+// ClientOptions configures a Client.
 type ClientOptions struct {
 	Self tables.InstanceID
-	// BootEpoch differs between lives of the instance.
+	// BootEpoch tells apart the lives of the instance before and after a restart.
 	BootEpoch uint64
-	// Schedulers lists those of the zone; none where each instance chooses for itself.
+	// Schedulers lists the schedulers in the zone. It is empty where each instance chooses
+	// endpoints itself.
 	Schedulers func() []membership.EntryInstance
-	Send       func(to netip.AddrPort, message *rpc.ScheduleMessage)
-	// Now is a monotonic clock.
+	// Send sends a datagram, which may be lost.
+	Send func(to netip.AddrPort, message *rpc.ScheduleMessage)
+	// Now reads a monotonic clock.
 	Now func() tables.Instant
 	Log *zap.Logger
 }
 
-// Client asks schedulers. It is safe for concurrent use.
+// Client asks schedulers for assignments. It is safe for concurrent use.
 type Client struct {
 	options  ClientOptions
 	calls    *datagram.Calls[*rpc.ScheduleAnswer]
 	backoffs datagram.Silent
 }
 
-// NewClient returns a client.
+// NewClient returns a client that asks the given schedulers.
 func NewClient(o ClientOptions) *Client {
 	return &Client{options: o, calls: datagram.NewCalls[*rpc.ScheduleAnswer](o.BootEpoch)}
 }
 
-// Assignment is what a scheduler has decided about one attempt. Its methods notify the
-// scheduler of how the attempt goes on; the nil value notifies nobody. It is used by one
-// goroutine at a time.
+// Assignment is a scheduler's decision about one attempt. Its methods notify the scheduler
+// of the attempt's progress; on a nil Assignment they do nothing. An Assignment is for use
+// by one goroutine at a time.
 type Assignment struct {
-	// Choice is set if Reason is empty.
+	// Choice is the chosen endpoint; it is set if Reason is empty.
 	Choice dispatch.Decision
-	// Reason says why there is no endpoint now.
+	// Reason tells why no endpoint is available now.
 	Reason dispatch.RejectReason
 
 	client    *Client
@@ -69,8 +72,9 @@
 	started   bool
 }
 
-// Ask has a scheduler choose an endpoint. It returns nil if the instance has to choose
-// locally: it is the scheduler of the request, or none has answered in time.
+// Ask asks a scheduler to choose an endpoint. It returns nil if the instance must choose
+// locally: it is itself the scheduler of this request, no scheduler has answered in time, or
+// the question does not fit into a datagram.
 func (c *Client) Ask(ctx context.Context, r *dispatch.Request) *Assignment {
 	if len(r.SharedParts) > maxParts || len(r.Tried) > maxTried {
 		return nil
@@ -95,8 +99,8 @@
 	return nil
 }
 
-// schedulerKey draws the scheduler of a request: requests that share their whole beginning
-// have the same one.
+// schedulerKey returns the rendezvous hashing key that selects a request's scheduler.
+// Requests that share their whole prompt prefix have the same scheduler.
 func schedulerKey(r *dispatch.Request) uint64 {
 	if len(r.SharedParts) == 0 {
 		return uint64(r.ArrivedAt)
@@ -104,13 +108,13 @@
 	return uint64(r.SharedParts[len(r.SharedParts)-1].Name)
 }
 
-// pickScheduler returns the scheduler of a request of those that answer.
+// pickScheduler returns the scheduler of a key, leaving out schedulers that are backed off.
 func (c *Client) pickScheduler(key uint64) (membership.EntryInstance, bool) {
 	now := c.options.Now()
 	return datagram.Pick(key, c.options.Schedulers(), func(id tables.InstanceID) bool { return c.backoffs.Left(id, now) })
 }
 
-// askScheduler asks one scheduler; a nil answer means that none came in time.
+// askScheduler asks one scheduler. The answer is nil if none came in time.
 func (c *Client) askScheduler(ctx context.Context, s membership.EntryInstance, r *dispatch.Request) (*rpc.ScheduleAnswer, uint64) {
 	answer, number, _ := c.calls.Ask(ctx, answerTimeout, func(number uint64) {
 		c.options.Send(s.Address, &rpc.ScheduleMessage{Number: number, Question: encodeQuestion(c.options.Now(), r)})
@@ -118,7 +122,8 @@
 	return answer, number
 }
 
-// backOff asks others for a while.
+// backOff stops asking a scheduler for a while, longer if it was silent than if it was not
+// ready.
 func (c *Client) backOff(s membership.EntryInstance, silent bool) {
 	pause := unreadyBackoff
 	if silent {
@@ -129,8 +134,9 @@
 	c.backoffs.Leave(s.Instance, now, now+pause)
 }
 
-// HandleAnswer takes an answer. One that comes too late is given back: the scheduler must
-// not go on counting an attempt that is not made.
+// HandleAnswer hands a scheduler's answer to the call that waits for it. If the call has
+// timed out, HandleAnswer cancels the assignment, so that the scheduler does not go on
+// counting an attempt that is never made.
 func (c *Client) HandleAnswer(from netip.AddrPort, number uint64, answer *rpc.ScheduleAnswer) {
 	if c.calls.Answered(number, answer) {
 		return
@@ -141,8 +147,8 @@
 	}
 }
 
-// NotifyStarted notifies the scheduler that the endpoint works on the request. Later calls do
-// nothing.
+// NotifyStarted notifies the scheduler that the endpoint has started to process the request.
+// Only the first call sends a message.
 func (a *Assignment) NotifyStarted() {
 	if a == nil || a.started {
 		return
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -1,12 +1,15 @@
-// Package schedule lets a few entry instances of a zone, its schedulers, choose
-// endpoints for the others. Instances that each choose for themselves and report to each
-// other afterwards know too late: the reports grow with the square of their number,
-// and where it is slowed down, many choose the same endpoint at the same moment. A
-// scheduler knows of all choices that it has made and receives those of the few others
-// within milliseconds.
+// Package schedule delegates the choice of endpoints to a few entry instances in each zone,
+// the schedulers. It is the client and the server of this scheduling protocol over
+// datagrams.
 //
-// An instance that gets no answer in time chooses locally. So no request depends on
-// a scheduler, and what schedulers know is never needed for correctness.
+// If each instance chose endpoints by itself and reported the choice to the others, their
+// load information would be stale: the number of reports grows with the square of the number
+// of instances, and while reports are delayed, many instances choose the same endpoint at
+// the same moment. A scheduler knows all of its own choices and receives those of the few
+// other schedulers within milliseconds.
+//
+// An instance that gets no answer in time chooses an endpoint locally. No request therefore
+// depends on a scheduler, and correctness never depends on a scheduler's state.
 package schedule
 
 import (
@@ -19,7 +22,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// encodeQuestion describes a request to a scheduler.
+// encodeQuestion encodes a request for a scheduler. Times are sent relative to now, since
+// instances don't share a clock.
 func encodeQuestion(now tables.Instant, r *dispatch.Request) *rpc.ScheduleQuestion {
 	q := &rpc.ScheduleQuestion{
 		Service:       r.Service.Name,
@@ -44,7 +48,8 @@
 	return q
 }
 
-// decodeQuestion is what a scheduler chooses for.
+// decodeQuestion returns the request that a question describes, with times on the
+// scheduler's clock.
 func decodeQuestion(now tables.Instant, q *rpc.ScheduleQuestion, service *routes.Service) *dispatch.Request {
 	r := &dispatch.Request{
 		Service:           service,
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -22,7 +22,7 @@
 
 const model = "m"
 
-// dispatcherPlacer chooses with a real dispatcher.
+// dispatcherPlacer is a Placer with a real dispatcher.
 type dispatcherPlacer struct {
 	dispatch *dispatch.Dispatcher
 	service  *routes.Service
@@ -75,13 +75,14 @@
 	return running
 }
 
-// testZone is an asking instance and two schedulers. Messages go through the wire's form.
+// testZone is a zone with one asking instance and some schedulers. Messages are marshalled
+// and unmarshalled on the way.
 type testZone struct {
 	client  *Client
 	servers map[netip.AddrPort]*Server
-	// silent are schedulers that get no message.
+	// silent holds the schedulers that receive no messages.
 	silent map[netip.AddrPort]bool
-	// lost says whether a message to a scheduler is lost.
+	// lost reports whether a message to a scheduler is lost.
 	lost  func(*rpc.ScheduleMessage) bool
 	asked []netip.AddrPort
 }
@@ -106,6 +107,7 @@
 	return z
 }
 
+// send delivers a message synchronously.
 func (z *testZone) send(to netip.AddrPort, message *rpc.ScheduleMessage) {
 	wire, err := proto.Marshal(message)
 	if err != nil {
@@ -129,6 +131,7 @@
 	}
 }
 
+// generationRequest returns a generation request with the given prompt prefix.
 func generationRequest(p *dispatcherPlacer, prompt parts.ID) *dispatch.Request {
 	return &dispatch.Request{
 		Service: p.service, Route: &routes.Route{Target: time.Second}, Model: model,
@@ -137,9 +140,9 @@
 	}
 }
 
-// TestAttemptCountsAtItsScheduler guards against schedulers that do not know what they
-// have sent where, or that go on counting what has ended.
-func TestAttemptCountsAtItsScheduler(t *testing.T) {
+// Guards against schedulers that don't count the attempts they have placed, or that go on
+// counting attempts that have ended.
+func TestSchedulerCountsItsAttempts(t *testing.T) {
 	p := newDispatcherPlacer(3)
 	z := newTestZone(func() tables.Instant { return p.now }, p)
 	var open []*Assignment
@@ -156,9 +159,9 @@
 	assert.Equal(t, p.running(), 0)
 }
 
-// TestRequestsOfOnePromptHaveOneScheduler guards against a prompt that is read at
-// several endpoints since several instances chose for it at the same moment.
-func TestRequestsOfOnePromptHaveOneScheduler(t *testing.T) {
+// Guards against several endpoints computing the same prompt because several schedulers
+// placed it at the same moment.
+func TestRequestsWithSamePromptHaveSameScheduler(t *testing.T) {
 	first, second := newDispatcherPlacer(3), newDispatcherPlacer(3)
 	z := newTestZone(func() tables.Instant { return first.now }, first, second)
 	at := map[parts.ID]netip.AddrPort{}
@@ -175,14 +178,13 @@
 	assert.Equal(t, len(used), 2)
 }
 
-// TestSilentSchedulerIsLeft guards against callers that wait for a frozen scheduler
-// one after the other.
-func TestSilentSchedulerIsLeft(t *testing.T) {
+// Guards against callers waiting for a suspended scheduler one after the other.
+func TestSilentSchedulerIsBackedOff(t *testing.T) {
 	first, second := newDispatcherPlacer(3), newDispatcherPlacer(3)
 	z := newTestZone(func() tables.Instant { return first.now }, first, second)
 	z.silent[address(1)] = true
 	for i := range 20 {
-		assert.Assert(t, z.client.Ask(t.Context(), generationRequest(first, parts.ID(i))) != nil, "the other one chooses")
+		assert.Assert(t, z.client.Ask(t.Context(), generationRequest(first, parts.ID(i))) != nil, "the other scheduler chooses")
 	}
 	asked := 0
 	for _, at := range z.asked {
@@ -197,12 +199,11 @@
 		z.client.Ask(t.Context(), generationRequest(first, parts.ID(i)))
 	}
 	assert.Assert(t, len(z.asked) > 41-20)
-	assert.Assert(t, first.running() > 0, "it is asked again")
+	assert.Assert(t, first.running() > 0, "the scheduler is asked again after the backoff")
 }
 
-// TestWithoutSchedulersAnInstanceChoosesItself guards against requests that fail since
-// no scheduler answers.
-func TestWithoutSchedulersAnInstanceChoosesItself(t *testing.T) {
+// Guards against requests failing because no scheduler answers.
+func TestInstanceChoosesLocallyWithoutSchedulers(t *testing.T) {
 	p := newDispatcherPlacer(3)
 	z := newTestZone(func() tables.Instant { return p.now }, p)
 	z.silent[address(1)] = true
@@ -212,9 +213,9 @@
 	assert.Assert(t, z.client.Ask(ended, generationRequest(p, 1)) == nil)
 }
 
-// TestLostEndIsNoticed guards against endpoints that count as full for ever since the
-// word that attempts have ended was lost.
-func TestLostEndIsNoticed(t *testing.T) {
+// Guards against endpoints counting as full for ever because the notification that an
+// attempt has ended was lost.
+func TestAttemptExpiresAfterLostEnd(t *testing.T) {
 	p := newDispatcherPlacer(1)
 	z := newTestZone(func() tables.Instant { return p.now }, p)
 	z.lost = func(m *rpc.ScheduleMessage) bool { return m.GetProgress() != nil }
@@ -224,14 +225,14 @@
 	assert.Equal(t, z.client.Ask(t.Context(), generationRequest(p, 9)).Reason, dispatch.NoCapacity)
 	p.now += 5*time.Second + expiryGrace
 	z.servers[address(1)].ExpireAttempts()
-	assert.Equal(t, p.running(), 0, "also if nobody asks any more")
+	assert.Equal(t, p.running(), 0, "attempts expire even if no instance asks any more")
 	assert.Equal(t, z.client.Ask(t.Context(), generationRequest(p, 9)).Reason, dispatch.RejectReason(""))
 	assert.Equal(t, p.running(), 1)
 }
 
-// TestAnswerThatComesTooLateIsGivenBack guards against attempts that a scheduler counts
-// and nobody makes.
-func TestAnswerThatComesTooLateIsGivenBack(t *testing.T) {
+// Guards against a scheduler counting attempts that no instance makes, since the answer came
+// after the timeout.
+func TestLateAnswerIsCancelled(t *testing.T) {
 	p := newDispatcherPlacer(3)
 	z := newTestZone(func() tables.Instant { return p.now }, p)
 	q := encodeQuestion(p.now, generationRequest(p, 1))
@@ -241,9 +242,8 @@
 	assert.Equal(t, p.running(), 0)
 }
 
-// TestRepeatedQuestionCountsOnce guards against an attempt that counts twice since its
-// datagram came twice.
-func TestRepeatedQuestionCountsOnce(t *testing.T) {
+// Guards against an attempt counting twice because its datagram was delivered twice.
+func TestDuplicateQuestionCountsOnce(t *testing.T) {
 	p := newDispatcherPlacer(3)
 	z := newTestZone(func() tables.Instant { return p.now }, p)
 	q := encodeQuestion(p.now, generationRequest(p, 1))
@@ -253,9 +253,9 @@
 	assert.Equal(t, p.running(), 1)
 }
 
-// TestSchedulerSeesTheRequestAsItIs guards against choices for another request than the
-// caller's: a part, a bound or a failed endpoint that is lost on the way.
-func TestSchedulerSeesTheRequestAsItIs(t *testing.T) {
+// Guards against a scheduler choosing for another request than the caller's because the
+// message lost a prompt part, a time bound or an endpoint already tried.
+func TestQuestionRoundTripKeepsRequest(t *testing.T) {
 	p := newDispatcherPlacer(3)
 	r := generationRequest(p, 5)
 	r.Priority, r.Tried = 3, []tables.EndpointID{"A", "B"}
@@ -274,10 +274,10 @@
 
 func targetVersion() weights.TargetVersion { return weights.TargetVersion{Model: model, Version: 1} }
 
-// TestBurstOfOnePromptFillsNoEndpointBeyondItsPlaces guards against a crowd of instances
-// that send a prompt which has become popular to the one endpoint that holds it, where
-// most wait or are rejected while other endpoints rest.
-func TestBurstOfOnePromptFillsNoEndpointBeyondItsPlaces(t *testing.T) {
+// Guards against a thundering herd: many instances send a prompt that has become popular to
+// the one endpoint that has it cached, where most requests wait or are rejected while other
+// endpoints are idle.
+func TestBurstOfOnePromptStaysWithinSlots(t *testing.T) {
 	p := newDispatcherPlacer(8)
 	z := newTestZone(func() tables.Instant { return p.now }, p)
 	z.client.Ask(t.Context(), generationRequest(p, 1)).NotifyStarted()
@@ -289,7 +289,7 @@
 		placed[assignment.Choice.Endpoint]++
 	}
 	for id, n := range placed {
-		assert.Assert(t, n <= p.service.Slots, "%s has %d of %d", id, n, p.service.Slots)
+		assert.Assert(t, n <= p.service.Slots, "%s has %d attempts for %d slots", id, n, p.service.Slots)
 	}
-	assert.Assert(t, len(placed) >= 7, "30 requests at %d endpoints of 4 places", len(placed))
+	assert.Assert(t, len(placed) >= 7, "30 requests at %d endpoints with 4 slots each", len(placed))
 }
--- a/schedule/server.go
+++ b/schedule/server.go
@@ -10,36 +10,42 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Placer chooses endpoints. It is safe for concurrent use.
+// Placer chooses endpoints and counts the attempts there. It is safe for concurrent use.
 type Placer interface {
-	// Service returns a service of the configuration in force, nil if there is none
-	// of that name.
+	// Service returns the service of that name in the current configuration, or nil if there
+	// is none.
 	Service(name string) *routes.Service
+	// PlaceRequest chooses an endpoint and counts an attempt there. If no endpoint is
+	// available, the attempt is nil and the reason tells why.
 	PlaceRequest(r *dispatch.Request) (*dispatch.Attempt, dispatch.RejectReason)
+	// AttemptStarted notes that the endpoint has started to process the attempt.
 	AttemptStarted(a *dispatch.Attempt)
+	// AttemptEnded stops counting the attempt.
 	AttemptEnded(a *dispatch.Attempt, how dispatch.Outcome)
 }
 
 const (
-	// sweepInterval is the time between two looks for attempts whose end was not reported,
-	// and endMargin how long after its caller's deadline one counts as ended.
+	// sweepInterval is the interval between two sweeps for expired attempts. An attempt
+	// expires expiryGrace after its caller's deadline unless its end was reported.
 	sweepInterval = 500 * time.Millisecond
 	expiryGrace   = 500 * time.Millisecond
 )
 
-// attemptKey names an attempt of an instance that asked.
+// attemptKey identifies an attempt by the instance that asked and the number of its
+// question.
 type attemptKey struct {
 	instance tables.InstanceID
 	number   uint64
 }
 
-// remoteAttempt is an attempt that this instance has chosen for another.
+// remoteAttempt is an attempt that this instance has placed for another one.
 type remoteAttempt struct {
 	attempt   *dispatch.Attempt
 	expiresAt tables.Instant
 }
 
-// Server chooses for other instances. It is safe for concurrent use.
+// Server chooses endpoints for other instances and tracks their attempts. It is safe for
+// concurrent use.
 type Server struct {
 	placer Placer
 	now    func() tables.Instant
@@ -54,7 +60,9 @@
 	return &Server{placer: placer, now: now, attempts: map[attemptKey]remoteAttempt{}}
 }
 
-// Choose chooses an endpoint for an attempt of another instance.
+// Choose chooses an endpoint for an attempt of another instance. A question that arrives
+// twice gets the same choice and counts once. An empty answer means that this instance is
+// not ready: it does not know the service.
 func (s *Server) Choose(by tables.InstanceID, number uint64, q *rpc.ScheduleQuestion) *rpc.ScheduleAnswer {
 	key, now := attemptKey{instance: by, number: number}, s.now()
 	s.mu.Lock()
@@ -75,7 +83,7 @@
 	return encodeChoice(chosen.Decision(now))
 }
 
-// HandleProgress takes how an attempt of another instance goes on.
+// HandleProgress updates an attempt of another instance. Unknown attempts are ignored.
 func (s *Server) HandleProgress(by tables.InstanceID, number uint64, p *rpc.AttemptProgress) {
 	key := attemptKey{instance: by, number: number}
 	s.mu.Lock()
@@ -93,9 +101,9 @@
 	}
 }
 
-// ExpireAttempts ends attempts whose end was not reported in time: the message was lost, or its
-// instance is gone. It is called all the while, also by an instance that nobody asks any
-// more: what it goes on counting would keep others away from endpoints that are free.
+// ExpireAttempts ends attempts whose end was not reported in time, because the message was
+// lost or the asking instance is gone. It must be called regularly even if no instance asks
+// any more: attempts that stay counted would keep other instances away from free endpoints.
 func (s *Server) ExpireAttempts() {
 	now := s.now()
 	s.mu.Lock()
--- a/usage/bench_test.go
+++ b/usage/bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// BenchmarkDebit is the cost of one decision at an accountant of all organisations.
+// BenchmarkDebit measures the cost of one decision by the owner of all organisations'
+// buckets.
 func BenchmarkDebit(b *testing.B) {
 	for _, organisations := range []int{16, 8600} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
@@ -22,7 +23,7 @@
 	}
 }
 
-// BenchmarkAccountMemory is the memory of an account in use.
+// BenchmarkAccountMemory measures the memory that a bucket in use takes.
 func BenchmarkAccountMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -40,6 +41,7 @@
 	}
 }
 
+// ownerWithLimits returns an owner with limits for n organisations, and their subjects.
 func ownerWithLimits(n int) (*BucketOwner, []Subject) {
 	limits := map[Subject]Limit{}
 	var ids []Subject
--- a/usage/client.go
+++ b/usage/client.go
@@ -17,65 +17,71 @@
 )
 
 const (
-	// replyTimeout is how long an accountant may take: a round trip within a zone and
-	// the time in which a slow machine gets to run. silentPause is how long one that did
-	// not answer is not asked.
+	// replyTimeout is how long the client waits for an owner's reply: a round trip within a
+	// zone, plus the scheduling delay of a slow machine. After a timeout, silentBackoff is
+	// how long the owner is not asked again.
 	replyTimeout  = 40 * time.Millisecond
 	silentBackoff = 500 * time.Millisecond
-	// maxOwnersAsked is how many accountants are asked for one request.
+	// maxOwnersAsked is the number of owners that are asked about one request.
 	maxOwnersAsked = 2
-	// sweepInterval is the time between two looks for meters that are not in use.
+	// sweepInterval is the interval between two sweeps of idle limiters.
 	sweepInterval = 10 * time.Second
 )
 
-// Basis says what a decision rests on.
+// Basis is what a decision is based on. Its values are written to logs and metrics.
 type Basis string
 
-// What decisions rest on.
+// Bases of decisions.
 const (
+	// ByLease: a lease covers the request.
 	ByLease Basis = "lease"
+	// ByOwner: the owner of the subject's bucket decided.
 	ByOwner Basis = "accountant"
-	// ByCachedRefusal: the accountant has refused others a moment ago.
+	// ByCachedRefusal: the owner refused another request a moment ago.
 	ByCachedRefusal Basis = "refusal"
-	// ByLocalShare: no accountant answers, and the instance keeps to its own part.
+	// ByLocalShare: no owner replies, and the instance decides from its own share of the
+	// limit.
 	ByLocalShare Basis = "own share"
-	// ByNoOwner: no accountant answers, and the limit is strict.
+	// ByNoOwner: no owner replies, and the limit is strict.
 	ByNoOwner Basis = "nobody"
-	// ByNoLimit: the subject has none.
+	// ByNoLimit: the subject has no limit.
 	ByNoLimit Basis = "no limit"
 )
 
-// Decision is about one request.
+// Decision is the outcome of a rate limit check for one request.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when a refused caller had better come back.
+	// RetryAfter is the delay after which a refused caller should retry.
 	RetryAfter time.Duration
 	Basis      Basis
-	// Level is what was left of the burst when an accountant last answered, LevelAge ago.
+	// Level is the level of the bucket in the owner's last reply, which came LevelAge ago. It
+	// is negative if the bucket is overdrawn.
 	Level    int64
 	LevelAge time.Duration
 }
 
-// ClientOptions set a Client up.
+// ClientOptions configures a Client.
 type ClientOptions struct {
 	Self tables.InstanceID
 	Zone tables.Zone
-	// BootEpoch tells lives of the instance apart.
+	// BootEpoch tells apart the lives of the instance before and after a restart.
 	BootEpoch uint64
-	// Server keeps the accounts that fall to this instance.
+	// Server holds the buckets that this instance owns itself.
 	Server *Server
-	// EntriesByZone lists the living entry instances of each zone, and Instances says how many
-	// of them share limits, those that are cut off included.
+	// EntriesByZone lists the live entry instances in each zone. InstanceCount returns the
+	// number of entry instances that share the limits, including those that a network
+	// partition has cut off.
 	EntriesByZone func() map[tables.Zone][]membership.EntryInstance
 	InstanceCount func() int
-	Send          func(to netip.AddrPort, message *rpc.UsageMessage)
-	// Now is a monotonic clock.
+	// Send sends a datagram, which may be lost.
+	Send func(to netip.AddrPort, message *rpc.UsageMessage)
+	// Now reads a monotonic clock.
 	Now func() tables.Instant
 	Log *zap.Logger
 }
 
-// Client decides whether requests are within the limits of their subjects. It is
-// safe for concurrent use.
+// Client checks requests against the rate limits of their subjects. It is safe for
+// concurrent use.
 type Client struct {
 	options  ClientOptions
 	calls    *datagram.Calls[*rpc.UsageAnswer]
@@ -86,16 +92,18 @@
 	sweptAt  tables.Instant
 }
 
-// NewClient returns a client.
+// NewClient returns a client without limiters.
 func NewClient(o ClientOptions) *Client {
 	return &Client{
 		options: o, calls: datagram.NewCalls[*rpc.UsageAnswer](o.BootEpoch), limiters: map[Subject]*LocalLimiter{},
 	}
 }
 
+// subjectHash returns the key of a subject's rendezvous hash.
 func subjectHash(id Subject) uint64 { return xxhash.Sum64String(string(id)) }
 
-// Admit decides about a request of the given cost, and counts it if it is admitted.
+// Admit decides about a request of the given cost, and counts the cost if the request is
+// admitted. It waits at most for maxOwnersAsked times replyTimeout.
 func (c *Client) Admit(ctx context.Context, id Subject, limit Limit, cost int64) Decision {
 	if !limit.Limited() {
 		return Decision{Admitted: true, Basis: ByNoLimit}
@@ -122,8 +130,8 @@
 	return c.admitFromShare(id, limit, cost)
 }
 
-// Charge counts use that nobody is asked about: a further run of a request, or, negative,
-// one that did not run.
+// Charge counts use that needs no admission: another attempt of a request, or, with a
+// negative amount, a request that did not run.
 func (c *Client) Charge(id Subject, limit Limit, amount int64) {
 	if !limit.Limited() || amount == 0 {
 		return
@@ -134,7 +142,8 @@
 	c.reportUse(id)
 }
 
-// limiter returns an organisation's limiter. It is called with mu held.
+// limiter returns the limiter of a subject and creates it if there is none. The caller holds
+// mu.
 func (c *Client) limiter(id Subject) *LocalLimiter {
 	now := c.options.Now()
 	if now-c.sweptAt > sweepInterval {
@@ -153,12 +162,14 @@
 	return m
 }
 
+// check decides from a lease or a cached refusal.
 func (c *Client) check(id Subject, cost int64) (Verdict, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter(id).Check(c.options.Now(), cost)
 }
 
+// admitFromShare decides from this instance's share of the limit.
 func (c *Client) admitFromShare(id Subject, limit Limit, cost int64) Decision {
 	c.mu.Lock()
 	admitted, retryAfter := c.limiter(id).AdmitFromShare(c.options.Now(), limit, c.options.InstanceCount(), cost)
@@ -166,7 +177,7 @@
 	return c.withLevel(id, Decision{Admitted: admitted, RetryAfter: retryAfter, Basis: ByLocalShare})
 }
 
-// withLevel adds what is known of the account.
+// withLevel adds the last known level of the bucket to a decision.
 func (c *Client) withLevel(id Subject, d Decision) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,7 +187,8 @@
 	return d
 }
 
-// askOwner has an accountant decide about a request; answered is false if none did.
+// askOwner asks the owner to decide about a request; replied is false if no usable reply
+// came.
 func (c *Client) askOwner(ctx context.Context, id Subject, limit Limit, cost int64) (reply DebitReply, replied bool) {
 	owner, found := c.pickOwner(id)
 	if !found {
@@ -205,8 +217,8 @@
 	return DebitReply{}, false
 }
 
-// reportUse sends what was used without asking to the accountant, and takes its answer when
-// it comes. Nobody waits for it: what is lost goes with the next.
+// reportUse reports unreported use to the owner and applies the reply when it arrives. It
+// does not block. After a lost message the use goes into the next debit.
 func (c *Client) reportUse(id Subject) {
 	owner, found := c.pickOwner(id)
 	if !found {
@@ -230,7 +242,7 @@
 	}()
 }
 
-// pickOwner returns the accountant of the own zone that is to be asked.
+// pickOwner returns the owner in this zone, leaving out instances that are backed off.
 func (c *Client) pickOwner(id Subject) (membership.EntryInstance, bool) {
 	now := c.options.Now()
 	return datagram.Pick(subjectHash(id), c.options.EntriesByZone()[c.options.Zone], func(other tables.InstanceID) bool {
@@ -238,18 +250,22 @@
 	})
 }
 
+// newDebit returns a debit that takes the unreported use along.
 func (c *Client) newDebit(id Subject, cost int64) Debit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter(id).NewDebit(c.options.Now(), id, cost)
 }
 
+// rollBack restores the unreported use of a debit without reply.
 func (c *Client) rollBack(d Debit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.limiter(d.Subject).RollBack(d)
 }
 
+// applyReply applies a reply to its limiter, or rolls the debit back if the owner was not
+// ready.
 func (c *Client) applyReply(d Debit, reply DebitReply) (DebitReply, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,12 +277,12 @@
 	return reply, true
 }
 
-// HandleReply takes an accountant's answer to one of this instance's debits.
+// HandleReply hands an owner's reply to the call that waits for it.
 func (c *Client) HandleReply(number uint64, reply *rpc.UsageAnswer) {
 	c.calls.Answered(number, reply)
 }
 
-// RevokeLease notes that an accountant has ended a lease.
+// RevokeLease ends this instance's lease, as its owner has asked.
 func (c *Client) RevokeLease(id Subject) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -275,7 +291,7 @@
 	}
 }
 
-// HandleMessage takes a message of another instance, for the client or the server.
+// HandleMessage dispatches a message of another instance to the client or the server.
 func (c *Client) HandleMessage(from membership.Sender, message *rpc.UsageMessage) {
 	switch {
 	case message.GetAnswer() != nil:
--- a/usage/endpoints_test.go
+++ b/usage/endpoints_test.go
@@ -16,15 +16,17 @@
 
 var engineSubject = EndpointSubject("engine")
 
+// endpointWindow is the sliding window over which an endpoint's use is checked.
 const endpointWindow = 4 * time.Second
 
-// maxEndpointUse is how many requests an endpoint that takes so many a second bears within
-// endpointWindow.
+// maxEndpointUse is the highest number of requests within endpointWindow that an endpoint
+// with a limit of perSecond tolerates.
 func maxEndpointUse(perSecond float64) int64 {
 	return int64(1.5*perSecond*endpointWindow.Seconds() + 5)
 }
 
-// forEachRate runs a deployment whose instances want to send an endpoint twenty times what it takes.
+// forEachRate simulates deployments whose instances want to send an endpoint twenty times
+// the requests that its limit allows.
 func forEachRate(t *testing.T, f func(s *simulation), check func(t *testing.T, s *simulation, perSecond float64)) {
 	for _, perSecond := range []float64{0.05, 1, 1.2, 5, 40} {
 		forEachSize(t, func(t *testing.T, n int) {
@@ -36,24 +38,24 @@
 			s.runUntil(warmUp + 31*time.Second)
 			most := s.peakUse(engineSubject, endpointWindow)
 			t.Logf("%v a second: %d within the window of %d, %d in all", perSecond, most, maxEndpointUse(perSecond), s.totalUse(engineSubject, 0))
-			assert.Assert(t, most <= maxEndpointUse(perSecond), "%v a second: %d, allowed %d", perSecond, most, maxEndpointUse(perSecond))
+			assert.Assert(t, most <= maxEndpointUse(perSecond), "%v requests per second: %d admitted within the window, %d allowed", perSecond, most, maxEndpointUse(perSecond))
 			check(t, s, perSecond)
 		})
 	}
 }
 
-// Guards against an endpoint getting more than it takes from many instances that each know
-// its limit, and against most of the limit being of no use.
-func TestInstancesTogetherKeepAnEndpointsLimit(t *testing.T) {
+// Guards against an endpoint receiving more than its limit because many instances each know
+// the limit, and against most of the limit staying unused.
+func TestEndpointLimitHoldsAcrossInstances(t *testing.T) {
 	forEachRate(t, func(*simulation) {}, func(t *testing.T, s *simulation, perSecond float64) {
 		usable := float64(s.totalUse(engineSubject, warmUp)) / (max(perSecond, minEndpointRequestsPerSecond) * 30)
 		assert.Assert(t, usable >= 0.75, "%.3f", usable)
 	})
 }
 
-// Guards against an endpoint's limit being exceeded when zones are cut off from each other:
-// each zone's accountant goes on.
-func TestAnEndpointsLimitHoldsAcrossACut(t *testing.T) {
+// Guards against an endpoint's limit being exceeded during a partition between zones, when
+// each zone's owner goes on admitting requests.
+func TestEndpointLimitHoldsAcrossPartition(t *testing.T) {
 	forEachRate(t, func(s *simulation) {
 		s.after(5*time.Second, func() { s.partitioned = func(a, b string) bool { return a != b } })
 		s.after(15*time.Second, func() { s.partitioned = func(string, string) bool { return false } })
@@ -62,8 +64,8 @@
 	})
 }
 
-// Guards against an endpoint's limit being given out anew by each accountant that starts.
-func TestAnEndpointsLimitHoldsAcrossRestarts(t *testing.T) {
+// Guards against each owner that starts granting an endpoint's limit anew.
+func TestEndpointLimitHoldsAcrossRestarts(t *testing.T) {
 	forEachRate(t, func(s *simulation) {
 		for i := range 8 {
 			s.after(time.Duration(i+2)*2*time.Second, func() {
@@ -75,8 +77,8 @@
 	}, func(*testing.T, *simulation, float64) {})
 }
 
-// Guards against requests at an endpoint that names a limit while nobody counts them.
-func TestNothingIsSentToALimitedEndpointWhileNobodyCounts(t *testing.T) {
+// Guards against requests to an endpoint with a limit while no owner counts them.
+func TestStrictLimitRefusesWithoutOwner(t *testing.T) {
 	now := func() tables.Instant { return time.Second }
 	self := membership.EntryInstance{Instance: "i1", Address: netip.MustParseAddrPort("127.0.0.1:1")}
 	other := membership.EntryInstance{Instance: "i2", Address: netip.MustParseAddrPort("127.0.0.1:2")}
@@ -93,8 +95,8 @@
 	assert.Assert(t, decision.RetryAfter > 0)
 }
 
-// Guards against a limit that another zone knows being lost on the way between accountants.
-func TestLimitsOfEndpointsGoWithDebitsAndReports(t *testing.T) {
+// Guards against debits and reports losing a limit that only another zone knows.
+func TestDebitsAndReportsCarryEndpointLimits(t *testing.T) {
 	limit := EndpointLimit(1.2)
 	assert.Equal(t, decodeDebit(encodeDebit(Debit{Subject: engineSubject, Limit: limit})).Limit, limit)
 	assert.Equal(t, decodeReport(encodeReport(Report{Subject: engineSubject, Limit: limit})).Limit, limit)
--- a/usage/local_limiter.go
+++ b/usage/local_limiter.go
@@ -6,48 +6,56 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Verdict says what an instance does about one request.
+// Verdict is the local decision about a request.
 type Verdict uint8
 
-// The steps.
+// Verdicts of LocalLimiter.Check.
 const (
-	// AskOwner: the accountant decides.
+	// AskOwner: the bucket's owner must decide.
 	AskOwner Verdict = iota
-	// Admit: the request is within the limit.
+	// Admit: a lease covers the request.
 	Admit
-	// Reject: it is not.
+	// Reject: the owner refused a request a moment ago, and the refusal is cached.
 	Reject
 )
 
 const (
-	// rejectFraction is the part of the time until a refused caller's return for which an
-	// instance refuses others without asking, and maxClosed bounds it.
+	// After a refusal the instance rejects further requests without asking for
+	// rejectFraction of the retry delay, at most for maxRejectTime.
 	rejectFraction = 0.5
 	maxRejectTime  = 200 * time.Millisecond
-	// limiterIdleTimeout is after how long without use a meter is forgotten.
+	// limiterIdleTimeout is how long an unused limiter is kept.
 	limiterIdleTimeout = 30 * time.Second
 )
 
-// LocalLimiter is what an entry instance knows of one subject's account.
+// LocalLimiter is an entry instance's view of one subject's bucket: its lease, a short cache
+// of refusals, use that it has not reported yet, and a fallback bucket for times when no
+// owner replies.
 type LocalLimiter struct {
+	// A lease admits requests until leaseUntil; a cached refusal rejects them until
+	// rejectUntil.
 	leaseUntil  tables.Instant
 	rejectUntil tables.Instant
-	// replied is set once an accountant has answered, at knownAt, with level and total
-	// demand.
+	// replied is set once an owner has replied; the last reply came at repliedAt with level
+	// and totalDemand.
 	replied     bool
 	repliedAt   tables.Instant
 	level       int64
 	totalDemand float64
-	demand      averagedRate
-	// unreported is what was admitted without asking and not reported yet.
+	// demand is the use per second that callers ask this instance for.
+	demand averagedRate
+	// unreported is the use that was admitted without asking and that no debit has reported
+	// yet.
 	unreported int64
-	// fallback is the bucket for the instance's own part while no accountant answers.
+	// fallback is the token bucket of the instance's own share, in use while inFallback is
+	// set because no owner replies.
 	fallback   tokenBucket
 	inFallback bool
 	usedAt     tables.Instant
 }
 
-// Check says what to do about a request.
+// Check decides about a request if a lease or a cached refusal allows it. retryAfter is set
+// for Reject.
 func (l *LocalLimiter) Check(now tables.Instant, cost int64) (verdict Verdict, retryAfter time.Duration) {
 	l.usedAt = now
 	l.demand.add(now, float64(cost))
@@ -61,8 +69,9 @@
 	return AskOwner, 0
 }
 
-// NewDebit reports use to the accountant and asks it to admit a request of that cost. The
-// instance's unreported use counts as reported from then on, until it is Undone.
+// NewDebit returns a debit that asks the owner to admit a request of the given cost, 0 for
+// none, and reports all unreported use. That use counts as reported unless RollBack is
+// called.
 func (l *LocalLimiter) NewDebit(now tables.Instant, id Subject, cost int64) Debit {
 	d := Debit{Subject: id, Cost: cost, Spent: l.unreported}
 	if l.replied {
@@ -72,10 +81,12 @@
 	return d
 }
 
-// RollBack takes back that use was reported: no answer came.
+// RollBack returns a debit's reported use to the unreported use, after a debit without
+// reply.
 func (l *LocalLimiter) RollBack(d Debit) { l.unreported += d.Spent }
 
-// ApplyReply takes an accountant's answer.
+// ApplyReply takes over an owner's reply to d: the level, the lease and, for a refusal, the
+// time to reject further requests.
 func (l *LocalLimiter) ApplyReply(now tables.Instant, d Debit, reply DebitReply) {
 	l.replied, l.repliedAt = true, now
 	l.level, l.totalDemand = reply.Level, float64(reply.Demand)
@@ -87,11 +98,11 @@
 	}
 }
 
-// RevokeLease notes that the accountant has ended the lease.
+// RevokeLease ends the lease.
 func (l *LocalLimiter) RevokeLease(now tables.Instant) { l.leaseUntil = min(l.leaseUntil, now) }
 
-// Charge notes use that nobody is asked about: a further run of a request, or, negative, one
-// that did not run.
+// Charge counts use that needs no admission: another attempt of a request, or, with a
+// negative amount, a request that did not run.
 func (l *LocalLimiter) Charge(now tables.Instant, amount int64) {
 	l.usedAt = now
 	l.unreported += amount
@@ -100,8 +111,9 @@
 	}
 }
 
-// AdmitFromShare decides by the instance's own part of the limit: no accountant answers. The
-// part is what the instance has used of late and an equal part of what nobody did.
+// AdmitFromShare decides about a request when no owner replies, with a fallback bucket for
+// the instance's own share of the limit. The share is the instance's recent use and an equal
+// part, among the given number of instances, of the unused rate.
 func (l *LocalLimiter) AdmitFromShare(now tables.Instant, limit Limit, instances int, cost int64) (admitted bool, retryAfter time.Duration) {
 	demand := l.demand.value(now)
 	part := limitShare(demand, max(l.totalDemand, demand), limit.Rate, instances)
@@ -122,7 +134,7 @@
 	return true, 0
 }
 
-// Idle says whether the meter can be forgotten.
+// Idle reports whether the limiter is unused and has no unreported use.
 func (l *LocalLimiter) Idle(now tables.Instant) bool {
 	return now-l.usedAt > limiterIdleTimeout && l.unreported == 0
 }
--- a/usage/owner.go
+++ b/usage/owner.go
@@ -8,105 +8,111 @@
 )
 
 const (
-	// leaseDuration is how long an instance may admit requests without asking, and leasePart
-	// the part of the burst that must be left for it. Within the lease instances may use
-	// more than is left; that part bounds by how much.
+	// leaseDuration is how long a leaseholder admits requests without asking. Leaseholders
+	// together can use more tokens than are left; leaseMinFraction, the fraction of the
+	// burst that must be left for a lease, bounds the excess.
 	leaseDuration    = time.Second
 	leaseMinFraction = 0.5
-	// partitionTimeout is after how long without a report another accountant counts as cut
-	// off. Accountants of accounts in use report several times in it.
+	// partitionTimeout is the time without a report after which a peer counts as
+	// partitioned. The owner of a bucket in use sends several reports within this time.
 	partitionTimeout = 1200 * time.Millisecond
-	// strictPartitionTimeout is the same for strict limits: until then each side of a cut uses
-	// the whole limit, and a false alarm only leaves some of it unused.
+	// strictPartitionTimeout is the same for strict limits. It is shorter because until then
+	// each side of a partition uses the whole limit, while a false alarm only leaves part of
+	// the limit unused.
 	strictPartitionTimeout = 600 * time.Millisecond
-	// reportInterval is the time between two reports of an account whose level is high,
-	// tightPeriod that of others, and reportPart the part of the burst whose use brings
-	// the next report forward to tightPeriod.
+	// reportInterval is the regular interval between two reports of a bucket. Once the use
+	// since the last report exceeds earlyReportFraction of the burst, the next one is sent
+	// after earlyReportInterval.
 	reportInterval      = 400 * time.Millisecond
 	earlyReportInterval = 50 * time.Millisecond
 	earlyReportFraction = 1.0 / 16
-	// idleDemandFraction is the part of the limit's rate below which a demand counts as none.
+	// idleDemandFraction is the fraction of a limit's rate below which demand counts as
+	// zero.
 	idleDemandFraction = 0.01
-	// levelAdoptionWindow is how long after it was opened an account takes over levels that instances
-	// have from the accountant before.
+	// levelAdoptionWindow is how long after its creation a replica adopts lower levels that
+	// entry instances know from the previous owner.
 	levelAdoptionWindow = time.Second
-	// bucketIdleTimeout is after how long without use an account is forgotten. Its bucket is full
-	// by then: bursts are a few seconds' worth of the rate.
+	// bucketIdleTimeout is how long an unused bucket is kept. The bucket is full by then,
+	// since a burst is worth a few seconds of the rate.
 	bucketIdleTimeout = 30 * time.Second
-	// peerTimeout is after how long a silent accountant no longer counts. Instances of
-	// its zone that live have another accountant by then.
+	// peerTimeout is how long a silent peer is kept. The entry instances that are alive in
+	// its zone have another owner by then.
 	peerTimeout = 2 * time.Minute
 )
 
-// Debit is what an entry instance asks of an accountant: to admit one request, to note use
-// that it has admitted under a lease, or both.
+// Debit is the request of an entry instance to a bucket's owner: to admit one request, to
+// count use that the instance has admitted under a lease, or both.
 type Debit struct {
 	Subject Subject
-	// Limit is the subject's as the instance knows it, if the configuration names none.
+	// Limit is the subject's limit as the entry instance knows it, if the configuration sets
+	// none.
 	Limit Limit
-	// Cost is that of the request to admit; 0 if there is none.
+	// Cost is the cost of the request to admit; 0 if there is none.
 	Cost int64
-	// Spent is use that was admitted without asking; negative gives back what was
-	// charged for requests that did not run.
+	// Spent is the use that was admitted without asking. A negative amount gives back what
+	// was charged for requests that did not run.
 	Spent int64
-	// Level is the account's in the last answer, as of LevelAge ago, if
-	// LevelKnown is set. An accountant that has just taken over learns it from there.
+	// Level is the level that the owner's last reply carried, which came LevelAge ago, if
+	// LevelKnown is set. A new owner initialises its bucket from it.
 	LevelKnown bool
 	Level      int64
 	LevelAge   time.Duration
 }
 
-// DebitReply is an accountant's answer to a Debit.
+// DebitReply is an owner's reply to a Debit.
 type DebitReply struct {
-	// Ready is false if the accountant does not know the subject or its limit.
-	Ready    bool
+	// Ready is false if the owner does not know the subject's limit.
+	Ready bool
+	// Admitted is the decision about the request; it is true if the debit held none.
 	Admitted bool
-	// RetryAfter is when a refused caller had better come back.
+	// RetryAfter is the delay after which a refused caller should retry.
 	RetryAfter time.Duration
-	// Lease is for how long the instance may admit without asking.
+	// Lease is how long the entry instance may admit requests without asking; 0 means no
+	// lease.
 	Lease time.Duration
-	// Level is what is left of the burst, and Demand the demand of all instances a second.
+	// Level is the level of the bucket, negative if it is overdrawn, and Demand the use per
+	// second that all instances ask for.
 	Level, Demand int64
 }
 
-// Report is what one accountant sends another of an account.
+// Report is an owner's message to its peers about one bucket.
 type Report struct {
 	Subject Subject
-	// Limit is the subject's, if the configuration names none.
+	// Limit is the subject's limit, if the configuration sets none.
 	Limit Limit
-	// Zone is the accountant's.
+	// Zone is the availability zone of the sender.
 	Zone tables.Zone
-	// Admitted is the running total of what the accountant has admitted in its life,
-	// which Life tells from others.
+	// Admitted is the running total of what the sender has admitted since it started.
+	// BootEpoch tells totals before and after a restart apart.
 	Admitted  int64
 	BootEpoch uint64
-	// Demand is what callers ask of the accountant a second.
+	// Demand is the use per second that the sender is asked for.
 	Demand int64
-	// Level is the account's level there.
+	// Level is the level of the sender's replica of the bucket.
 	Level int64
 }
 
-// BucketOwner keeps the accounts of subjects for its zone.
+// BucketOwner holds the token buckets that one entry instance owns on behalf of its zone.
 type BucketOwner struct {
 	bootEpoch uint64
 	zone      tables.Zone
-	// unaccountedUntil is until when use may have been counted elsewhere without a report to this
-	// accountant: its start, or the loss of another one of its zone.
+	// unaccountedUntil is the time before which use may have been admitted that this owner
+	// has no report of: its start, or the loss of another entry instance in its zone.
 	unaccountedUntil tables.Instant
 	limits           map[Subject]Limit
-	// buckets holds those in use.
+	// buckets holds the buckets in use.
 	buckets map[Subject]*sharedBucket
 	sweptAt tables.Instant
 }
 
-// NewBucketOwner returns an accountant without accounts. Life tells it from those of the
-// same instance before a restart.
+// NewBucketOwner returns an owner without buckets. The boot epoch tells it apart from owners
+// on the same instance before a restart.
 func NewBucketOwner(now tables.Instant, zone tables.Zone, life uint64) *BucketOwner {
 	return &BucketOwner{bootEpoch: life, zone: zone, unaccountedUntil: now, buckets: map[Subject]*sharedBucket{}}
 }
 
-// SetLimits puts limits in force. What was used under the limit before counts under the
-// next one. A higher burst can be used at once.
+// SetLimits replaces the configured limits. Use under the old limits counts under the new
+// ones. Where the burst grows, the difference is available at once.
 func (o *BucketOwner) SetLimits(limits map[Subject]Limit) {
 	for id, acc := range o.buckets {
 		acc.level += max(0, limits[id].Burst-o.limits[id].Burst)
@@ -114,11 +120,11 @@
 	o.limits = limits
 }
 
-// NoteOwnerLost notes that another accountant of the zone may be gone, with its accounts.
+// NoteOwnerLost records that another owner in the zone may be gone, and its buckets with it.
 func (o *BucketOwner) NoteOwnerLost(now tables.Instant) { o.unaccountedUntil = now }
 
-// Debit takes use into an account and decides about a request. Holders lists the instances
-// whose leases end by it: the level has become low.
+// Debit counts use in a bucket and decides about a request. It returns the instances whose
+// leases it has revoked because the level has become low.
 func (o *BucketOwner) Debit(now tables.Instant, by tables.InstanceID, d Debit) (reply DebitReply, revoked []tables.InstanceID) {
 	limit := o.limitOf(d.Subject, d.Limit)
 	if !limit.Limited() {
@@ -146,7 +152,8 @@
 	return reply, revoked
 }
 
-// limitOf is a subject's limit: the configuration's, or else the one that is named.
+// limitOf returns a subject's limit: the configured one, or else the given limit, or else
+// the limit that earlier debits and reports carried.
 func (o *BucketOwner) limitOf(id Subject, carried Limit) Limit {
 	if limit, configured := o.limits[id]; configured {
 		return limit
@@ -157,14 +164,14 @@
 	return carried
 }
 
-// floorLevel rounds down: what is passed on of a level must not add to it.
+// floorLevel rounds a level down, so that rounding in messages never adds tokens.
 func floorLevel(level float64) int64 { return int64(math.Floor(level)) }
 
-// bucketFor returns an bucketFor, opened if there is none.
+// bucketFor returns a subject's bucket and creates it if there is none.
 //
-// What was used before the accountant's start, or before another one was lost, is not known
-// and counts as spent: the level begins at zero then. So instances may be restarted without
-// the limit of a window that spans the restart being exceeded.
+// Use before the start of this owner, or before the loss of another one, is unknown and
+// counts as spent: the level of a new bucket starts at zero at that time. Restarts of
+// instances therefore don't let the use exceed the limit within a window that spans them.
 func (o *BucketOwner) bucketFor(now tables.Instant, id Subject, limit Limit) *sharedBucket {
 	acc := o.buckets[id]
 	if acc == nil {
@@ -182,7 +189,9 @@
 	return acc
 }
 
-// ApplyReport takes another accountant's report.
+// ApplyReport merges a peer's report into the bucket. Only the growth of the peer's running
+// total is deducted, so a lost or repeated report does no harm. A report of a silent peer
+// replaces the assumed use by the actual use.
 func (o *BucketOwner) ApplyReport(now tables.Instant, from tables.InstanceID, in Report) {
 	limit := o.limitOf(in.Subject, in.Limit)
 	if !limit.Limited() {
@@ -211,7 +220,7 @@
 	r.demand, r.reportedAt = float64(in.Demand), now
 }
 
-// DueReports lists what is to be sent to the other accountants now.
+// DueReports returns the reports to send to the peers now, and evicts idle buckets.
 func (o *BucketOwner) DueReports(now tables.Instant) []Report {
 	o.evictIdle(now)
 	var due []Report
@@ -230,10 +239,10 @@
 	return due
 }
 
-// Empty says whether there is nothing to report for now.
+// Empty reports whether the owner has no buckets, and so nothing to report.
 func (o *BucketOwner) Empty() bool { return len(o.buckets) == 0 }
 
-// Peers lists the accountants that have reported of an account.
+// Peers returns the owners that have reported the given subject.
 func (o *BucketOwner) Peers(id Subject) []tables.InstanceID {
 	acc := o.buckets[id]
 	if acc == nil {
@@ -246,7 +255,7 @@
 	return all
 }
 
-// evictIdle forgets accounts that are not in use.
+// evictIdle drops, at most once a second, buckets that are unused or no longer limited.
 func (o *BucketOwner) evictIdle(now tables.Instant) {
 	if now-o.sweptAt < time.Second {
 		return
--- a/usage/server.go
+++ b/usage/server.go
@@ -15,39 +15,40 @@
 )
 
 const (
-	// reportPollInterval is the time between two looks for reports that are due, and idleCheck
-	// the same while there are no accounts.
+	// reportPollInterval is the interval between two checks for reports that are due, and
+	// idlePollInterval the same while there are no buckets.
 	reportPollInterval = 25 * time.Millisecond
 	idlePollInterval   = 250 * time.Millisecond
-	// maxReportsPerDatagram keeps a message within a datagram.
+	// maxReportsPerDatagram keeps a message within one datagram.
 	maxReportsPerDatagram = 12
 )
 
-// ServerOptions set a Server up.
+// ServerOptions configures a Server.
 type ServerOptions struct {
 	Self tables.InstanceID
 	Zone tables.Zone
-	// BootEpoch tells lives of the instance apart.
+	// BootEpoch tells apart the lives of the instance before and after a restart.
 	BootEpoch uint64
-	// EntriesByZone lists the living entry instances of each zone.
+	// EntriesByZone lists the live entry instances in each zone.
 	EntriesByZone func() map[tables.Zone][]membership.EntryInstance
-	Send          func(to netip.AddrPort, message *rpc.UsageMessage)
-	// Now is a monotonic clock.
+	// Send sends a datagram, which may be lost.
+	Send func(to netip.AddrPort, message *rpc.UsageMessage)
+	// Now reads a monotonic clock.
 	Now func() tables.Instant
 }
 
-// Server keeps accounts for the entry instances of its zone. It is safe for concurrent
-// use.
+// Server serves the buckets that this instance owns to the entry instances of its zone, and
+// exchanges reports with the owners in other zones. It is safe for concurrent use.
 type Server struct {
 	options ServerOptions
 
 	mu    sync.Mutex
 	owner *BucketOwner
-	// addresses are those of instances that have sent something.
+	// addresses holds the last address of each instance that has sent a message.
 	addresses map[tables.InstanceID]netip.AddrPort
 }
 
-// NewServer returns a server without accounts.
+// NewServer returns a server without buckets.
 func NewServer(o ServerOptions) *Server {
 	return &Server{
 		options: o, owner: NewBucketOwner(o.Now(), o.Zone, o.BootEpoch),
@@ -55,22 +56,23 @@
 	}
 }
 
-// SetLimits puts limits in force.
+// SetLimits replaces the configured limits.
 func (s *Server) SetLimits(limits map[Subject]Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.owner.SetLimits(limits)
 }
 
-// NoteEntriesLost notes that entry instances of the zone are gone.
+// NoteEntriesLost records that entry instances in this zone are gone, and perhaps buckets
+// that they owned.
 func (s *Server) NoteEntriesLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.owner.NoteOwnerLost(s.options.Now())
 }
 
-// Debit answers an entry instance of the zone, and ends the leases of others if little is
-// left.
+// Debit replies to an entry instance in this zone, and notifies the instances whose leases
+// it revokes because few tokens are left.
 func (s *Server) Debit(by membership.Sender, d Debit) DebitReply {
 	s.mu.Lock()
 	s.addresses[by.Instance] = by.Address
@@ -88,7 +90,7 @@
 	return reply
 }
 
-// HandleReports takes another accountant's reports.
+// HandleReports merges reports of a peer owner.
 func (s *Server) HandleReports(from membership.Sender, reports []*rpc.UsageReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 }
 
-// Run sends reports to other accountants until the context ends.
+// Run sends reports to peer owners until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	for {
 		pause := reportPollInterval
@@ -111,7 +113,7 @@
 	}
 }
 
-// sendReports sends the reports that are due, and says whether there are no accounts.
+// sendReports sends the reports that are due. It returns true if there are no buckets.
 func (s *Server) sendReports() (empty bool) {
 	for at, reports := range s.dueReports() {
 		for chunk := range slices.Chunk(reports, maxReportsPerDatagram) {
@@ -123,7 +125,7 @@
 	return s.owner.Empty()
 }
 
-// dueReports lists the reports that are dueReports, by receiver.
+// dueReports groups the reports that are due by the address of the receiver.
 func (s *Server) dueReports() map[netip.AddrPort][]*rpc.UsageReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +143,8 @@
 	return due
 }
 
-// receivers are the accountants of a subject in all zones, and those that have
-// reported of it.
+// receivers returns the addresses of a subject's owners in all zones, and of the instances
+// that have reported the subject to this one.
 func (s *Server) receivers(id Subject, zones map[tables.Zone][]membership.EntryInstance) []netip.AddrPort {
 	at := map[tables.InstanceID]netip.AddrPort{}
 	for _, entries := range zones {
@@ -163,7 +165,8 @@
 	return all
 }
 
-// pickOwnerOf picks a subject's accountant among entry instances.
+// pickOwnerOf returns a subject's owner among the entry instances of a zone, by rendezvous
+// hashing.
 func pickOwnerOf(id Subject, entries []membership.EntryInstance) (membership.EntryInstance, bool) {
 	return datagram.Pick(subjectHash(id), entries, func(tables.InstanceID) bool { return false })
 }
--- a/usage/shared_bucket.go
+++ b/usage/shared_bucket.go
@@ -6,53 +6,60 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// sharedBucket is a subject's token bucket for the whole deployment, as one accountant
-// knows it.
+// sharedBucket is one owner's replica of a subject's token bucket for the whole deployment.
+// Reports of the owners in other zones keep the replicas in line.
 type sharedBucket struct {
 	tokenBucket
 	zone tables.Zone
-	// carriedLimit is the limit that debits and reports carry, for subjects that the configuration
-	// has none for.
+	// carriedLimit is the limit that debits and reports carry, for subjects without a limit
+	// in the configuration.
 	carriedLimit Limit
-	admitted     int64
-	demand       averagedRate
-	openedAt     tables.Instant
-	usedAt       tables.Instant
-	// peers are the accountants of other zones, and others of this zone that were
-	// asked for a while.
+	// admitted is the running total of the use that this owner has admitted.
+	admitted int64
+	// demand is the use per second that this owner is asked for, admitted or not.
+	demand averagedRate
+	// openedAt is when the replica was created, and usedAt when it was last used.
+	openedAt tables.Instant
+	usedAt   tables.Instant
+	// peers holds the other owners of this subject: those in other zones, and instances in
+	// this zone that others have turned to for a while.
 	peers map[tables.InstanceID]*peerOwner
-	// leases are instances with a lease, until when.
+	// leases maps each leaseholder to the end of its lease.
 	leases map[tables.InstanceID]tables.Instant
-	// nextRetryAt is when the next refused caller had better come back.
+	// nextRetryAt is when the next refused caller is told to retry.
 	nextRetryAt tables.Instant
-	// reportedTotal, reportedDemand and reportedAt are those of the last report.
+	// reportedTotal, reportedDemand and reportedAt hold the contents and the time of the
+	// last report to the peers.
 	reportedTotal  int64
 	reportedDemand float64
 	reportedAt     tables.Instant
 }
 
-// peerOwner is another accountant of the same subject.
+// peerOwner is what an owner knows of another owner of the same subject.
 type peerOwner struct {
+	// zone, bootEpoch, admitted and demand are those of the peer's last report, which came
+	// at reportedAt.
 	zone       tables.Zone
 	bootEpoch  uint64
 	admitted   int64
 	demand     float64
 	reportedAt tables.Instant
-	// silent is set while no report comes: it is then taken to use part of the limit,
-	// assumed so far.
+	// silent is set while no report arrives. The peer is then assumed to use the given share
+	// of the limit, which adds up to assumedUse so far.
 	silent     bool
 	share      float64
 	assumedUse float64
 }
 
-// consume takes an amount from the level.
+// consume counts an admitted amount and takes it from the level. A negative amount gives
+// tokens back.
 func (b *sharedBucket) consume(now tables.Instant, amount int64) {
 	b.admitted += amount
 	b.level -= float64(amount)
 }
 
-// advanceTo brings the level up to date. Accountants that are silent are taken to use their
-// parts.
+// advanceTo refills the bucket until now. The shares of silent peers are deducted from the
+// rate and counted as assumed use.
 func (b *sharedBucket) advanceTo(now tables.Instant, limit Limit) {
 	b.dropReplacedPeers(now)
 	b.reserveForSilentPeers(now, limit)
@@ -67,8 +74,8 @@
 	b.refill(now, limit, max(0, left))
 }
 
-// dropReplacedPeers drops silent accountants whose zone has another one now: nothing is to be
-// set aside for them.
+// dropReplacedPeers drops a silent peer once another owner serves its zone: no tokens need
+// to be reserved for it any more.
 func (b *sharedBucket) dropReplacedPeers(now tables.Instant) {
 	for id, r := range b.peers {
 		if r.zone == b.zone && now-r.reportedAt > partitionTimeout {
@@ -84,8 +91,9 @@
 	}
 }
 
-// reserveForSilentPeers finds accountants that have fallen silent, and sets their parts of the limit
-// and of what is left of the burst aside.
+// reserveForSilentPeers detects peers that have fallen silent, and reserves their share of
+// the limit and of the tokens left in the bucket. It drops peers that stay silent for longer
+// than peerTimeout.
 func (b *sharedBucket) reserveForSilentPeers(now tables.Instant, limit Limit) {
 	total := b.totalDemand(now)
 	for id, r := range b.peers {
@@ -101,8 +109,8 @@
 	}
 }
 
-// activeDemand is what callers ask of this accountant, without what is next to nothing: a
-// part of the limit is set aside for accountants with demand when they fall silent.
+// activeDemand returns the demand to report to the peers: 0 if it is negligible, since peers
+// reserve a share of the limit for a silent owner only if it had demand.
 func (b *sharedBucket) activeDemand(now tables.Instant, limit Limit) float64 {
 	own := b.demand.value(now)
 	if own < idleDemandFraction*limit.Rate {
@@ -111,7 +119,7 @@
 	return own
 }
 
-// totalDemand is the demand of all zones.
+// totalDemand returns the demand of all zones per second.
 func (b *sharedBucket) totalDemand(now tables.Instant) float64 {
 	total := b.demand.value(now)
 	for _, r := range b.peers {
@@ -120,8 +128,9 @@
 	return total
 }
 
-// grantOrRevokeLeases decides whether the instance may go on without asking. When the level becomes low
-// it returns those that hold a grantOrRevokeLeases.
+// grantOrRevokeLeases grants the asking instance a lease while the level is high enough.
+// When the level is low, it revokes all leases and returns the other instances that hold
+// one.
 func (b *sharedBucket) grantOrRevokeLeases(now tables.Instant, by tables.InstanceID, limit Limit, reply *DebitReply) (revoked []tables.InstanceID) {
 	if limit.Strict {
 		return nil
@@ -140,9 +149,10 @@
 	return revoked
 }
 
-// nextRetryAfter is when a refused caller had better come back: one after the other, as the
-// bucket refills. Under a strict limit the request goes elsewhere and nobody comes back for it,
-// so it is when the next one may be admitted.
+// nextRetryAfter returns the delay after which a refused caller should retry. Retries are
+// staggered, one after the other at the rate of the bucket's refill. Under a strict limit
+// the caller sends its request to another endpoint and does not retry, so the delay is the
+// time until the next request can be admitted.
 func (b *sharedBucket) nextRetryAfter(now tables.Instant, limit Limit, cost int64) time.Duration {
 	if limit.Strict {
 		return b.timeUntilAdmits(limit, cost, 1)
@@ -153,7 +163,7 @@
 	return after
 }
 
-// reportDue says whether a report of the account is to be sent now.
+// reportDue reports whether a report of the bucket should be sent to the peers now.
 func (b *sharedBucket) reportDue(now tables.Instant, limit Limit) bool {
 	since := now - b.reportedAt
 	if since >= reportInterval {
--- a/usage/shares_test.go
+++ b/usage/shares_test.go
@@ -10,23 +10,24 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// demandShares is the other way to enforce a limit, for comparison: each instance keeps a bucket
-// for its own part of the limit, and all instances let each other know of their demand.
+// demandShares is an alternative algorithm for comparison: each instance has a token bucket
+// for its own share of the limit, and all instances exchange their demand periodically.
 type demandShares struct {
 	limit  Limit
 	random *rand.Rand
 	now    tables.Instant
-	// instances is by instance.
+	// instances is indexed by the number of the instance.
 	instances  []instanceShare
 	admissions []admission
 	refused    int
 	messages   int
 }
 
+// instanceShare is the token bucket of one instance.
 type instanceShare struct {
 	tokenBucket
 	demand averagedRate
-	// totalDemand is the demand of all instances as of the last exchange.
+	// totalDemand is the demand of all instances in the last exchange.
 	totalDemand float64
 }
 
@@ -40,6 +41,7 @@
 	return s
 }
 
+// exchange tells every instance the demand of all.
 func (s *demandShares) exchange() {
 	total := 0.0
 	for i := range s.instances {
@@ -51,6 +53,7 @@
 	}
 }
 
+// request decides about a request at instance i.
 func (s *demandShares) request(i int, cost int64) {
 	one := &s.instances[i]
 	own := one.demand.value(s.now)
@@ -65,8 +68,8 @@
 	s.admissions = append(s.admissions, admission{at: s.now, cost: cost})
 }
 
-// simulate has callers ask for a multiple of the limit for 20 s, evenly or at one instance of
-// ten only.
+// simulate generates load at a multiple of the limit for 20 s, at all instances or, if
+// uneven is set, at one instance of ten only.
 func (s *demandShares) simulate(demand float64, uneven bool) (usable, peak, refused float64) {
 	targets := len(s.instances)
 	if uneven {
@@ -89,9 +92,10 @@
 	return usable, peak, float64(s.refused) / float64(requests)
 }
 
-// Shows why accounts are kept and not shares: at half of the limit shares refuse callers,
-// whose requests cost more than an instance's part holds.
-func TestSharesByDemandRefuseBelowTheLimit(t *testing.T) {
+// Shows why the limiter keeps shared buckets instead of dividing the limit by demand: at
+// half of the limit, demand shares refuse requests because a single request costs more than
+// an instance's share holds.
+func TestDemandSharesRefuseBelowLimit(t *testing.T) {
 	for _, n := range instanceCounts {
 		for _, demand := range []float64{0.5, 1.2, 2} {
 			for _, uneven := range []bool{false, true} {
--- a/usage/sim_test.go
+++ b/usage/sim_test.go
@@ -10,8 +10,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// simulation is a deployment of entry instances in zones under virtual time. Messages take a
-// while, and are lost between zones that are cut off from each other.
+// simulation is a discrete-event simulation of a deployment: entry instances in zones under
+// virtual time. Messages take a delay and are lost between partitioned zones.
 type simulation struct {
 	now     tables.Instant
 	events  eventQueue
@@ -19,21 +19,25 @@
 	zones   []string
 	members []*simInstance
 	limits  map[Subject]Limit
-	// endpointLimits are the limits that instances know from elsewhere than the configuration.
+	// endpointLimits are the limits that instances know from elsewhere than the
+	// configuration.
 	endpointLimits map[Subject]Limit
-	// partitioned says whether two zones cannot reach each other.
+	// partitioned reports whether two zones cannot reach each other.
 	partitioned func(a, b string) bool
-	// admissions are the runs of each organisation, refused counts requests.
+	// admissions holds what each subject was admitted, and refused the number of its refused
+	// requests.
 	admissions map[Subject][]admission
 	refused    map[Subject]int
 	messages   int
 }
 
+// admission is one admitted request.
 type admission struct {
 	at   tables.Instant
 	cost int64
 }
 
+// simInstance is an entry instance: an owner of buckets and the client side.
 type simInstance struct {
 	name      tables.InstanceID
 	zone      string
@@ -63,7 +67,7 @@
 	return s
 }
 
-// boot gives an instance a new life.
+// boot starts an instance with a new boot epoch and no state.
 func (s *simulation) boot(m *simInstance) {
 	m.bootEpoch++
 	m.owner = NewBucketOwner(s.now, tables.Zone(m.zone), m.bootEpoch)
@@ -72,7 +76,7 @@
 	m.down = false
 }
 
-// crash ends an instance for good. The others of its zone notice.
+// crash ends an instance for good. The other instances in its zone notice.
 func (s *simulation) crash(m *simInstance) {
 	m.down = true
 	for _, other := range s.members {
@@ -89,10 +93,12 @@
 	}
 }
 
+// after schedules a call in virtual time.
 func (s *simulation) after(d time.Duration, f func()) {
 	heap.Push(&s.events, event{at: s.now + d, order: len(s.events), do: f})
 }
 
+// runUntil processes the events up to the given time.
 func (s *simulation) runUntil(until tables.Instant) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(event)
@@ -102,7 +108,8 @@
 	s.now = until
 }
 
-// send delivers a message unless the way is cut.
+// send delivers a message after a delay, unless the zones are partitioned or the receiver
+// restarts.
 func (s *simulation) send(from, to *simInstance, deliver func()) {
 	s.messages++
 	delay := sameZoneDelay
@@ -139,6 +146,7 @@
 	return nil
 }
 
+// ownerOf returns the owner of a subject in a zone, or nil if no instance there is up.
 func (s *simulation) ownerOf(zone string, org Subject) *simInstance {
 	first, found := pickOwnerOf(org, s.entries(zone))
 	if !found {
@@ -154,7 +162,7 @@
 	return m.limiters[org]
 }
 
-// request has a caller ask an instance.
+// request simulates a caller's request at an instance.
 func (s *simulation) request(m *simInstance, org Subject, cost int64) {
 	if m.down {
 		return
@@ -174,7 +182,7 @@
 	s.admissions[org] = append(s.admissions[org], admission{at: s.now, cost: cost})
 }
 
-// debit asks the accountant, or, if it is down, decides alone.
+// debit asks the owner and applies its reply. Without an owner the request is dropped.
 func (s *simulation) debit(m *simInstance, org Subject, cost int64) {
 	d := m.limiter(org).NewDebit(s.now, org, cost)
 	d.Limit = s.endpointLimits[org]
@@ -201,7 +209,7 @@
 	})
 }
 
-// sendReports passes accountants' reports on, as Server does.
+// sendReports delivers owners' reports to their peers, as Server does.
 func (s *simulation) sendReports() {
 	for _, m := range s.members {
 		if m.down {
@@ -218,8 +226,9 @@
 	s.after(reportPollInterval, s.sendReports)
 }
 
-// generateLoad has callers of an organisation ask instances of some zones, perSecond units in all
-// with requests of the given mean cost, from now until then.
+// generateLoad simulates an organisation's callers at the instances of some zones until the
+// given time: perSecond units in total, with Poisson arrivals and the given mean cost per
+// request.
 func (s *simulation) generateLoad(org Subject, perSecond float64, cost int64, until tables.Instant, zones ...string) {
 	var targets []*simInstance
 	for _, m := range s.members {
@@ -242,7 +251,7 @@
 	s.after(0, next)
 }
 
-// generateUnitLoad is load with requests of cost 1.
+// generateUnitLoad is generateLoad with requests of cost 1 at all instances.
 func (s *simulation) generateUnitLoad(subject Subject, perSecond float64, until tables.Instant) {
 	var next func()
 	next = func() {
@@ -255,7 +264,7 @@
 	s.after(0, next)
 }
 
-// peakUse is the highest use within a sliding window, and used all of it since then.
+// peakUse returns the highest use within a sliding window.
 func (s *simulation) peakUse(org Subject, window time.Duration) int64 {
 	var sum, highest int64
 	first := 0
@@ -270,6 +279,7 @@
 	return highest
 }
 
+// totalUse returns the use since the given time.
 func (s *simulation) totalUse(org Subject, since tables.Instant) int64 {
 	var sum int64
 	for _, r := range s.admissions[org] {
@@ -280,12 +290,14 @@
 	return sum
 }
 
+// event is a call at a point in virtual time.
 type event struct {
 	at    tables.Instant
 	order int
 	do    func()
 }
 
+// eventQueue is a priority queue by time, for container/heap.
 type eventQueue []event
 
 func (q eventQueue) Len() int           { return len(q) }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,20 +1,23 @@
-// Package usage enforces rate limits over all entry instances together: how many tokens, or
-// requests, an organisation may use a second, and how many requests an endpoint takes.
+// Package usage is a distributed rate limiter. It limits the tokens or requests that an
+// organisation uses per second, and the requests that an endpoint receives per second, over
+// all entry instances together.
 //
-// In each availability zone one entry instance keeps the account of a subject, an organisation
-// or an endpoint: its accountant, drawn by rendezvous hashing. The account is a token bucket
-// for the whole deployment. Entry instances ask the accountant of their zone before they send a request
-// on; while the bucket is well filled they hold a lease and need not ask. Accountants of
-// different zones exchange how much each has admitted, as running totals, so a lost
-// message is made good by the next.
+// A limit is a token bucket for the whole deployment. In each availability zone one entry
+// instance owns a replica of the bucket; rendezvous hashing over the zone's entry instances
+// selects this owner. Entry instances ask the owner in their zone before they forward a
+// request. While the bucket is well filled, the owner grants them leases, and a leaseholder
+// admits requests without asking. Owners in different zones exchange the running totals of
+// what each has admitted (a grow-only counter per owner), so that the next report makes up
+// for a lost one.
 //
-// A zone that falls silent is taken to use its part of the limit: what it used of late and
-// an equal part of what nobody used. Each side of a cut computes the same parts from what
-// both knew before it, so that the parts sum up to the limit.
+// When a zone falls silent, the other owners assume that it uses its share of the limit: its
+// recent use and an equal part of the unused rate. The two sides of a network partition
+// compute these shares from what both knew before it, so that the shares add up to the
+// limit.
 //
-// Accountant and Meter are pure: calls carry readings of one monotonic clock. They are
-// used by one goroutine at a time. Server and Client are safe for concurrent use and speak
-// in datagrams.
+// BucketOwner and LocalLimiter do no I/O and read no clock: callers pass readings of one
+// monotonic clock. Each is for use by one goroutine at a time. Server and Client wrap them,
+// are safe for concurrent use and exchange datagrams.
 package usage
 
 import (
@@ -24,41 +27,46 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Subject is what a limit is for.
+// Subject identifies what a limit applies to; it is the key of a token bucket.
 type Subject string
 
-// OrganisationSubject is that of an organisation's limit, which the configuration names.
+// OrganisationSubject returns the subject of an organisation's limit. The configuration sets
+// that limit.
 func OrganisationSubject(id tables.OrganisationID) Subject { return "organisation/" + Subject(id) }
 
-// EndpointSubject is that of an endpoint's limit, which the endpoint names in its answers.
+// EndpointSubject returns the subject of an endpoint's limit. The endpoint announces that
+// limit in its responses.
 func EndpointSubject(id tables.EndpointID) Subject { return "endpoint/" + Subject(id) }
 
-// Limit is a rate limit in tokens or requests.
+// Limit holds the parameters of a token bucket, in tokens of text or in requests.
 type Limit struct {
-	// Rate is the use a second that is allowed in the long run, and Burst what may be
-	// used at once beyond it. A Rate of 0 means no limit.
+	// Rate is the long-term rate per second, and Burst the capacity of the bucket: the
+	// amount that can be used at once beyond the rate. A Rate of 0 means no limit.
 	Rate, Burst float64
-	// Strict is set for a limit that must hold also if that leaves some of it unused: each
-	// request is asked about, and none is admitted while no accountant answers.
+	// Strict marks a limit that must hold even if part of it stays unused: the owner decides
+	// about every request without leases, and no request is admitted while no owner replies.
 	Strict bool
 }
 
 const (
-	// minEndpointRequestsPerSecond is the least rate of an endpoint's limit that is enforced, in requests
-	// a second: only by its answers an endpoint can lift a limit.
+	// minEndpointRequestsPerSecond is the lowest endpoint limit that is enforced. An
+	// endpoint can lift its limit only in a response, so some requests must still reach it.
 	minEndpointRequestsPerSecond = 0.25
-	// endpointBurstRequests is the number of requests that an endpoint may get at once.
+	// endpointBurstRequests is the number of requests that an endpoint can receive at once.
 	endpointBurstRequests = 1
 )
 
-// EndpointLimit is what is enforced where an endpoint takes so many requests a second.
+// EndpointLimit returns the limit to enforce for an endpoint that accepts perSecond requests
+// per second.
 func EndpointLimit(perSecond float64) Limit {
 	return Limit{Rate: max(perSecond, minEndpointRequestsPerSecond), Burst: endpointBurstRequests, Strict: true}
 }
 
-// Limited says whether there is a limit.
+// Limited reports whether l limits anything.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
+// partitionTimeout returns the time without reports after which a peer owner counts as
+// partitioned.
 func (l Limit) partitionTimeout() time.Duration {
 	if l.Strict {
 		return strictPartitionTimeout
@@ -66,29 +74,31 @@
 	return partitionTimeout
 }
 
-// Tolerance is by how much use may exceed a limit within a window before that counts as an
-// excess: by Overage as a part of the limit, and by Slack beyond that.
+// Tolerance is the amount by which use within a window may exceed a limit before it counts
+// as a violation: Overage as a fraction of the limit, plus the absolute amount Slack.
 type Tolerance struct{ Overage, Slack float64 }
 
-// toleranceFraction is the part of the tolerance that is given out, so that no request within
-// the limit is refused because accounts differ in the order of requests. The rest is for
-// what no report has brought to the accounts yet.
+// toleranceFraction is the fraction of the tolerance that is added to the enforced limit. It
+// keeps a request within the limit from being refused because owners see requests in
+// different orders. The remainder covers use that no report has brought to the other owners
+// yet.
 const toleranceFraction = 0.5
 
-// Relax returns the limit that accounts enforce.
+// Relax returns the limit to enforce: l raised by toleranceFraction of the tolerance.
 func (t Tolerance) Relax(l Limit) Limit {
 	factor := 1 + toleranceFraction*t.Overage
 	return Limit{Rate: factor * l.Rate, Burst: factor*l.Burst + toleranceFraction*t.Slack}
 }
 
-// tokenBucket is a token tokenBucket that may go into debt: a request that costs more than the
-// tokenBucket holds when it is full is admitted at a level of requiredPart of that.
+// tokenBucket is a token bucket whose level may become negative. It admits a request that
+// costs more than the whole burst once the level reaches requiredFraction of the burst.
 type tokenBucket struct {
 	level     float64
 	updatedAt tables.Instant
 }
 
-// refill brings the level up to date, at a part of the limit's rate.
+// refill adds the tokens that have accrued until now at the given share of the limit's rate,
+// and caps the level at the burst.
 func (b *tokenBucket) refill(now tables.Instant, l Limit, share float64) {
 	if now > b.updatedAt {
 		b.level += share * l.Rate * (now - b.updatedAt).Seconds()
@@ -97,18 +107,21 @@
 	b.level = min(b.level, l.Burst)
 }
 
-// requiredFraction is the part of the burst that is enough for a request of any cost.
+// requiredFraction is the fraction of the burst that suffices to admit a request of any
+// cost.
 const requiredFraction = 0.25
 
-// requiredLevel is the level at which a request is admitted. Small requests pass at a lower one:
-// of an organisation that is at its limit they are many, and cost others little.
+// requiredLevel returns the level at which a request of the given cost is admitted. Small
+// requests pass at a lower level than large ones: an organisation at its limit sends many of
+// them, and they take little from its other requests.
 func requiredLevel(l Limit, cost int64) float64 { return min(float64(cost), requiredFraction*l.Burst) }
 
-// admits says whether the level is high enough for a request.
+// admits reports whether the level is high enough for a request of the given cost.
 func (b *tokenBucket) admits(l Limit, cost int64) bool { return b.level >= requiredLevel(l, cost) }
 
-// timeUntilAdmits is how long the bucket needs until it admits a request, at a part of the
-// limit's rate.
+// timeUntilAdmits returns how long the bucket takes, refilled at the given share of the
+// limit's rate, until it admits a request of the given cost. The result is at most
+// maxRetryAfter.
 func (b *tokenBucket) timeUntilAdmits(l Limit, cost int64, share float64) time.Duration {
 	missing := requiredLevel(l, cost) - b.level
 	if missing <= 0 {
@@ -119,32 +132,36 @@
 }
 
 const (
-	// minShare bounds how long a part of a limit makes a caller wait.
+	// minShare is the smallest share that delays are computed with. It bounds how long a
+	// small share of a limit makes a caller wait.
 	minShare = 1e-3
-	// maxRetryAfter bounds the time after which refused callers are asked to come back.
+	// maxRetryAfter is the longest delay that a refused caller is told to wait.
 	maxRetryAfter = 5 * time.Second
 )
 
-// demandTimeConstant is the time constant with which demand is averaged.
+// demandTimeConstant is the time constant of the exponential decay in averagedRate.
 const demandTimeConstant = 2 * time.Second
 
-// averagedRate is a use a second that is averaged with exponential decay.
+// averagedRate is an exponentially weighted moving average of an amount per second.
 type averagedRate struct {
 	perSecond float64
 	updatedAt tables.Instant
 }
 
+// add counts an amount at the given time.
 func (d *averagedRate) add(now tables.Instant, amount float64) {
 	d.perSecond = max(0, d.value(now)+amount/demandTimeConstant.Seconds())
 	d.updatedAt = now
 }
 
+// value returns the average per second, decayed until now.
 func (d *averagedRate) value(now tables.Instant) float64 {
 	return d.perSecond * math.Exp(-float64(max(0, now-d.updatedAt))/float64(demandTimeConstant))
 }
 
-// limitShare is the part of a limit that falls to one of n with the given demand, where total
-// is the demand of all. What nobody asks for is divided equally.
+// limitShare returns the fraction of a limit that belongs to one of n participants, given
+// its own demand and the total demand of all, both per second. Unused rate is divided
+// equally.
 func limitShare(own, total, rate float64, n int) float64 {
 	if total >= rate {
 		return own / total
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -13,9 +13,9 @@
 const (
 	org    = Subject("org")
 	window = 8 * time.Second
-	// maxOverage is the part by which a window's use may exceed the limit.
+	// maxOverage is the fraction by which the use within a window may exceed the limit.
 	maxOverage = 0.1
-	// warmUp is when accounts are full after the start.
+	// warmUp is the time after the start by which all buckets are full.
 	warmUp = 2 * time.Second
 )
 
@@ -23,20 +23,21 @@
 
 func limitsOf(l Limit) map[Subject]Limit { return map[Subject]Limit{org: l} }
 
-// maxUse is the most use that a window may hold under a limit.
+// maxUse is the highest use that a window may hold under a limit.
 func maxUse(l Limit) int64 { return int64((l.Rate*window.Seconds() + l.Burst) * (1 + maxOverage)) }
 
 var instanceCounts = []int{9, 68, 300}
 
+// forEachSize runs a test with each number of instances.
 func forEachSize(t *testing.T, f func(t *testing.T, instances int)) {
 	for _, n := range instanceCounts {
 		t.Run(fmt.Sprint(n), func(t *testing.T) { f(t, n) })
 	}
 }
 
-// Guards against the limit being exceeded, or a part of it being of no use, when callers
-// ask for more than it, at however many instances.
-func TestAboveTheLimitAllOfItIsUsed(t *testing.T) {
+// Guards against the limit being exceeded, or partly unused, when callers demand more than
+// it at any number of instances.
+func TestDemandAboveLimitUsesWholeLimit(t *testing.T) {
 	for _, demand := range []float64{1.2, 2, 5} {
 		t.Run(fmt.Sprint(demand), func(t *testing.T) {
 			forEachSize(t, func(t *testing.T, n int) {
@@ -53,9 +54,10 @@
 	}
 }
 
-// Guards against refusals of an organisation that keeps below its limit, however uneven the
-// demand is over zones and instances, beside one that is far above its own.
-func TestBelowTheLimitNothingIsRefused(t *testing.T) {
+// Guards against refusals of an organisation that stays below its limit, however unevenly
+// its demand is spread over zones and instances, beside an organisation that is far above
+// its own limit.
+func TestDemandBelowLimitIsNotRefused(t *testing.T) {
 	forEachSize(t, func(t *testing.T, n int) {
 		s := newSimulation(n, map[Subject]Limit{org: limit, "greedy": limit})
 		s.runUntil(warmUp)
@@ -69,8 +71,8 @@
 	})
 }
 
-// Guards against an organisation being refused because its callers turn to another zone.
-func TestDemandMayMoveBetweenZonesAtOnce(t *testing.T) {
+// Guards against refusals when an organisation's callers switch to another zone.
+func TestDemandCanShiftBetweenZones(t *testing.T) {
 	forEachSize(t, func(t *testing.T, n int) {
 		s := newSimulation(n, limitsOf(limit))
 		s.runUntil(warmUp)
@@ -84,9 +86,9 @@
 	})
 }
 
-// Guards against zones that are cut off from each other each using the whole limit, and
-// against their using too little of it.
-func TestZonesThatAreCutOffShareTheLimit(t *testing.T) {
+// Guards against partitioned zones each using the whole limit, and against their using too
+// little of it.
+func TestPartitionedZonesShareLimit(t *testing.T) {
 	for _, demand := range []float64{0.6, 1.5} {
 		t.Run(fmt.Sprint(demand), func(t *testing.T) {
 			forEachSize(t, func(t *testing.T, n int) {
@@ -111,9 +113,9 @@
 	}
 }
 
-// Guards against a burst of each instance's own after all were restarted: a window spans
-// the restart.
-func TestARestartOfAllGivesNoSecondBurst(t *testing.T) {
+// Guards against instances each granting a burst of their own after a restart of all: the
+// window spans the restart.
+func TestRestartOfAllInstancesGrantsNoExtraBurst(t *testing.T) {
 	forEachSize(t, func(t *testing.T, n int) {
 		s := newSimulation(n, limitsOf(limit))
 		s.runUntil(warmUp)
@@ -129,8 +131,9 @@
 	})
 }
 
-// Guards against a new accountant that knows nothing of what was used under the one before.
-func TestALostAccountantGivesNoSecondBurst(t *testing.T) {
+// Guards against a new owner granting a full burst because it does not know the use under
+// the previous owner.
+func TestOwnerCrashGrantsNoExtraBurst(t *testing.T) {
 	forEachSize(t, func(t *testing.T, n int) {
 		s := newSimulation(n, limitsOf(limit))
 		s.runUntil(warmUp)
@@ -144,9 +147,9 @@
 	})
 }
 
-// Guards against a lowered limit that goes on as before, and a raised one that is not in
-// force at once.
-func TestLimitsChangeAtOnce(t *testing.T) {
+// Guards against a lowered limit not being enforced, and against a raised limit taking
+// effect late.
+func TestLimitChangeAppliesAtOnce(t *testing.T) {
 	low := Limit{Rate: 30_000, Burst: 30_000}
 	s := newSimulation(68, limitsOf(limit))
 	s.runUntil(warmUp)
@@ -162,8 +165,9 @@
 	assert.Equal(t, s.refused[org], before)
 }
 
-// Guards against an instance that wakes with an old lease using it on and on.
-func TestAnOldLeaseEndsWithItsFirstReport(t *testing.T) {
+// Guards against an instance that was suspended using its stale lease on and on after it
+// resumes.
+func TestStaleLeaseEndsWithFirstReport(t *testing.T) {
 	owner := NewBucketOwner(0, "z", 1)
 	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
@@ -175,7 +179,7 @@
 	used, revoked := owner.Debit(now, "other", Debit{Subject: org, Cost: int64(limit.Burst)})
 	assert.Assert(t, used.Admitted)
 	assert.DeepEqual(t, revoked, []tables.InstanceID{"sleeper"})
-	// The notice is lost. The instance's clock has stood still while it was frozen.
+	// The revocation is lost. The instance's clock has stood still while it was suspended.
 	verdict, _ := limiter.Check(now, 1000)
 	assert.Equal(t, verdict, Admit)
 	d = limiter.NewDebit(now, org, 0)
@@ -185,8 +189,8 @@
 	assert.Equal(t, verdict, AskOwner)
 }
 
-// Guards against requests that did not run counting for good.
-func TestWhatDidNotRunIsGivenBack(t *testing.T) {
+// Guards against a permanent charge for requests that did not run.
+func TestChargeIsRefundedIfRequestDidNotRun(t *testing.T) {
 	owner := NewBucketOwner(0, "z", 1)
 	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
@@ -203,8 +207,8 @@
 	}
 }
 
-// Guards against refused callers coming back all at the same moment.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+// Guards against all refused callers retrying at the same moment.
+func TestRetryDelaysAreStaggered(t *testing.T) {
 	owner := NewBucketOwner(0, "z", 1)
 	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
@@ -216,11 +220,11 @@
 		assert.Assert(t, reply.RetryAfter > last, "%v after %v", reply.RetryAfter, last)
 		last = reply.RetryAfter
 	}
-	assert.Assert(t, last >= time.Second, "the level is one second of the rate below zero")
+	assert.Assert(t, last >= time.Second, "the bucket is overdrawn by one second of the rate")
 }
 
-// Guards against accounts of organisations that are not active taking memory and messages.
-func TestIdleOrganisationsCostNothing(t *testing.T) {
+// Guards against buckets of idle organisations taking memory and messages.
+func TestIdleBucketsAreEvicted(t *testing.T) {
 	limits := map[Subject]Limit{}
 	for i := range 8600 {
 		limits[Subject(fmt.Sprint(i))] = limit
@@ -237,8 +241,8 @@
 	assert.Assert(t, owner.Empty())
 }
 
-// Guards against an instance that reaches no accountant using more than its own part.
-func TestAnInstanceThatIsCutOffKeepsToItsOwnPart(t *testing.T) {
+// Guards against an instance that reaches no owner using more than its own share.
+func TestInstanceWithoutOwnerUsesOnlyItsShare(t *testing.T) {
 	limiter, now := &LocalLimiter{}, time.Second
 	limiter.ApplyReply(now, Debit{}, DebitReply{Ready: true, Level: int64(limit.Burst), Demand: int64(limit.Rate / 2)})
 	used := int64(0)
@@ -248,25 +252,26 @@
 			used += 1000
 		}
 	}
-	// Its own demand, a hundred thousand a second, is above the limit.
+	// The instance's own demand of a hundred thousand a second is above the limit.
 	assert.Assert(t, float64(used) <= limit.Rate*10+limit.Burst)
 	quiet := &LocalLimiter{}
 	admitted, _ := quiet.AdmitFromShare(now, limit, 68, 1000)
-	assert.Assert(t, admitted, "the first request is admitted into debt")
+	assert.Assert(t, admitted, "the first request may overdraw the fallback bucket")
 	admitted, after := quiet.AdmitFromShare(now, limit, 68, 1000)
 	assert.Assert(t, !admitted && after > 0)
 }
 
-// Guards against a tolerance that is given out whole: accounts differ by what they have not
-// received yet.
-func TestHalfOfTheToleranceIsGivenOut(t *testing.T) {
+// Guards against the whole tolerance being added to the enforced limit: replicas differ by
+// the use that they have not received yet.
+func TestRelaxAddsHalfOfTolerance(t *testing.T) {
 	got := Tolerance{Overage: 0.1, Slack: 20_000}.Relax(Limit{Rate: 1000, Burst: 2000})
 	assert.DeepEqual(t, got, Limit{Rate: 1050, Burst: 2100 + 10_000})
 	assert.DeepEqual(t, Tolerance{}.Relax(limit), limit)
 }
 
-// Guards against one caller's large requests keeping the small ones of its organisation out.
-func TestSmallRequestsPassAtALowerLevel(t *testing.T) {
+// Guards against one caller's large requests starving the small ones of the same
+// organisation.
+func TestSmallRequestsPassAtLowerLevel(t *testing.T) {
 	owner := NewBucketOwner(0, "z", 1)
 	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
@@ -277,8 +282,8 @@
 	assert.Assert(t, small.Admitted)
 }
 
-// Guards against an instance's old knowledge of the level undoing what was given back since.
-func TestOldLevelsCountOnlyForANewAccount(t *testing.T) {
+// Guards against an instance's stale level undoing a refund that came after it.
+func TestStaleLevelIsAdoptedOnlyByNewBucket(t *testing.T) {
 	owner := NewBucketOwner(0, "z", 1)
 	owner.SetLimits(limitsOf(limit))
 	now := 5 * time.Second
@@ -297,8 +302,9 @@
 	assert.Equal(t, reply.Level, int64(0))
 }
 
-// Guards against a part of the limit being kept for a zone whose callers have left.
-func TestNothingIsSetAsideForAZoneWithoutCallers(t *testing.T) {
+// Guards against a share of the limit being reserved for a partitioned zone whose callers
+// have left.
+func TestNoShareIsReservedForIdleZone(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		s := newSimulation(68, limitsOf(limit))
 		s.runUntil(warmUp)
@@ -309,13 +315,13 @@
 		}
 		s.generateLoad(org, 0.8*limit.Rate, 1000, warmUp+34*time.Second, "b")
 		s.runUntil(warmUp + 35*time.Second)
-		assert.Equal(t, s.refused[org], 0, "zone a is cut off: %v", lost)
+		assert.Equal(t, s.refused[org], 0, "zone a is partitioned: %v", lost)
 	}
 }
 
-// Guards against a part of the limit being kept for an accountant that is gone, though
-// another one serves its zone.
-func TestNothingIsSetAsideForAnAccountantThatWasReplaced(t *testing.T) {
+// Guards against a share of the limit being reserved for a crashed owner after another owner
+// has taken over its zone.
+func TestNoShareIsReservedForReplacedOwner(t *testing.T) {
 	for _, zone := range []string{"a", "b", "c"} {
 		s := newSimulation(68, limitsOf(limit))
 		s.runUntil(warmUp)
--- a/usage/wire.go
+++ b/usage/wire.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// decodeReply caps the lease at leaseDuration and raises a negative demand to 0.
 func encodeReply(r DebitReply) *rpc.UsageAnswer {
 	return &rpc.UsageAnswer{
 		Ready: r.Ready, Admitted: r.Admitted, RetryAfterMs: toMilliseconds(r.RetryAfter), LeaseMs: toMilliseconds(r.Lease),
--- a/weights/history.go
+++ b/weights/history.go
@@ -1,4 +1,5 @@
-// Package weights keeps since when versions of models' weights are wanted.
+// Package weights records since when each version of a model's weights has been the target
+// version that its engines should run.
 package weights
 
 import (
@@ -8,29 +9,29 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// TargetVersion is a version of a model's weights and when it was named.
+// TargetVersion is a version of a model's weights, and when it became the target.
 type TargetVersion struct {
 	Model   string
 	Version uint64
 	SetAt   tables.Instant
 }
 
-// maxVersions bounds the versions that are remembered of a model. Engines that
-// are further behind count as outdated since the oldest that is remembered.
+// maxVersions limits the versions kept per model. An engine that is further behind counts as
+// outdated since the oldest kept version.
 const maxVersions = 32
 
-// History holds the versions that were named. Each version is counted from its
-// own naming: an engine at version 1 is outdated since version 2 was named,
-// however often newer ones follow. Counted from the newest, it would get its
-// whole time again with each, and answer with weights that were replaced long
-// ago. A History is used by one goroutine at a time.
+// History records the target versions of each model. An engine is outdated since its next
+// version became the target: an engine at version 1 is outdated since version 2 was set,
+// however often newer ones follow. If the time counted from the newest version, each rollout
+// would restart the grace period, and the engine would go on answering with weights that
+// were replaced long ago. A History is for use by one goroutine at a time.
 type History struct {
-	// versions lists each model's namings by version, none of them later than one
-	// with a higher version.
+	// versions holds each model's target versions in ascending order. Their times are in
+	// ascending order too.
 	versions map[string][]TargetVersion
 }
 
-// Record takes a naming. Told twice, a version counts from the earlier time.
+// Record adds a target version. If it is known already, the earlier of the two times counts.
 func (h *History) Record(n TargetVersion) {
 	if h.versions == nil {
 		h.versions = map[string][]TargetVersion{}
@@ -42,8 +43,8 @@
 	} else {
 		known = slices.Insert(known, at, n)
 	}
-	// An older version cannot have been named later than a newer one: to an
-	// engine behind both, the later time makes no difference.
+	// A version cannot have become the target later than a newer one. Lowering its time
+	// makes no difference to an engine that is behind both.
 	for i := len(known) - 2; i >= 0; i-- {
 		known[i].SetAt = min(known[i].SetAt, known[i+1].SetAt)
 	}
@@ -54,7 +55,7 @@
 	h.versions[n.Model] = known
 }
 
-// Latest is the newest version of a model, 0 if none was named.
+// Latest returns the newest target version of a model, or 0 if there is none.
 func (h *History) Latest(model string) uint64 {
 	known := h.versions[model]
 	if len(known) == 0 {
@@ -63,8 +64,8 @@
 	return known[len(known)-1].Version
 }
 
-// OutdatedSince returns when the first version newer than the given one was
-// named; false if there is none.
+// OutdatedSince returns when the first version newer than the given one became the target,
+// and false if there is none.
 func (h *History) OutdatedSince(model string, version uint64) (tables.Instant, bool) {
 	newer := h.NewerThan(model, version)
 	if len(newer) == 0 {
@@ -73,14 +74,16 @@
 	return newer[0].SetAt, true
 }
 
-// NewerThan lists the namings of versions newer than the given one, oldest first.
-// The caller must not change it.
+// NewerThan returns the target versions newer than the given one, oldest first. The caller
+// must not modify the slice.
 func (h *History) NewerThan(model string, version uint64) []TargetVersion {
 	known := h.versions[model]
 	at, _ := findVersion(known, version+1)
 	return known[at:]
 }
 
+// findVersion returns the index of a version, or where to insert it, and whether it was
+// found.
 func findVersion(known []TargetVersion, version uint64) (int, bool) {
 	return slices.BinarySearchFunc(known, version, func(n TargetVersion, version uint64) int {
 		return cmp.Compare(n.Version, version)
--- a/weights/history_test.go
+++ b/weights/history_test.go
@@ -13,10 +13,11 @@
 	h.Record(TargetVersion{Model: "m", Version: version, SetAt: at})
 }
 
-// Versions are named every three seconds, faster than all engines can load. An
-// engine that stays at the first would be outdated only since the last naming,
-// and callers would get answers made with weights replaced long before.
-func TestAnEngineIsOutdatedSinceTheFirstNewerVersion(t *testing.T) {
+// Guards against the time outdated being counted from the newest version. With a new version
+// every three seconds, faster than engines can load, an engine that stays at the first
+// version would never have been outdated for longer than that, and callers would get answers
+// from weights replaced long before.
+func TestEngineIsOutdatedSinceFirstNewerVersion(t *testing.T) {
 	var h History
 	record(&h, 1, 0)
 	record(&h, 2, 3*time.Second)
@@ -32,9 +33,10 @@
 	assert.Equal(t, h.Latest("m"), uint64(3))
 }
 
-// An instance hears of the newest version first, and of an older one later from
-// a control instance that knows when it was named.
-func TestNamingsComeInAnyOrder(t *testing.T) {
+// Guards against dependence on the order of arrival: an instance can receive the newest
+// version first, and an older one later from a control instance that knows the time it was
+// set.
+func TestTargetVersionsArriveInAnyOrder(t *testing.T) {
 	var h History
 	record(&h, 4, 10*time.Second)
 	record(&h, 3, 2*time.Second)
@@ -47,9 +49,9 @@
 	assert.Equal(t, len(h.NewerThan("m", 2)), 2)
 }
 
-// Hundreds of versions are named over a year. What is dropped of them must not
-// give an engine that is far behind more time.
-func TestDroppedNamingsStillCount(t *testing.T) {
+// Guards against dropped versions extending the grace period of an engine that is far
+// behind. Hundreds of versions become the target over a year.
+func TestDroppedVersionsStillCount(t *testing.T) {
 	var h History
 	for v := range uint64(100) {
 		record(&h, v+1, tables.Instant(v)*time.Second)
