--- a/parts/parts.go
+++ b/parts/parts.go
@@ -35,8 +35,8 @@
 
 // KeyAt returns the key of the part when computed with the given version of the weights.
 // Parts computed with another version must not be used.
-func (n ID) KeyAt(version uint64) Key {
-	return Key(placement.Mix(uint64(n) ^ version*0x9e3779b97f4a7c15))
+func (id ID) KeyAt(version uint64) Key {
+	return Key(placement.Mix(uint64(id) ^ version*0x9e3779b97f4a7c15))
 }
 
 // saltPrefix starts each cache salt of this system.
@@ -53,10 +53,10 @@
 // ParseKey returns the key of a part that an engine reports by cache salt and hash, and
 // false if the salt is not one of this system's.
 func ParseKey(salt, model, hash string) (Key, bool) {
-	text, marked := strings.CutPrefix(salt, saltPrefix)
-	number, scope, split := strings.Cut(text, "/")
+	text, hasPrefix := strings.CutPrefix(salt, saltPrefix)
+	number, scope, hasSeparator := strings.Cut(text, "/")
 	version, err := strconv.ParseUint(number, 10, 64)
-	if !marked || !split || err != nil {
+	if !hasPrefix || !hasSeparator || err != nil {
 		return 0, false
 	}
 	return NewID(model, scope, hash).KeyAt(version), true
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -87,7 +87,7 @@
 		answer, number := c.askScheduler(ctx, scheduler, r)
 		if answer.GetReady() {
 			return &Assignment{
-				Choice: decodeChoice(answer), Reason: dispatch.RejectReason(answer.GetReason()),
+				Choice: decodeDecision(answer), Reason: dispatch.RejectReason(answer.GetReason()),
 				client: c, scheduler: scheduler.Address, number: number,
 			}
 		}
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -6,7 +6,8 @@
 // load information would be stale: the number of reports grows with the square of the number
 // of instances, and while reports are delayed, many instances choose the same endpoint at
 // the same moment. A scheduler knows all of its own choices and receives those of the few
-// other schedulers within milliseconds.
+// other schedulers within milliseconds. Rendezvous hashing on the prompt prefix selects the
+// scheduler of a request, so that one scheduler places all requests with the same prefix.
 //
 // An instance that gets no answer in time chooses an endpoint locally. No request therefore
 // depends on a scheduler, and correctness never depends on a scheduler's state.
@@ -77,7 +78,7 @@
 	return r
 }
 
-func encodeChoice(c dispatch.Decision) *rpc.ScheduleAnswer {
+func encodeDecision(c dispatch.Decision) *rpc.ScheduleAnswer {
 	return &rpc.ScheduleAnswer{
 		Ready: true, Endpoint: string(c.Endpoint), Source: string(c.CacheSource), Store: string(c.CacheStore),
 		Weights: c.WeightsVersion, ExpectedMs: toMilliseconds(c.ExpectedLatency), Uncached: uint32(c.UncachedTokens), Rule: string(c.Rule),
@@ -85,7 +86,7 @@
 	}
 }
 
-func decodeChoice(a *rpc.ScheduleAnswer) dispatch.Decision {
+func decodeDecision(a *rpc.ScheduleAnswer) dispatch.Decision {
 	return dispatch.Decision{
 		Endpoint: tables.EndpointID(a.GetEndpoint()), CacheSource: tables.EndpointID(a.GetSource()), CacheStore: tables.EndpointID(a.GetStore()),
 		WeightsVersion: a.GetWeights(), ExpectedLatency: fromMilliseconds(a.GetExpectedMs()), UncachedTokens: int(a.GetUncached()), Rule: dispatch.PlacementRule(a.GetRule()),
--- a/schedule/server.go
+++ b/schedule/server.go
@@ -67,20 +67,20 @@
 	key, now := attemptKey{instance: by, number: number}, s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known, repeated := s.attempts[key]; repeated {
-		return encodeChoice(known.attempt.Decision(now))
+	if tracked, repeated := s.attempts[key]; repeated {
+		return encodeDecision(tracked.attempt.Decision(now))
 	}
 	service := s.placer.Service(q.GetService())
 	if service == nil {
 		return &rpc.ScheduleAnswer{}
 	}
 	r := decodeQuestion(now, q, service)
-	chosen, reason := s.placer.PlaceRequest(r)
-	if chosen == nil {
+	attempt, reason := s.placer.PlaceRequest(r)
+	if attempt == nil {
 		return &rpc.ScheduleAnswer{Ready: true, Reason: string(reason)}
 	}
-	s.attempts[key] = remoteAttempt{attempt: chosen, expiresAt: r.Deadline + expiryGrace}
-	return encodeChoice(chosen.Decision(now))
+	s.attempts[key] = remoteAttempt{attempt: attempt, expiresAt: r.Deadline + expiryGrace}
+	return encodeDecision(attempt.Decision(now))
 }
 
 // HandleProgress updates an attempt of another instance. Unknown attempts are ignored.
@@ -88,16 +88,16 @@
 	key := attemptKey{instance: by, number: number}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, found := s.attempts[key]
+	tracked, found := s.attempts[key]
 	if !found {
 		return
 	}
 	if p.GetBegan() {
-		s.placer.AttemptStarted(known.attempt)
+		s.placer.AttemptStarted(tracked.attempt)
 	}
 	if p.GetEnded() {
 		delete(s.attempts, key)
-		s.placer.AttemptEnded(known.attempt, dispatch.DecodeOutcome(p.GetEnd()))
+		s.placer.AttemptEnded(tracked.attempt, dispatch.DecodeOutcome(p.GetEnd()))
 	}
 }
 
@@ -112,10 +112,10 @@
 		return
 	}
 	s.sweptAt = now
-	for key, one := range s.attempts {
-		if now >= one.expiresAt {
+	for key, tracked := range s.attempts {
+		if now >= tracked.expiresAt {
 			delete(s.attempts, key)
-			s.placer.AttemptEnded(one.attempt, dispatch.Cancelled)
+			s.placer.AttemptEnded(tracked.attempt, dispatch.Cancelled)
 		}
 	}
 }
--- a/usage/client.go
+++ b/usage/client.go
@@ -148,18 +148,18 @@
 	now := c.options.Now()
 	if now-c.sweptAt > sweepInterval {
 		c.sweptAt = now
-		for other, m := range c.limiters {
-			if m.Idle(now) {
+		for other, l := range c.limiters {
+			if l.Idle(now) {
 				delete(c.limiters, other)
 			}
 		}
 	}
-	m := c.limiters[id]
-	if m == nil {
-		m = &LocalLimiter{}
-		c.limiters[id] = m
+	l := c.limiters[id]
+	if l == nil {
+		l = &LocalLimiter{}
+		c.limiters[id] = l
 	}
-	return m
+	return l
 }
 
 // check decides from a lease or a cached refusal.
@@ -181,8 +181,8 @@
 func (c *Client) withLevel(id Subject, d Decision) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m := c.limiter(id); m.replied {
-		d.Level, d.LevelAge = m.level, c.options.Now()-m.repliedAt
+	if l := c.limiter(id); l.replied {
+		d.Level, d.LevelAge = l.level, c.options.Now()-l.repliedAt
 	}
 	return d
 }
@@ -286,8 +286,8 @@
 func (c *Client) RevokeLease(id Subject) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m := c.limiters[id]; m != nil {
-		m.RevokeLease(c.options.Now())
+	if l := c.limiters[id]; l != nil {
+		l.RevokeLease(c.options.Now())
 	}
 }
 
--- a/usage/local_limiter.go
+++ b/usage/local_limiter.go
@@ -116,16 +116,16 @@
 // part, among the given number of instances, of the unused rate.
 func (l *LocalLimiter) AdmitFromShare(now tables.Instant, limit Limit, instances int, cost int64) (admitted bool, retryAfter time.Duration) {
 	demand := l.demand.value(now)
-	part := limitShare(demand, max(l.totalDemand, demand), limit.Rate, instances)
+	share := limitShare(demand, max(l.totalDemand, demand), limit.Rate, instances)
 	if !l.inFallback {
 		l.inFallback = true
-		l.fallback = tokenBucket{updatedAt: now, level: requiredFraction * part * limit.Burst}
+		l.fallback = tokenBucket{updatedAt: now, level: requiredFraction * share * limit.Burst}
 		if l.replied {
-			l.fallback.level = part * min(float64(l.level), limit.Burst)
+			l.fallback.level = share * min(float64(l.level), limit.Burst)
 		}
 	}
-	l.fallback.refill(now, limit, part)
-	own := Limit{Rate: part * limit.Rate, Burst: part * limit.Burst}
+	l.fallback.refill(now, limit, share)
+	own := Limit{Rate: share * limit.Rate, Burst: share * limit.Burst}
 	if !l.fallback.admits(own, cost) {
 		return false, l.fallback.timeUntilAdmits(own, cost, 1)
 	}
--- a/usage/owner.go
+++ b/usage/owner.go
@@ -82,8 +82,8 @@
 	Limit Limit
 	// Zone is the availability zone of the sender.
 	Zone tables.Zone
-	// Admitted is the running total of what the sender has admitted since it started.
-	// BootEpoch tells totals before and after a restart apart.
+	// Admitted is the running total of what the sender has admitted since it created its
+	// bucket. BootEpoch tells totals before and after a restart of the sender apart.
 	Admitted  int64
 	BootEpoch uint64
 	// Demand is the use per second that the sender is asked for.
@@ -107,15 +107,15 @@
 
 // NewBucketOwner returns an owner without buckets. The boot epoch tells it apart from owners
 // on the same instance before a restart.
-func NewBucketOwner(now tables.Instant, zone tables.Zone, life uint64) *BucketOwner {
-	return &BucketOwner{bootEpoch: life, zone: zone, unaccountedUntil: now, buckets: map[Subject]*sharedBucket{}}
+func NewBucketOwner(now tables.Instant, zone tables.Zone, bootEpoch uint64) *BucketOwner {
+	return &BucketOwner{bootEpoch: bootEpoch, zone: zone, unaccountedUntil: now, buckets: map[Subject]*sharedBucket{}}
 }
 
 // SetLimits replaces the configured limits. Use under the old limits counts under the new
 // ones. Where the burst grows, the difference is available at once.
 func (o *BucketOwner) SetLimits(limits map[Subject]Limit) {
-	for id, acc := range o.buckets {
-		acc.level += max(0, limits[id].Burst-o.limits[id].Burst)
+	for id, bucket := range o.buckets {
+		bucket.level += max(0, limits[id].Burst-o.limits[id].Burst)
 	}
 	o.limits = limits
 }
@@ -130,25 +130,25 @@
 	if !limit.Limited() {
 		return DebitReply{}, nil
 	}
-	acc := o.bucketFor(now, d.Subject, limit)
+	bucket := o.bucketFor(now, d.Subject, limit)
 	if d.Limit.Limited() {
-		acc.carriedLimit = d.Limit
+		bucket.carriedLimit = d.Limit
 	}
-	acc.advanceTo(now, limit)
-	if d.LevelKnown && now-acc.openedAt <= levelAdoptionWindow {
-		acc.level = min(acc.level, float64(d.Level)+limit.Rate*d.LevelAge.Seconds())
+	bucket.advanceTo(now, limit)
+	if d.LevelKnown && now-bucket.openedAt <= levelAdoptionWindow {
+		bucket.level = min(bucket.level, float64(d.Level)+limit.Rate*d.LevelAge.Seconds())
 	}
-	acc.consume(now, d.Spent)
-	acc.demand.add(now, float64(max(0, d.Spent)+d.Cost))
-	reply = DebitReply{Ready: true, Admitted: d.Cost == 0 || acc.admits(limit, d.Cost)}
+	bucket.consume(now, d.Spent)
+	bucket.demand.add(now, float64(max(0, d.Spent)+d.Cost))
+	reply = DebitReply{Ready: true, Admitted: d.Cost == 0 || bucket.admits(limit, d.Cost)}
 	switch {
 	case !reply.Admitted:
-		reply.RetryAfter = acc.nextRetryAfter(now, limit, d.Cost)
+		reply.RetryAfter = bucket.nextRetryAfter(now, limit, d.Cost)
 	default:
-		acc.consume(now, d.Cost)
+		bucket.consume(now, d.Cost)
 	}
-	revoked = acc.grantOrRevokeLeases(now, by, limit, &reply)
-	reply.Level, reply.Demand = floorLevel(acc.level), int64(acc.totalDemand(now))
+	revoked = bucket.grantOrRevokeLeases(now, by, limit, &reply)
+	reply.Level, reply.Demand = floorLevel(bucket.level), int64(bucket.totalDemand(now))
 	return reply, revoked
 }
 
@@ -158,8 +158,8 @@
 	if limit, configured := o.limits[id]; configured {
 		return limit
 	}
-	if acc := o.buckets[id]; acc != nil && !carried.Limited() {
-		return acc.carriedLimit
+	if bucket := o.buckets[id]; bucket != nil && !carried.Limited() {
+		return bucket.carriedLimit
 	}
 	return carried
 }
@@ -173,20 +173,20 @@
 // counts as spent: the level of a new bucket starts at zero at that time. Restarts of
 // instances therefore don't let the use exceed the limit within a window that spans them.
 func (o *BucketOwner) bucketFor(now tables.Instant, id Subject, limit Limit) *sharedBucket {
-	acc := o.buckets[id]
-	if acc == nil {
-		acc = &sharedBucket{
+	bucket := o.buckets[id]
+	if bucket == nil {
+		bucket = &sharedBucket{
 			tokenBucket: tokenBucket{updatedAt: o.unaccountedUntil},
 			zone:        o.zone,
 			openedAt:    now,
 			peers:       map[tables.InstanceID]*peerOwner{},
 			leases:      map[tables.InstanceID]tables.Instant{},
 		}
-		acc.refill(now, limit, 1)
-		o.buckets[id] = acc
+		bucket.refill(now, limit, 1)
+		o.buckets[id] = bucket
 	}
-	acc.usedAt = now
-	return acc
+	bucket.usedAt = now
+	return bucket
 }
 
 // ApplyReport merges a peer's report into the bucket. Only the growth of the peer's running
@@ -198,42 +198,42 @@
 		return
 	}
 	_, known := o.buckets[in.Subject]
-	acc := o.bucketFor(now, in.Subject, limit)
-	acc.advanceTo(now, limit)
+	bucket := o.bucketFor(now, in.Subject, limit)
+	bucket.advanceTo(now, limit)
 	if !known {
-		acc.level = min(acc.level, float64(in.Level))
-		acc.carriedLimit = in.Limit
+		bucket.level = min(bucket.level, float64(in.Level))
+		bucket.carriedLimit = in.Limit
 	}
-	r := acc.peers[from]
-	if r == nil {
-		r = &peerOwner{zone: in.Zone, bootEpoch: in.BootEpoch, admitted: in.Admitted}
-		acc.peers[from] = r
+	peer := bucket.peers[from]
+	if peer == nil {
+		peer = &peerOwner{zone: in.Zone, bootEpoch: in.BootEpoch, admitted: in.Admitted}
+		bucket.peers[from] = peer
 	}
-	if r.bootEpoch != in.BootEpoch {
-		r.bootEpoch, r.admitted = in.BootEpoch, 0
+	if peer.bootEpoch != in.BootEpoch {
+		peer.bootEpoch, peer.admitted = in.BootEpoch, 0
 	}
-	if in.Admitted > r.admitted || r.silent {
-		acc.level -= float64(in.Admitted-r.admitted) - r.assumedUse
+	if in.Admitted > peer.admitted || peer.silent {
+		bucket.level -= float64(in.Admitted-peer.admitted) - peer.assumedUse
 	}
-	r.admitted = max(r.admitted, in.Admitted)
-	r.silent, r.assumedUse = false, 0
-	r.demand, r.reportedAt = float64(in.Demand), now
+	peer.admitted = max(peer.admitted, in.Admitted)
+	peer.silent, peer.assumedUse = false, 0
+	peer.demand, peer.reportedAt = float64(in.Demand), now
 }
 
 // DueReports returns the reports to send to the peers now, and evicts idle buckets.
 func (o *BucketOwner) DueReports(now tables.Instant) []Report {
 	o.evictIdle(now)
 	var due []Report
-	for id, acc := range o.buckets {
-		limit := o.limitOf(id, acc.carriedLimit)
-		if !acc.reportDue(now, limit) {
+	for id, bucket := range o.buckets {
+		limit := o.limitOf(id, bucket.carriedLimit)
+		if !bucket.reportDue(now, limit) {
 			continue
 		}
-		acc.advanceTo(now, limit)
-		acc.reportedTotal, acc.reportedDemand, acc.reportedAt = acc.admitted, acc.activeDemand(now, limit), now
+		bucket.advanceTo(now, limit)
+		bucket.reportedTotal, bucket.reportedDemand, bucket.reportedAt = bucket.admitted, bucket.activeDemand(now, limit), now
 		due = append(due, Report{
-			Subject: id, Limit: acc.carriedLimit, Zone: o.zone, Admitted: acc.admitted, BootEpoch: o.bootEpoch,
-			Demand: int64(acc.reportedDemand), Level: floorLevel(acc.level),
+			Subject: id, Limit: bucket.carriedLimit, Zone: o.zone, Admitted: bucket.admitted, BootEpoch: o.bootEpoch,
+			Demand: int64(bucket.reportedDemand), Level: floorLevel(bucket.level),
 		})
 	}
 	return due
@@ -244,12 +244,12 @@
 
 // Peers returns the owners that have reported the given subject.
 func (o *BucketOwner) Peers(id Subject) []tables.InstanceID {
-	acc := o.buckets[id]
-	if acc == nil {
+	bucket := o.buckets[id]
+	if bucket == nil {
 		return nil
 	}
 	var all []tables.InstanceID
-	for peer := range acc.peers {
+	for peer := range bucket.peers {
 		all = append(all, peer)
 	}
 	return all
@@ -261,8 +261,8 @@
 		return
 	}
 	o.sweptAt = now
-	for id, acc := range o.buckets {
-		if now-acc.usedAt > bucketIdleTimeout || !o.limitOf(id, acc.carriedLimit).Limited() {
+	for id, bucket := range o.buckets {
+		if now-bucket.usedAt > bucketIdleTimeout || !o.limitOf(id, bucket.carriedLimit).Limited() {
 			delete(o.buckets, id)
 		}
 	}
--- a/usage/shared_bucket.go
+++ b/usage/shared_bucket.go
@@ -65,10 +65,10 @@
 	b.reserveForSilentPeers(now, limit)
 	left := 1.0
 	elapsed := max(0, now-b.updatedAt).Seconds()
-	for _, r := range b.peers {
-		if r.silent {
-			left -= r.share
-			r.assumedUse += r.share * limit.Rate * elapsed
+	for _, peer := range b.peers {
+		if peer.silent {
+			left -= peer.share
+			peer.assumedUse += peer.share * limit.Rate * elapsed
 		}
 	}
 	b.refill(now, limit, max(0, left))
@@ -77,13 +77,13 @@
 // dropReplacedPeers drops a silent peer once another owner serves its zone: no tokens need
 // to be reserved for it any more.
 func (b *sharedBucket) dropReplacedPeers(now tables.Instant) {
-	for id, r := range b.peers {
-		if r.zone == b.zone && now-r.reportedAt > partitionTimeout {
+	for id, peer := range b.peers {
+		if peer.zone == b.zone && now-peer.reportedAt > partitionTimeout {
 			delete(b.peers, id)
 			continue
 		}
 		for _, other := range b.peers {
-			if other.zone == r.zone && other.reportedAt > r.reportedAt+partitionTimeout {
+			if other.zone == peer.zone && other.reportedAt > peer.reportedAt+partitionTimeout {
 				delete(b.peers, id)
 				break
 			}
@@ -96,15 +96,15 @@
 // than peerTimeout.
 func (b *sharedBucket) reserveForSilentPeers(now tables.Instant, limit Limit) {
 	total := b.totalDemand(now)
-	for id, r := range b.peers {
+	for id, peer := range b.peers {
 		switch {
-		case now-r.reportedAt > peerTimeout:
+		case now-peer.reportedAt > peerTimeout:
 			delete(b.peers, id)
-		case !r.silent && now-r.reportedAt > limit.partitionTimeout() && r.demand > 0:
-			r.silent = true
-			r.share = limitShare(r.demand, total, limit.Rate, len(b.peers)+1)
-			r.assumedUse = r.share * max(0, b.level)
-			b.level -= r.assumedUse
+		case !peer.silent && now-peer.reportedAt > limit.partitionTimeout() && peer.demand > 0:
+			peer.silent = true
+			peer.share = limitShare(peer.demand, total, limit.Rate, len(b.peers)+1)
+			peer.assumedUse = peer.share * max(0, b.level)
+			b.level -= peer.assumedUse
 		}
 	}
 }
@@ -122,8 +122,8 @@
 // totalDemand returns the demand of all zones per second.
 func (b *sharedBucket) totalDemand(now tables.Instant) float64 {
 	total := b.demand.value(now)
-	for _, r := range b.peers {
-		total += r.demand
+	for _, peer := range b.peers {
+		total += peer.demand
 	}
 	return total
 }
@@ -158,9 +158,9 @@
 		return b.timeUntilAdmits(limit, cost, 1)
 	}
 	b.nextRetryAt = max(b.nextRetryAt, now+b.timeUntilAdmits(limit, cost, 1))
-	after := b.nextRetryAt - now
+	retryAfter := b.nextRetryAt - now
 	b.nextRetryAt = min(b.nextRetryAt+time.Duration(float64(cost)/limit.Rate*float64(time.Second)), now+maxRetryAfter)
-	return after
+	return retryAfter
 }
 
 // reportDue reports whether a report of the bucket should be sent to the peers now.
--- a/usage/shares_test.go
+++ b/usage/shares_test.go
@@ -57,8 +57,8 @@
 func (s *demandShares) request(i int, cost int64) {
 	one := &s.instances[i]
 	own := one.demand.value(s.now)
-	part := limitShare(own, max(one.totalDemand, own), s.limit.Rate, len(s.instances))
-	one.refill(s.now, Limit{Rate: s.limit.Rate, Burst: s.limit.Burst * part}, part)
+	share := limitShare(own, max(one.totalDemand, own), s.limit.Rate, len(s.instances))
+	one.refill(s.now, Limit{Rate: s.limit.Rate, Burst: s.limit.Burst * share}, share)
 	one.demand.add(s.now, float64(cost))
 	if one.level < 0 {
 		s.refused++
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -149,14 +149,14 @@
 }
 
 // add counts an amount at the given time.
-func (d *averagedRate) add(now tables.Instant, amount float64) {
-	d.perSecond = max(0, d.value(now)+amount/demandTimeConstant.Seconds())
-	d.updatedAt = now
+func (r *averagedRate) add(now tables.Instant, amount float64) {
+	r.perSecond = max(0, r.value(now)+amount/demandTimeConstant.Seconds())
+	r.updatedAt = now
 }
 
 // value returns the average per second, decayed until now.
-func (d *averagedRate) value(now tables.Instant) float64 {
-	return d.perSecond * math.Exp(-float64(max(0, now-d.updatedAt))/float64(demandTimeConstant))
+func (r *averagedRate) value(now tables.Instant) float64 {
+	return r.perSecond * math.Exp(-float64(max(0, now-r.updatedAt))/float64(demandTimeConstant))
 }
 
 // limitShare returns the fraction of a limit that belongs to one of n participants, given
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -257,8 +257,8 @@
 	quiet := &LocalLimiter{}
 	admitted, _ := quiet.AdmitFromShare(now, limit, 68, 1000)
 	assert.Assert(t, admitted, "the first request may overdraw the fallback bucket")
-	admitted, after := quiet.AdmitFromShare(now, limit, 68, 1000)
-	assert.Assert(t, !admitted && after > 0)
+	admitted, retryAfter := quiet.AdmitFromShare(now, limit, 68, 1000)
+	assert.Assert(t, !admitted && retryAfter > 0)
 }
 
 // Guards against the whole tolerance being added to the enforced limit: replicas differ by
--- a/usage/wire.go
+++ b/usage/wire.go
@@ -32,7 +32,6 @@
 	}
 }
 
-// decodeReply caps the lease at leaseDuration and raises a negative demand to 0.
 func encodeReply(r DebitReply) *rpc.UsageAnswer {
 	return &rpc.UsageAnswer{
 		Ready: r.Ready, Admitted: r.Admitted, RetryAfterMs: toMilliseconds(r.RetryAfter), LeaseMs: toMilliseconds(r.Lease),
@@ -40,6 +39,7 @@
 	}
 }
 
+// decodeReply caps the lease at leaseDuration and raises a negative demand to 0.
 func decodeReply(a *rpc.UsageAnswer) DebitReply {
 	return DebitReply{
 		Ready: a.GetReady(), Admitted: a.GetAdmitted(), RetryAfter: fromMilliseconds(a.GetRetryAfterMs()),
--- a/weights/history.go
+++ b/weights/history.go
@@ -26,22 +26,22 @@
 // would restart the grace period, and the engine would go on answering with weights that
 // were replaced long ago. A History is for use by one goroutine at a time.
 type History struct {
-	// versions holds each model's target versions in ascending order. Their times are in
-	// ascending order too.
+	// versions holds each model's target versions in ascending order. Their times
+	// never decrease from one to the next.
 	versions map[string][]TargetVersion
 }
 
 // Record adds a target version. If it is known already, the earlier of the two times counts.
-func (h *History) Record(n TargetVersion) {
+func (h *History) Record(target TargetVersion) {
 	if h.versions == nil {
 		h.versions = map[string][]TargetVersion{}
 	}
-	known := h.versions[n.Model]
-	at, found := findVersion(known, n.Version)
+	known := h.versions[target.Model]
+	at, found := findVersion(known, target.Version)
 	if found {
-		known[at].SetAt = min(known[at].SetAt, n.SetAt)
+		known[at].SetAt = min(known[at].SetAt, target.SetAt)
 	} else {
-		known = slices.Insert(known, at, n)
+		known = slices.Insert(known, at, target)
 	}
 	// A version cannot have become the target later than a newer one. Lowering its time
 	// makes no difference to an engine that is behind both.
@@ -52,7 +52,7 @@
 		known[1].SetAt = known[0].SetAt
 		known = known[1:]
 	}
-	h.versions[n.Model] = known
+	h.versions[target.Model] = known
 }
 
 // Latest returns the newest target version of a model, or 0 if there is none.
@@ -85,7 +85,7 @@
 // findVersion returns the index of a version, or where to insert it, and whether it was
 // found.
 func findVersion(known []TargetVersion, version uint64) (int, bool) {
-	return slices.BinarySearchFunc(known, version, func(n TargetVersion, version uint64) int {
-		return cmp.Compare(n.Version, version)
+	return slices.BinarySearchFunc(known, version, func(target TargetVersion, version uint64) int {
+		return cmp.Compare(target.Version, version)
 	})
 }
