--- a/dispatch/cache_directory.go
+++ b/dispatch/cache_directory.go
@@ -163,7 +163,7 @@
 // uses there.
 func (d *Dispatcher) place(now tables.Instant, r *Request, a *Attempt) {
 	for _, part := range r.SharedParts {
-		key := part.Name.KeyAt(a.WeightsVersion)
+		key := part.ID.KeyAt(a.WeightsVersion)
 		one, fresh := d.holders.note(now, now+a.ExpectedLatency+ownReady, key, a.row)
 		if fresh {
 			a.placed = append(a.placed, key)
@@ -189,7 +189,7 @@
 	a.CacheStore, a.store = store.Endpoint, store
 	a.sending = r.transferTime(a.row, store) * float64(r.PromptTokens)
 	for _, part := range r.SharedParts {
-		key := part.Name.KeyAt(a.WeightsVersion)
+		key := part.ID.KeyAt(a.WeightsVersion)
 		one, fresh := d.holders.note(now, now+a.ExpectedLatency+storeReady, key, store)
 		if fresh {
 			one.reportedAt = now
@@ -205,7 +205,7 @@
 	if len(r.SharedParts) == 0 {
 		return nil
 	}
-	last := uint64(r.SharedParts[len(r.SharedParts)-1].Name)
+	last := uint64(r.SharedParts[len(r.SharedParts)-1].ID)
 	var best *endpointRow
 	for _, row := range d.stores {
 		if row.Draining {
--- a/dispatch/cache_events_test.go
+++ b/dispatch/cache_events_test.go
@@ -14,7 +14,7 @@
 func keysOf(r *Request) []parts.Key {
 	var keys []parts.Key
 	for _, part := range r.SharedParts {
-		keys = append(keys, part.Name.KeyAt(1))
+		keys = append(keys, part.ID.KeyAt(1))
 	}
 	return keys
 }
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -42,7 +42,7 @@
 	}
 	r.counted = true
 	for _, part := range r.SharedParts {
-		d.note(now, part.Name)
+		d.note(now, part.ID)
 	}
 }
 
--- a/dispatch/demand_test.go
+++ b/dispatch/demand_test.go
@@ -33,9 +33,9 @@
 		d.demand.noteOnce(now, ask(7))
 		now += 20 * time.Millisecond
 	}
-	assert.Assert(t, d.collision(now, ask(7).SharedParts[0].Name) > 0.5)
-	assert.Assert(t, d.collision(now, ask(8).SharedParts[1].Name) < 0.05)
-	assert.Assert(t, d.collision(now+time.Minute, ask(7).SharedParts[0].Name) < 0.05, "demand is forgotten")
+	assert.Assert(t, d.collision(now, ask(7).SharedParts[0].ID) > 0.5)
+	assert.Assert(t, d.collision(now, ask(8).SharedParts[1].ID) < 0.05)
+	assert.Assert(t, d.collision(now+time.Minute, ask(7).SharedParts[0].ID) < 0.05, "demand is forgotten")
 }
 
 // A request that waits is placed again every few milliseconds. Counted each time, its
@@ -46,5 +46,5 @@
 	for i := range 50 {
 		d.demand.noteOnce(time.Duration(i)*time.Millisecond, r)
 	}
-	assert.Assert(t, d.demand.count(50*time.Millisecond, r.SharedParts[0].Name) <= 1)
+	assert.Assert(t, d.demand.count(50*time.Millisecond, r.SharedParts[0].ID) <= 1)
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -71,7 +71,7 @@
 
 // SharedPart is a part of a prompt.
 type SharedPart struct {
-	Name parts.ID
+	ID parts.ID
 	// EndTokens counts those of the prompt up to the end of the part.
 	EndTokens int
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -40,7 +40,7 @@
 func ask(part uint64) *Request {
 	return &Request{
 		Service: models, Route: &routes.Route{}, Model: "m", PromptTokens: 5000, OutputTokens: 50,
-		SharedParts: []SharedPart{{Name: 1, EndTokens: 2000}, {Name: parts.ID(part), EndTokens: 4000}},
+		SharedParts: []SharedPart{{ID: 1, EndTokens: 2000}, {ID: parts.ID(part), EndTokens: 4000}},
 		Deadline:    time.Hour, PrefillWaitUntil: time.Hour,
 	}
 }
--- a/dispatch/prompt_view.go
+++ b/dispatch/prompt_view.go
@@ -51,13 +51,13 @@
 	v := view{version: version, stamp: d.viewed}
 	cold, found := parts.ID(0), false
 	for i, part := range r.SharedParts {
-		holding := d.holders.of(now, part.Name.KeyAt(version))
+		holding := d.holders.of(now, part.ID.KeyAt(version))
 		v.levels = append(v.levels, holding)
 		v.mark(now, r, i, holding)
 		switch {
 		case found:
 		case len(holding) == 0:
-			cold, found = part.Name, true
+			cold, found = part.ID, true
 		default:
 			v.held = part.EndTokens
 			v.readyAt = max(v.readyAt, earliest(holding))
--- a/dispatch/remote.go
+++ b/dispatch/remote.go
@@ -91,7 +91,7 @@
 	row.adopted.tokens += a.tokens
 	row.adopted.prefill += a.prefill
 	for _, part := range r.SharedParts {
-		key := part.Name.KeyAt(a.WeightsVersion)
+		key := part.ID.KeyAt(a.WeightsVersion)
 		if _, fresh := d.holders.note(now, now+a.ExpectedLatency+ownReady, key, row); fresh {
 			a.placed = append(a.placed, key)
 		}
--- a/dispatch/remote_test.go
+++ b/dispatch/remote_test.go
@@ -61,7 +61,7 @@
 	d, _ := world(4)
 	r := ask(7)
 	chosen, _ := d.Place(0, r)
-	key := r.SharedParts[0].Name.KeyAt(chosen.WeightsVersion)
+	key := r.SharedParts[0].ID.KeyAt(chosen.WeightsVersion)
 	report := CacheUpdate{Endpoint: chosen.Endpoint.ID, Key: key, Evicted: true}
 	assert.Assert(t, !d.ApplyCacheEvent(dropGrace/2, report), "the word is older than the placement")
 	assert.Assert(t, d.ApplyCacheEvent(time.Second, report))
--- a/forward/job.go
+++ b/forward/job.go
@@ -236,7 +236,7 @@
 	for _, part := range prompt[:max(0, len(prompt)-1)] {
 		tokens = min(tokens+part.Tokens, j.ask.PromptTokens)
 		j.ask.SharedParts = append(j.ask.SharedParts, dispatch.SharedPart{
-			Name: parts.NewID(j.ask.Model, scope, part.ID), EndTokens: tokens,
+			ID: parts.NewID(j.ask.Model, scope, part.ID), EndTokens: tokens,
 		})
 	}
 }
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -105,7 +105,7 @@
 	if len(r.SharedParts) == 0 {
 		return uint64(r.ArrivedAt)
 	}
-	return uint64(r.SharedParts[len(r.SharedParts)-1].Name)
+	return uint64(r.SharedParts[len(r.SharedParts)-1].ID)
 }
 
 // pickScheduler returns the scheduler of a key, leaving out schedulers that are backed off.
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -41,7 +41,7 @@
 		OnlyConfirmed: r.ConfirmedOnly,
 	}
 	for _, part := range r.SharedParts {
-		q.Shared = append(q.Shared, &rpc.PromptPart{Name: uint64(part.Name), Tokens: uint32(part.EndTokens)})
+		q.Shared = append(q.Shared, &rpc.PromptPart{Name: uint64(part.ID), Tokens: uint32(part.EndTokens)})
 	}
 	for _, id := range r.Tried {
 		q.Tried = append(q.Tried, string(id))
@@ -67,7 +67,7 @@
 		Remote:            true,
 	}
 	for _, part := range q.GetShared() {
-		r.SharedParts = append(r.SharedParts, dispatch.SharedPart{Name: parts.ID(part.GetName()), EndTokens: int(part.GetTokens())})
+		r.SharedParts = append(r.SharedParts, dispatch.SharedPart{ID: parts.ID(part.GetName()), EndTokens: int(part.GetTokens())})
 	}
 	for _, id := range q.GetTried() {
 		r.Tried = append(r.Tried, tables.EndpointID(id))
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -136,7 +136,7 @@
 	return &dispatch.Request{
 		Service: p.service, Route: &routes.Route{Target: time.Second}, Model: model,
 		PromptTokens: 1000, OutputTokens: 10, ArrivedAt: p.now, Deadline: p.now + 5*time.Second, PrefillWaitUntil: p.now,
-		SharedParts: []dispatch.SharedPart{{Name: prompt, EndTokens: 800}},
+		SharedParts: []dispatch.SharedPart{{ID: prompt, EndTokens: 800}},
 	}
 }
 
