--- a/dispatch/absence_test.go
+++ b/dispatch/absence_test.go
@@ -11,31 +11,31 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// choosers are dispatchers that exchange their loads.
-type choosers struct {
-	all    []*Dispatcher
-	toldAt tables.Instant
+// testCluster are dispatchers that exchange their loads.
+type testCluster struct {
+	dispatchers []*Dispatcher
+	exchangedAt tables.Instant
 }
 
-func newChoosers(n, engines int) *choosers {
-	c := &choosers{}
+func newTestCluster(n, engines int) *testCluster {
+	c := &testCluster{}
 	for i := range n {
-		d, _ := world(engines)
+		d, _ := newTestDispatcher(engines)
 		d.options.Seed = uint64(i)
-		c.all = append(c.all, d)
+		c.dispatchers = append(c.dispatchers, d)
 	}
 	return c
 }
 
 // exchange passes on loads every 20 ms.
-func (c *choosers) exchange(now tables.Instant) {
-	if now-c.toldAt < 20*time.Millisecond {
+func (c *testCluster) exchange(now tables.Instant) {
+	if now-c.exchangedAt < 20*time.Millisecond {
 		return
 	}
-	c.toldAt = now
-	for i, from := range c.all {
+	c.exchangedAt = now
+	for i, from := range c.dispatchers {
 		for _, l := range from.TakeLoadReports(now) {
-			for j, to := range c.all {
+			for j, to := range c.dispatchers {
 				if i != j {
 					to.ApplyLoadReport(now, tables.InstanceID(fmt.Sprint(i)), l)
 				}
@@ -54,7 +54,7 @@
 		busy   = 100 * time.Millisecond
 		length = 3 * time.Second
 	)
-	c := newChoosers(instances, engines)
+	c := newTestCluster(instances, engines)
 	replaced := map[tables.EndpointID]int{}
 	for i := range engines / 5 {
 		replaced[tables.EndpointID(fmt.Sprintf("e%d", i*5))] = 0
@@ -68,7 +68,7 @@
 	sends, misdirected := 0, 0
 	for now := time.Second; now < time.Second+length; now += gap {
 		c.exchange(now)
-		open = keep(open, func(r running) bool {
+		open = filterInPlace(open, func(r running) bool {
 			if r.ends > now {
 				return true
 			}
@@ -76,8 +76,8 @@
 			r.by.RecordOutcome(now, r.a, Completed)
 			return false
 		})
-		d := c.all[sends%instances]
-		r := ask(uint64(sends % 200))
+		d := c.dispatchers[sends%instances]
+		r := newTestRequest(uint64(sends % 200))
 		for {
 			a, _ := d.Place(now, r)
 			if a == nil {
@@ -106,51 +106,51 @@
 // Guards against an endpoint that was absent for a moment staying out for good, and
 // against all of the load meeting it before it has shown that it is back.
 func TestAnEndpointThatWasAbsentIsTriedByOneRequestFirst(t *testing.T) {
-	d, _ := world(1)
+	d, _ := newTestDispatcher(1)
 	now := time.Second
-	a := mustPlace(t, d, now, ask(1))
+	a := mustPlace(t, d, now, newTestRequest(1))
 	d.RecordOutcome(now, a, Misdirected)
-	_, reason := d.Place(now, ask(2))
+	_, reason := d.Place(now, newTestRequest(2))
 	assert.Equal(t, reason, NoEndpoint)
 
-	now += absentMisdirected
-	trial := mustPlace(t, d, now, ask(3))
-	_, reason = d.Place(now, ask(4))
+	now += misdirectedAbsence
+	trial := mustPlace(t, d, now, newTestRequest(3))
+	_, reason = d.Place(now, newTestRequest(4))
 	assert.Equal(t, reason, NoEndpoint)
 
 	d.RecordResponseStart(now, trial)
-	mustPlace(t, d, now, ask(5))
-	mustPlace(t, d, now, ask(6))
+	mustPlace(t, d, now, newTestRequest(5))
+	mustPlace(t, d, now, newTestRequest(6))
 }
 
 // Guards against an endpoint whose weights have just changed counting as gone after the
 // list has reported the new ones.
 func TestNewWeightsOnTheListEndAnAbsence(t *testing.T) {
-	d, all := world(1)
+	d, all := newTestDispatcher(1)
 	now := time.Second
-	d.RecordOutcome(now, mustPlace(t, d, now, ask(1)), Misdirected)
+	d.RecordOutcome(now, mustPlace(t, d, now, newTestRequest(1)), Misdirected)
 	listed := all["e0"].Clone()
 	listed.Weights["m"] = 2
 	all["e0"] = listed
 	d.SetEndpoints(all)
-	mustPlace(t, d, now, ask(2))
+	mustPlace(t, d, now, newTestRequest(2))
 }
 
 // Guards against an instance's report keeping an endpoint out for longer than its own
 // observation would.
 func TestARemoteAbsenceIsBounded(t *testing.T) {
-	d, _ := world(1)
+	d, _ := newTestDispatcher(1)
 	now := time.Second
 	d.ApplyLoadReport(now, "i2", LoadReport{Endpoint: "e0", AbsentFor: time.Hour})
-	_, reason := d.Place(now, ask(1))
+	_, reason := d.Place(now, newTestRequest(1))
 	assert.Equal(t, reason, NoEndpoint)
-	mustPlace(t, d, now+maxAbsent, ask(1))
+	mustPlace(t, d, now+maxAbsence, newTestRequest(1))
 }
 
 // Guards against all waiting requests meeting at the one endpoint that has just finished
 // loading weights, or is new, before anybody knows that it answers.
 func TestAnEndpointThatBecomesUsableIsTriedByOneRequestFirst(t *testing.T) {
-	d, all := world(1)
+	d, all := newTestDispatcher(1)
 	now := time.Second
 	change := func(f func(*fleet.Endpoint)) {
 		e := all["e0"].Clone()
@@ -159,7 +159,7 @@
 		d.SetEndpoints(all)
 	}
 	unshared := func() *Request {
-		r := ask(1)
+		r := newTestRequest(1)
 		r.SharedParts = nil
 		return r
 	}
--- a/dispatch/address_reuse_test.go
+++ b/dispatch/address_reuse_test.go
@@ -12,9 +12,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// reusedFleet is a fleet whose engines end in waves; some time after its end an engine's
+// simulatedFleet is a fleet whose engines end in waves; some time after its end an engine's
 // address belongs to a server of another service, which declines what is for the engine.
-type reusedFleet struct {
+type simulatedFleet struct {
 	now     tables.Instant
 	ends    map[tables.EndpointID]tables.Instant
 	listed  map[tables.EndpointID]fleet.Endpoint
@@ -23,12 +23,12 @@
 }
 
 const (
-	// reusedAfter is how long an address is kept free, listLag how long a lost engine
+	// addressReuseAfter is how long an address is kept free, listLag how long a lost engine
 	// stays on the list.
-	reusedAfter = 2 * time.Second
-	listLag     = 4 * time.Second
-	// answerIn keeps most of the slots of living engines in use.
-	answerIn = 400 * time.Millisecond
+	addressReuseAfter = 2 * time.Second
+	listLag           = 4 * time.Second
+	// responseTime keeps most of the slots of living engines in use.
+	responseTime = 400 * time.Millisecond
 )
 
 // action is something that happens at a time.
@@ -49,9 +49,11 @@
 	return last
 }
 
-func (f *reusedFleet) after(d time.Duration, do func()) { heap.Push(&f.pending, action{f.now + d, do}) }
+func (f *simulatedFleet) after(d time.Duration, do func()) {
+	heap.Push(&f.pending, action{f.now + d, do})
+}
 
-func (f *reusedFleet) run(until tables.Instant) {
+func (f *simulatedFleet) run(until tables.Instant) {
 	for len(f.pending) > 0 && f.pending[0].at <= until {
 		next := heap.Pop(&f.pending).(action)
 		f.now = next.at
@@ -61,8 +63,8 @@
 }
 
 // add lists a new engine.
-func (f *reusedFleet) add() {
-	_, all := world(1)
+func (f *simulatedFleet) add() {
+	_, all := newTestDispatcher(1)
 	e := all["e0"].Clone()
 	e.ID = tables.EndpointID(fmt.Sprintf("e%d", f.created))
 	e.Zone = tables.Zone([]string{"a", "b"}[f.created%2])
@@ -71,7 +73,7 @@
 }
 
 // end ends an engine; its successor is listed at once.
-func (f *reusedFleet) end(id tables.EndpointID, choosers []*Dispatcher) {
+func (f *simulatedFleet) end(id tables.EndpointID, choosers []*Dispatcher) {
 	f.ends[id] = f.now
 	f.add()
 	f.list(choosers)
@@ -81,29 +83,29 @@
 	})
 }
 
-func (f *reusedFleet) list(choosers []*Dispatcher) {
+func (f *simulatedFleet) list(choosers []*Dispatcher) {
 	for _, d := range choosers {
 		d.SetEndpoints(f.listed)
 	}
 }
 
-// meets says how an attempt ends that arrives now, and after how long.
-func (f *reusedFleet) meets(id tables.EndpointID) (Outcome, time.Duration) {
+// outcomeAt says how an attempt ends that arrives now, and after how long.
+func (f *simulatedFleet) outcomeAt(id tables.EndpointID) (Outcome, time.Duration) {
 	ended, gone := f.ends[id]
 	switch {
 	case !gone:
-		return Completed, answerIn
-	case f.now-ended < reusedAfter:
+		return Completed, responseTime
+	case f.now-ended < addressReuseAfter:
 		return ConnectTimeout, 50 * time.Millisecond
 	default:
 		return Misdirected, time.Millisecond
 	}
 }
 
-// look has an instance find out when the address takes connections again.
-func (f *reusedFleet) look(d *Dispatcher, id tables.EndpointID) {
+// probeUntilReachable has an instance find out when the address takes connections again.
+func (f *simulatedFleet) probeUntilReachable(d *Dispatcher, id tables.EndpointID) {
 	d.SetReachable(f.now, id, false)
-	f.after(f.ends[id]+reusedAfter-f.now, func() { d.SetReachable(f.now, id, true) })
+	f.after(f.ends[id]+addressReuseAfter-f.now, func() { d.SetReachable(f.now, id, true) })
 }
 
 // Guards against repeats that are bounded at the service that was asked for, and arrive at
@@ -113,13 +115,13 @@
 		instances, engines, wave = 9, 18, 11
 		gap                      = 4 * time.Millisecond
 	)
-	c := newChoosers(instances, 0)
-	f := &reusedFleet{now: time.Second, ends: map[tables.EndpointID]tables.Instant{}, listed: map[tables.EndpointID]fleet.Endpoint{}}
+	c := newTestCluster(instances, 0)
+	f := &simulatedFleet{now: time.Second, ends: map[tables.EndpointID]tables.Instant{}, listed: map[tables.EndpointID]fleet.Endpoint{}}
 	for range engines {
 		f.add()
 	}
-	f.list(c.all)
-	for _, d := range c.all {
+	f.list(c.dispatchers)
+	for _, d := range c.dispatchers {
 		d.SetInstanceCount(instances)
 	}
 	for at := 3 * time.Second; at <= 11*time.Second; at += 2 * time.Second {
@@ -128,7 +130,7 @@
 			for i := 0; i < f.created && left > 0; i++ {
 				id := tables.EndpointID(fmt.Sprintf("e%d", i))
 				if _, ended := f.ends[id]; !ended {
-					f.end(id, c.all)
+					f.end(id, c.dispatchers)
 					left--
 				}
 			}
@@ -142,7 +144,7 @@
 		if a == nil {
 			return
 		}
-		end, took := f.meets(a.Endpoint.ID)
+		end, took := f.outcomeAt(a.Endpoint.ID)
 		if end == Misdirected && r.DeliveredAttempts > 0 {
 			repeats = append(repeats, f.now)
 		}
@@ -156,7 +158,7 @@
 			d.RecordOutcome(f.now, a, end)
 			r.Tried = append(r.Tried, a.Endpoint.ID)
 			if end == ConnectTimeout {
-				f.look(d, a.Endpoint.ID)
+				f.probeUntilReachable(d, a.Endpoint.ID)
 			}
 			if end == Misdirected {
 				r.DeliveredAttempts++
@@ -171,15 +173,15 @@
 	for now := f.now; now < 20*time.Second; now += gap {
 		f.run(now)
 		c.exchange(now)
-		d := c.all[asked%instances]
-		r := ask(uint64(asked % 200))
+		d := c.dispatchers[asked%instances]
+		r := newTestRequest(uint64(asked % 200))
 		r.SharedParts = nil
 		r.ArrivedAt = now
 		asked++
 		d.RecordRequest(now, "models")
 		try(d, r)
 	}
-	extra, window := c.all[0].options.RetryBudget.Extra, c.all[0].options.RetryBudget.Window
+	extra, window := c.dispatchers[0].options.RetryBudget.Extra, c.dispatchers[0].options.RetryBudget.Window
 	most := 0
 	for i, from := range repeats {
 		n := 0
--- a/dispatch/averages_test.go
+++ b/dispatch/averages_test.go
@@ -12,13 +12,13 @@
 // A deployment's engines are three times as fast as was assumed, and a new one joins.
 // Taken to be slow, it would get little until it was measured, which takes requests.
 func TestANewEngineIsTakenToBeLikeTheOthers(t *testing.T) {
-	d, all := world(2)
+	d, all := newTestDispatcher(2)
 	now := time.Second
 	for range 400 {
-		r := ask(0)
+		r := newTestRequest(0)
 		r.SharedParts = nil
 		a := mustPlace(t, d, now, r)
-		d.RecordResponseStart(now+time.Duration((baseFirst+a.prefill/90)*float64(time.Millisecond)), a)
+		d.RecordResponseStart(now+time.Duration((baseFirstEventTime+a.prefillTokens/90)*float64(time.Millisecond)), a)
 		now += time.Second
 		d.RecordOutcome(now, a, Completed)
 	}
@@ -26,7 +26,7 @@
 	e.ID = "new"
 	all["new"] = e
 	d.SetEndpoints(all)
-	rate := d.rows["new"].rate
+	rate := d.endpoints["new"].prefillRate
 	assert.Assert(t, rate > 75 && rate < 95, "rate %.0f", rate)
 }
 
@@ -37,17 +37,17 @@
 		prompt int
 		room   bool
 	}{{200, true}, {20_000, false}} {
-		d, _ := world(1)
+		d, _ := newTestDispatcher(1)
 		for i := range 300 {
-			r := ask(0)
+			r := newTestRequest(0)
 			r.SharedParts, r.PromptTokens = nil, c.prompt
 			now := time.Duration(i) * 10 * time.Second
 			d.RecordOutcome(now, mustPlace(t, d, now, r), Cancelled)
 		}
 		now := 300 * 10 * time.Second
-		first := mustPlace(t, d, now, ask(0))
+		first := mustPlace(t, d, now, newTestRequest(0))
 		d.RecordEndpointLoad(now, first, dialect.EndpointLoad{Running: 7, Slots: 8})
-		_, reason := d.Place(now, ask(8))
+		_, reason := d.Place(now, newTestRequest(8))
 		assert.Equal(t, reason != NoCapacity, c.room, "prompts of %d tokens: %s", c.prompt, reason)
 	}
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -16,7 +16,7 @@
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{9, 18, 140, 1100} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			d, _ := world(n)
+			d, _ := newTestDispatcher(n)
 			d.SetInstanceCount(n / 2)
 			const prompts = 200
 			for i := range n {
@@ -36,7 +36,7 @@
 			b.ReportAllocs()
 			now := 2 * time.Second
 			for i := range b.N {
-				r := ask(uint64(100 + i%prompts))
+				r := newTestRequest(uint64(100 + i%prompts))
 				now += time.Millisecond
 				began := time.Now()
 				a, _ := d.Place(now, r)
--- a/dispatch/cache_events.go
+++ b/dispatch/cache_events.go
@@ -9,10 +9,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// dropGrace is how long after a request was sent to bring or use a part an
+// evictionGrace is how long after a request was sent to bring or use a part an
 // endpoint's word that it has dropped the part is taken to be older than the
 // request. Such words come some 100 ms late.
-const dropGrace = 500 * time.Millisecond
+const evictionGrace = 500 * time.Millisecond
 
 // RecordCacheEvents takes what an endpoint says that it keeps and has dropped of late. Belief
 // by placement alone counts on parts that were pushed out meanwhile, and each
@@ -22,70 +22,70 @@
 // are mostly the requests' own. A reader that begins with an endpoint cannot know
 // which are shared, and takes all.
 func (d *Dispatcher) RecordCacheEvents(now tables.Instant, endpoint tables.EndpointID, kept, dropped []parts.Key, all bool) {
-	row := d.rows[endpoint]
+	row := d.endpoints[endpoint]
 	if row == nil {
 		return
 	}
 	for _, key := range kept {
-		d.keptOne(now, row, key, all)
+		d.recordStored(now, row, key, all)
 	}
 	for _, key := range dropped {
-		d.droppedOne(now, row, key)
+		d.recordEvicted(now, row, key)
 	}
 }
 
-func (d *Dispatcher) keptOne(now tables.Instant, row *endpointRow, key parts.Key, all bool) {
-	shared := len(d.holders.rows[key]) > 0
+func (d *Dispatcher) recordStored(now tables.Instant, row *endpointRow, key parts.Key, all bool) {
+	shared := len(d.cache.holders[key]) > 0
 	if !shared && !all {
 		return
 	}
 	if d.addHolder(now, row, key) && shared {
-		d.news = append(d.news, CacheUpdate{Endpoint: row.ID, Key: key})
+		d.cacheUpdates = append(d.cacheUpdates, CacheUpdate{Endpoint: row.ID, Key: key})
 	}
 }
 
-func (d *Dispatcher) droppedOne(now tables.Instant, row *endpointRow, key parts.Key) {
-	if d.dropHolder(now, row, key) {
-		d.news = append(d.news, CacheUpdate{Endpoint: row.ID, Key: key, Evicted: true})
+func (d *Dispatcher) recordEvicted(now tables.Instant, row *endpointRow, key parts.Key) {
+	if d.removeHolder(now, row, key) {
+		d.cacheUpdates = append(d.cacheUpdates, CacheUpdate{Endpoint: row.ID, Key: key, Evicted: true})
 	}
 }
 
 // ApplyCacheEvent takes an endpoint's word that another instance has read, and says whether
 // it changed the belief. Parts that nobody has asked for here are passed over.
 func (d *Dispatcher) ApplyCacheEvent(now tables.Instant, p CacheUpdate) (changed bool) {
-	row := d.rows[p.Endpoint]
+	row := d.endpoints[p.Endpoint]
 	switch {
-	case row == nil || len(d.holders.rows[p.Key]) == 0:
+	case row == nil || len(d.cache.holders[p.Key]) == 0:
 		return false
 	case p.Evicted:
-		return d.dropHolder(now, row, p.Key)
+		return d.removeHolder(now, row, p.Key)
 	}
 	return d.addHolder(now, row, p.Key)
 }
 
 // addHolder believes that an endpoint keeps a part, and says whether that is new.
 func (d *Dispatcher) addHolder(now tables.Instant, row *endpointRow, key parts.Key) bool {
-	known := d.holders.rows[key]
+	known := d.cache.holders[key]
 	for i := range known {
 		if known[i].row == row {
-			known[i].ready = min(known[i].ready, now)
+			known[i].readyAt = min(known[i].readyAt, now)
 			return false
 		}
 	}
-	d.holders.rows[key] = append(known, holder{row: row, ready: now, used: now, reportedAt: now})
+	d.cache.holders[key] = append(known, holder{row: row, readyAt: now, usedAt: now, reportedAt: now})
 	d.corrected.Added++
 	return true
 }
 
-// dropHolder believes that an endpoint keeps a part no longer, and says whether that is
+// removeHolder believes that an endpoint keeps a part no longer, and says whether that is
 // new.
-func (d *Dispatcher) dropHolder(now tables.Instant, row *endpointRow, key parts.Key) bool {
-	for _, one := range d.holders.rows[key] {
-		if one.row == row && now-one.placed < dropGrace {
+func (d *Dispatcher) removeHolder(now tables.Instant, row *endpointRow, key parts.Key) bool {
+	for _, one := range d.cache.holders[key] {
+		if one.row == row && now-one.placedAt < evictionGrace {
 			return false
 		}
 	}
-	_, believed := d.holders.drop(key, row)
+	_, believed := d.cache.remove(key, row)
 	if believed {
 		d.corrected.Evicted++
 	}
@@ -113,9 +113,9 @@
 // instance that has just started.
 func (d *Dispatcher) EndpointCaches(now tables.Instant) []EndpointCache {
 	by := map[tables.EndpointID][]parts.Key{}
-	for key := range d.holders.rows {
-		for _, one := range d.holders.of(now, key) {
-			if one.ready <= now {
+	for key := range d.cache.holders {
+		for _, one := range d.cache.holdersOf(now, key) {
+			if one.readyAt <= now {
 				by[one.row.ID] = append(by[one.row.ID], key)
 			}
 		}
--- a/dispatch/demand_test.go
+++ b/dispatch/demand_test.go
@@ -11,14 +11,14 @@
 // to the home would make the answer late to guard against a second reading that
 // hardly ever happens.
 func TestARarePartLeavesABusyHome(t *testing.T) {
-	d, all := world(6)
+	d, all := newTestDispatcher(6)
 	d.SetInstanceCount(9)
-	home := mustPlace(t, d, time.Second, ask(7)).Endpoint.ID
-	fresh, _ := world(6)
+	home := mustPlace(t, d, time.Second, newTestRequest(7)).Endpoint.ID
+	fresh, _ := newTestDispatcher(6)
 	fresh.SetEndpoints(all)
 	fresh.SetInstanceCount(9)
 	fresh.ApplyLoadReport(time.Second, "other", LoadReport{Endpoint: home, Running: 1, MemoryTokens: 20_000, PrefillTokens: 20_000})
-	r := ask(7)
+	r := newTestRequest(7)
 	r.Route.Target = 600 * time.Millisecond
 	assert.Assert(t, mustPlace(t, fresh, time.Second, r).Endpoint.ID != home)
 }
@@ -26,25 +26,25 @@
 // A part is in nearly every prompt, and new weights were named: all instances meet it
 // within the same moment. Each would have it read at another engine.
 func TestACommonPartIsReadAtItsHome(t *testing.T) {
-	d, _ := world(6)
+	d, _ := newTestDispatcher(6)
 	d.SetInstanceCount(9)
 	now := time.Second
 	for range 200 {
-		d.demand.noteOnce(now, ask(7))
+		d.demand.recordOnce(now, newTestRequest(7))
 		now += 20 * time.Millisecond
 	}
-	assert.Assert(t, d.collision(now, ask(7).SharedParts[0].ID) > 0.5)
-	assert.Assert(t, d.collision(now, ask(8).SharedParts[1].ID) < 0.05)
-	assert.Assert(t, d.collision(now+time.Minute, ask(7).SharedParts[0].ID) < 0.05, "demand is forgotten")
+	assert.Assert(t, d.collisionProbability(now, newTestRequest(7).SharedParts[0].ID) > 0.5)
+	assert.Assert(t, d.collisionProbability(now, newTestRequest(8).SharedParts[1].ID) < 0.05)
+	assert.Assert(t, d.collisionProbability(now+time.Minute, newTestRequest(7).SharedParts[0].ID) < 0.05, "demand is forgotten")
 }
 
 // A request that waits is placed again every few milliseconds. Counted each time, its
 // parts would look like common ones.
 func TestARequestCountsOnceAsDemand(t *testing.T) {
-	d, _ := world(2)
-	r := ask(7)
+	d, _ := newTestDispatcher(2)
+	r := newTestRequest(7)
 	for i := range 50 {
-		d.demand.noteOnce(time.Duration(i)*time.Millisecond, r)
+		d.demand.recordOnce(time.Duration(i)*time.Millisecond, r)
 	}
 	assert.Assert(t, d.demand.count(50*time.Millisecond, r.SharedParts[0].ID) <= 1)
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -83,17 +83,17 @@
 func (r *Request) MarkDemandCounted() { r.counted = true }
 
 // sharedTokens is the length of all shared parts.
-func (r *Request) sharedTokens() int { return r.sharedUntil(len(r.SharedParts)) }
+func (r *Request) sharedTokens() int { return r.sharedPrefixTokens(len(r.SharedParts)) }
 
-// sharedUntil is the length of the first so many shared parts.
-func (r *Request) sharedUntil(n int) int {
+// sharedPrefixTokens is the length of the first so many shared parts.
+func (r *Request) sharedPrefixTokens(n int) int {
 	if n == 0 {
 		return 0
 	}
 	return r.SharedParts[n-1].EndTokens
 }
 
-func (r *Request) tried(id tables.EndpointID) bool {
+func (r *Request) hasTried(id tables.EndpointID) bool {
 	for _, t := range r.Tried {
 		if t == id {
 			return true
@@ -102,8 +102,8 @@
 	return false
 }
 
-// tokens is the memory that the request takes at its end.
-func (r *Request) tokens() int { return r.PromptTokens + r.OutputTokens }
+// memoryTokens is the memory that the request takes at its end.
+func (r *Request) memoryTokens() int { return r.PromptTokens + r.OutputTokens }
 
 // Attempt is one try at an endpoint. It counts as load there until End.
 type Attempt struct {
@@ -123,28 +123,28 @@
 	// Rationale is what the choice rested on.
 	Rationale Rationale
 
-	row       *endpointRow
-	began     tables.Instant
-	tokens    int
-	prefill   float64
-	ahead     float64
-	first     bool
-	ended     bool
-	generates bool
-	// trial is set while the attempt counts as one of its endpoint's trials.
-	trial bool
-	// adopted is set if another instance chose the endpoint.
-	adopted bool
-	// stray is set while the attempt counts as a repeat that may have arrived at another
+	row             *endpointRow
+	startedAt       tables.Instant
+	memoryTokens    int
+	prefillTokens   float64
+	queuedPrefill   float64
+	responseStarted bool
+	ended           bool
+	isGeneration    bool
+	// isProbe is set while the attempt counts as one of its endpoint's trials.
+	isProbe bool
+	// remotelyPlaced is set if another instance chose the endpoint.
+	remotelyPlaced bool
+	// unconfirmed is set while the attempt counts as a repeat that may have arrived at another
 	// service, in the slice straySlice.
-	stray      bool
-	straySlice int64
-	// store takes what is read, which holds the endpoint's link for sending
+	unconfirmed      bool
+	unconfirmedSlice int64
+	// storeRow takes what is read, which holds the endpoint's link for sending
 	// milliseconds once it is.
-	store   *endpointRow
-	sending float64
-	// placed are the shared parts that the attempt brings to its endpoint.
-	placed []parts.Key
+	storeRow      *endpointRow
+	storeTransfer float64
+	// addedParts are the shared parts that the attempt brings to its endpoint.
+	addedParts []parts.Key
 }
 
 // HasCacheSource says whether Source is set.
@@ -180,13 +180,13 @@
 	RateLimited
 )
 
-// lastEnd is the end with the highest number.
-const lastEnd = RateLimited
+// lastOutcome is the end with the highest number.
+const lastOutcome = RateLimited
 
 // DecodeOutcome reads an end that another instance sent. One that this version does not know
 // counts as Cancelled, which says nothing of the endpoint.
 func DecodeOutcome(n uint32) Outcome {
-	if n > uint32(lastEnd) {
+	if n > uint32(lastOutcome) {
 		return Cancelled
 	}
 	return Outcome(n)
@@ -216,54 +216,54 @@
 
 // Dispatcher holds what is known of endpoints and of this instance's attempts.
 type Dispatcher struct {
-	options Options
-	rows    map[tables.EndpointID]*endpointRow
+	options   Options
+	endpoints map[tables.EndpointID]*endpointRow
 	// services lists the rows of each service in a fixed order.
 	services map[string][]*endpointRow
 	// populated is set once endpoints are known: those that come later are new.
 	populated bool
 	// stores lists those that keep cached prompts.
-	stores  []*endpointRow
-	weights weights.History
-	budgets map[string]*budget
-	// strays counts the repeats that may have arrived at another service than the one
+	stores       []*endpointRow
+	weights      weights.History
+	retryWindows map[string]*retryWindow
+	// unconfirmedRetries counts the repeats that may have arrived at another service than the one
 	// that was asked for.
-	strays budget
-	peers  int
-	// placers is how many other instances choose endpoints, and remotePlacers those of
+	unconfirmedRetries retryWindow
+	instances          int
+	// schedulers is how many other instances choose endpoints, and remoteSchedulers those of
 	// zones that receive choices later.
-	placers, remotePlacers float64
-	picks                  uint64
-	holders                holders
+	schedulers, remoteSchedulers float64
+	decisions                    uint64
+	cache                        cacheDirectory
 	// averages are by service.
-	averages map[string]*averages
-	demand   demand
-	news     []CacheUpdate
+	averages     map[string]*serviceAverages
+	demand       demandCounter
+	cacheUpdates []CacheUpdate
 	// corrected counts what endpoints' words have changed.
 	corrected CacheCorrections
-	views     []view
-	// viewed counts the views that were made.
-	viewed uint64
+	views     []promptView
+	// lastViewID counts the views that were made.
+	lastViewID uint64
 	// dirty are the rows whose own load is to be reported.
 	dirty []*endpointRow
-	// zoneAnsweredAt is when an endpoint of each zone last answered.
-	zoneAnsweredAt map[tables.Zone]tables.Instant
-	sweptLoads     tables.Instant
+	// zoneRespondedAt is when an endpoint of each zone last answered.
+	zoneRespondedAt map[tables.Zone]tables.Instant
+	loadsSweptAt    tables.Instant
 }
 
 // New returns a Dispatcher that knows of no endpoint.
 func New(options Options) *Dispatcher {
 	return &Dispatcher{
-		options:        options,
-		rows:           map[tables.EndpointID]*endpointRow{},
-		services:       map[string][]*endpointRow{},
-		budgets:        map[string]*budget{},
-		peers:          firstPeers,
-		placers:        firstPeers - 1,
-		averages:       map[string]*averages{},
-		demand:         demand{rows: map[parts.ID]demandRow{}},
-		zoneAnsweredAt: map[tables.Zone]tables.Instant{},
-		holders:        holders{rows: map[parts.Key][]holder{}},
+		options:         options,
+		endpoints:       map[tables.EndpointID]*endpointRow{},
+		services:        map[string][]*endpointRow{},
+		retryWindows:    map[string]*retryWindow{},
+		instances:       defaultInstances,
+		schedulers:      defaultInstances - 1,
+		averages:        map[string]*serviceAverages{},
+		demand:          demandCounter{counts: map[parts.ID]decayedCount{}},
+		zoneRespondedAt: map[tables.Zone]tables.Instant{},
+		cache:           cacheDirectory{holders: map[parts.Key][]holder{}},
 	}
 }
 
@@ -273,26 +273,26 @@
 
 // RecordResponseStart notes that an attempt's endpoint has answered or begun its stream.
 func (d *Dispatcher) RecordResponseStart(now tables.Instant, a *Attempt) {
-	if a.first || a.ended {
+	if a.responseStarted || a.ended {
 		return
 	}
-	a.first = true
-	a.endTrial()
-	d.settleStray(now, a)
-	a.row.present(now)
-	d.zoneAnsweredAt[a.row.Zone] = now
-	a.row.prefill -= a.prefill
-	if a.adopted {
-		a.row.adopted.prefill -= a.prefill
+	a.responseStarted = true
+	a.endProbe()
+	d.releaseUnconfirmed(now, a)
+	a.row.markHealthy(now)
+	d.zoneRespondedAt[a.row.Zone] = now
+	a.row.prefillTokens -= a.prefillTokens
+	if a.remotelyPlaced {
+		a.row.remotelyPlaced.prefillTokens -= a.prefillTokens
 	} else {
-		d.changed(a.row)
+		d.markDirty(a.row)
 	}
-	d.holders.ready(now, a)
-	if a.store != nil {
-		d.transfer(now, a.row, a.sending)
+	d.cache.markReady(now, a)
+	if a.storeRow != nil {
+		d.reserveLink(now, a.row, a.storeTransfer)
 	}
-	if !a.adopted {
-		a.row.learn(a, now-a.began)
+	if !a.remotelyPlaced {
+		a.row.recordLatency(a, now-a.startedAt)
 	}
 }
 
@@ -302,54 +302,54 @@
 		return
 	}
 	a.ended = true
-	a.endTrial()
-	if !a.first {
-		a.row.prefill -= a.prefill
-		d.holders.undo(a)
+	a.endProbe()
+	if !a.responseStarted {
+		a.row.prefillTokens -= a.prefillTokens
+		d.cache.removeAdded(a)
 	}
-	if a.adopted {
-		a.row.adopted.end(a)
+	if a.remotelyPlaced {
+		a.row.remotelyPlaced.remove(a)
 	} else {
-		d.changed(a.row)
+		d.markDirty(a.row)
 	}
-	a.row.own--
-	a.row.tokens -= a.tokens
-	a.row.judge(now, end)
+	a.row.attempts--
+	a.row.memoryTokens -= a.memoryTokens
+	a.row.recordOutcome(now, end)
 	switch end {
 	case Completed, Declined, ConnectionRefused, ConnectTimeout:
-		d.settleStray(now, a)
+		d.releaseUnconfirmed(now, a)
 	case RateLimited:
-		d.settleStray(now, a)
-		a.row.limit.fill(now, limitPause)
+		d.releaseUnconfirmed(now, a)
+		a.row.limit.markExhausted(now, defaultLimitBackoff)
 	}
 	if end == ConnectTimeout {
-		d.doubtZone(now, a.row)
+		d.penalizeZone(now, a.row)
 	}
 }
 
-func (a *Attempt) endTrial() {
-	if a.trial {
-		a.trial = false
-		a.row.trials--
+func (a *Attempt) endProbe() {
+	if a.isProbe {
+		a.isProbe = false
+		a.row.probes--
 	}
 }
 
 // SetReachable notes whether an endpoint takes connections. One that does not gets
 // nothing until it does.
 func (d *Dispatcher) SetReachable(now tables.Instant, id tables.EndpointID, taken bool) {
-	row := d.rows[id]
+	row := d.endpoints[id]
 	if row == nil {
 		return
 	}
-	row.reached(now, taken)
+	row.setReachable(now, taken)
 }
 
 // RecordConnectionRefused notes that an endpoint's address refused a connection, and lets the other
 // instances know.
 func (d *Dispatcher) RecordConnectionRefused(now tables.Instant, id tables.EndpointID) {
-	if row := d.rows[id]; row != nil {
-		row.absent(now + absentRefused)
-		d.changed(row)
+	if row := d.endpoints[id]; row != nil {
+		row.markAbsent(now + refusedAbsence)
+		d.markDirty(row)
 	}
 }
 
@@ -358,23 +358,23 @@
 // times in that time.
 const zoneSilence = 300 * time.Millisecond
 
-// doubtZone makes the other endpoints of a zone doubtful when one of them cannot
+// penalizeZone makes the other endpoints of a zone doubtful when one of them cannot
 // be reached and nothing comes from the zone. When a zone is cut off, each instance
 // would lose requests at every one of its endpoints before it noticed.
-func (d *Dispatcher) doubtZone(now tables.Instant, lost *endpointRow) {
-	if lost.Zone == d.options.Zone || now-d.zoneAnsweredAt[lost.Zone] < zoneSilence {
+func (d *Dispatcher) penalizeZone(now tables.Instant, lost *endpointRow) {
+	if lost.Zone == d.options.Zone || now-d.zoneRespondedAt[lost.Zone] < zoneSilence {
 		return
 	}
-	for _, r := range d.rows {
+	for _, r := range d.endpoints {
 		if r != lost && r.Zone == lost.Zone {
-			r.doubt, r.doubtAt = min(r.doubtNow(now)+zoneDoubt, maxDoubt), now
+			r.failureScore, r.failureScoreTime = min(r.currentFailureScore(now)+zoneFailureScore, maxFailureScore), now
 		}
 	}
 }
 
 // RecordEndpointLoad notes what an endpoint said of its load in an answer.
 func (d *Dispatcher) RecordEndpointLoad(now tables.Instant, a *Attempt, load dialect.EndpointLoad) {
-	a.row.loadAnswered(now, load)
+	a.row.recordLoad(now, load)
 }
 
 // RecordServedVersion notes which version of a model an endpoint has shown to serve.
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -18,8 +18,8 @@
 
 var models = &routes.Service{Name: "models", Slots: 8, CacheTokens: 100_000, Models: []string{"m"}}
 
-// world gives a dispatcher some engines, as many in each of two zones.
-func world(engines int) (*Dispatcher, map[tables.EndpointID]fleet.Endpoint) {
+// newTestDispatcher gives a dispatcher some engines, as many in each of two zones.
+func newTestDispatcher(engines int) (*Dispatcher, map[tables.EndpointID]fleet.Endpoint) {
 	d := New(Options{
 		Zone: "a", Seed: 1, StaleWeightsTimeout: 8 * time.Second, AddressReuseDelay: 2 * time.Second,
 		RetryBudget: RetryBudget{Ratio: 0.2, Extra: 60, Window: 10 * time.Second},
@@ -37,7 +37,7 @@
 	return d, all
 }
 
-func ask(part uint64) *Request {
+func newTestRequest(part uint64) *Request {
 	return &Request{
 		Service: models, Route: &routes.Route{}, Model: "m", PromptTokens: 5000, OutputTokens: 50,
 		SharedParts: []SharedPart{{ID: 1, EndTokens: 2000}, {ID: parts.ID(part), EndTokens: 4000}},
@@ -56,23 +56,23 @@
 // engine does not share what it is still reading, so each would read the whole
 // prompt, and the users pay for every token read twice.
 func TestRequestsWaitForAPromptThatIsBeingRead(t *testing.T) {
-	d, _ := world(4)
-	first := mustPlace(t, d, time.Second, ask(7))
-	waiting, reason := d.Place(time.Second+10*time.Millisecond, ask(7))
+	d, _ := newTestDispatcher(4)
+	first := mustPlace(t, d, time.Second, newTestRequest(7))
+	waiting, reason := d.Place(time.Second+10*time.Millisecond, newTestRequest(7))
 	assert.Assert(t, waiting == nil)
 	assert.Equal(t, reason, PrefillPending)
 
 	d.RecordResponseStart(time.Second+50*time.Millisecond, first)
-	second := mustPlace(t, d, time.Second+60*time.Millisecond, ask(7))
+	second := mustPlace(t, d, time.Second+60*time.Millisecond, newTestRequest(7))
 	assert.Assert(t, second.UncachedTokens <= 1000, "reads %d", second.UncachedTokens)
 }
 
 // A request that has waited for half its target must not wait any longer: its
 // caller would be answered too late, however cheap the answer.
 func TestNobodyWaitsForeverForAPrompt(t *testing.T) {
-	d, _ := world(4)
-	mustPlace(t, d, time.Second, ask(7))
-	impatient := ask(7)
+	d, _ := newTestDispatcher(4)
+	mustPlace(t, d, time.Second, newTestRequest(7))
+	impatient := newTestRequest(7)
 	impatient.PrefillWaitUntil = time.Second
 	mustPlace(t, d, time.Second+10*time.Millisecond, impatient)
 }
@@ -81,11 +81,11 @@
 // other's choice. Sent to two engines, it would be read twice.
 func TestInstancesSendANewPromptToOnePlace(t *testing.T) {
 	for part := uint64(2); part < 30; part++ {
-		one, all := world(6)
+		one, all := newTestDispatcher(6)
 		other := New(Options{Zone: "b", Seed: 99})
 		other.SetEndpoints(all)
-		a := mustPlace(t, one, time.Second, ask(part))
-		b := mustPlace(t, other, time.Second, ask(part))
+		a := mustPlace(t, one, time.Second, newTestRequest(part))
+		b := mustPlace(t, other, time.Second, newTestRequest(part))
 		assert.Equal(t, a.Endpoint.ID, b.Endpoint.ID)
 	}
 }
@@ -93,16 +93,16 @@
 // Another instance has placed a prompt. Without its word the prompt would be
 // read once more at another engine.
 func TestWhatOthersPlacedIsFetched(t *testing.T) {
-	one, all := world(6)
+	one, all := newTestDispatcher(6)
 	other := New(Options{Zone: "b", Seed: 99})
 	other.SetEndpoints(all)
-	placed := mustPlace(t, one, time.Second, ask(7))
+	placed := mustPlace(t, one, time.Second, newTestRequest(7))
 	for _, p := range one.TakeCacheUpdates() {
 		other.ApplyCacheUpdate(time.Second, p)
 	}
-	busy := other.rows[placed.Endpoint.ID]
-	busy.own = models.Slots // no room there
-	got := mustPlace(t, other, 2*time.Second, ask(7))
+	busy := other.endpoints[placed.Endpoint.ID]
+	busy.attempts = models.Slots // no room there
+	got := mustPlace(t, other, 2*time.Second, newTestRequest(7))
 	assert.Assert(t, got.Endpoint.ID != placed.Endpoint.ID)
 	assert.Equal(t, got.CacheSource.ID, placed.Endpoint.ID)
 	assert.Assert(t, got.UncachedTokens <= 1000, "reads %d", got.UncachedTokens)
@@ -111,10 +111,10 @@
 // An engine declines a request that was to bring a prompt there. Others that
 // count on the prompt would find nothing and read it at two places.
 func TestADeclinedAttemptBringsNothing(t *testing.T) {
-	d, _ := world(4)
-	a := mustPlace(t, d, time.Second, ask(7))
+	d, _ := newTestDispatcher(4)
+	a := mustPlace(t, d, time.Second, newTestRequest(7))
 	d.RecordOutcome(time.Second+time.Millisecond, a, Declined)
-	again := ask(7)
+	again := newTestRequest(7)
 	again.Tried = []tables.EndpointID{a.Endpoint.ID}
 	b := mustPlace(t, d, time.Second+2*time.Millisecond, again)
 	assert.Equal(t, b.UncachedTokens, 5000)
@@ -124,15 +124,15 @@
 // Weights are changed while prompts are cached. A prompt that was made under
 // the old weights must be neither used nor fetched for the new ones.
 func TestPromptsOfOtherWeightsAreNotShared(t *testing.T) {
-	d, all := world(2)
-	a := mustPlace(t, d, time.Second, ask(7))
+	d, all := newTestDispatcher(2)
+	a := mustPlace(t, d, time.Second, newTestRequest(7))
 	d.RecordResponseStart(time.Second, a)
 	for id, e := range all {
 		e.Weights = map[string]uint64{"m": 2}
 		all[id] = e
 	}
 	d.SetEndpoints(all)
-	b := mustPlace(t, d, 2*time.Second, ask(7))
+	b := mustPlace(t, d, 2*time.Second, newTestRequest(7))
 	assert.Equal(t, b.WeightsVersion, uint64(2))
 	assert.Equal(t, b.UncachedTokens, 5000)
 	assert.Equal(t, b.HasCacheSource(), false)
@@ -141,27 +141,27 @@
 // An engine is being ordered to load weights, or leaves. Work sent there would
 // be declined or cut off.
 func TestEnginesThatLoadOrLeaveGetNothing(t *testing.T) {
-	d, all := world(2)
+	d, all := newTestDispatcher(2)
 	loading, leaving := all["e0"], all["e1"]
 	loading.Loading = true
 	leaving.Draining = true
 	all["e0"], all["e1"] = loading, leaving
 	d.SetEndpoints(all)
-	_, reason := d.Place(time.Second, ask(7))
+	_, reason := d.Place(time.Second, newTestRequest(7))
 	assert.Equal(t, reason, NoEndpoint)
 }
 
 // New weights were named long ago and one engine still has the old ones. A
 // request that begins there then breaks the bound that callers were promised.
 func TestOldWeightsAreNotUsedAfterTheirTime(t *testing.T) {
-	d, _ := world(2)
-	named(d, 2, time.Second)
-	mustPlace(t, d, 2*time.Second, ask(7))
-	_, reason := d.Place(time.Second+8*time.Second-staleMargin, ask(8))
+	d, _ := newTestDispatcher(2)
+	recordVersion(d, 2, time.Second)
+	mustPlace(t, d, 2*time.Second, newTestRequest(7))
+	_, reason := d.Place(time.Second+8*time.Second-staleMargin, newTestRequest(8))
 	assert.Equal(t, reason, NoEndpoint)
 }
 
-func named(d *Dispatcher, version uint64, at tables.Instant) {
+func recordVersion(d *Dispatcher, version uint64, at tables.Instant) {
 	d.RecordWeightsVersion(weights.TargetVersion{Model: "m", Version: version, SetAt: at})
 }
 
@@ -169,24 +169,24 @@
 // an engine stays at the first. Were its time counted from the newest version,
 // callers would be answered from weights that were replaced long before.
 func TestEachNamingDoesNotGiveOldWeightsMoreTime(t *testing.T) {
-	d, _ := world(1)
+	d, _ := newTestDispatcher(1)
 	for version := uint64(2); version <= 4; version++ {
-		named(d, version, time.Duration(version)*3*time.Second)
+		recordVersion(d, version, time.Duration(version)*3*time.Second)
 	}
 	limit := 6*time.Second + 8*time.Second - staleMargin
-	mustPlace(t, d, limit-time.Millisecond, ask(7))
-	_, reason := d.Place(limit, ask(8))
+	mustPlace(t, d, limit-time.Millisecond, newTestRequest(7))
+	_, reason := d.Place(limit, newTestRequest(8))
 	assert.Equal(t, reason, NoEndpoint)
 }
 
 // A part of the engines break every connection while they say that they are
 // well. Callers notice failed requests as long as these engines get any.
 func TestEnginesThatFailGetLess(t *testing.T) {
-	d, _ := world(4)
+	d, _ := newTestDispatcher(4)
 	bad, count := tables.EndpointID("e2"), 0
 	for i := range 400 {
 		now := time.Second + time.Duration(i)*20*time.Millisecond
-		r := ask(0)
+		r := newTestRequest(0)
 		r.SharedParts = nil
 		a := mustPlace(t, d, now, r)
 		if a.Endpoint.ID == bad {
@@ -203,21 +203,21 @@
 // All engines have as many requests as they run at once. What is sent on would
 // wait there, where it can no longer be refused truthfully.
 func TestFullEnginesGetNothing(t *testing.T) {
-	d, _ := world(2)
+	d, _ := newTestDispatcher(2)
 	for i := range 2 * models.Slots {
-		r := ask(uint64(100 + i))
+		r := newTestRequest(uint64(100 + i))
 		r.PromptTokens, r.SharedParts = 100, nil
 		mustPlace(t, d, time.Second, r)
 	}
-	_, reason := d.Place(time.Second, ask(7))
+	_, reason := d.Place(time.Second, newTestRequest(7))
 	assert.Equal(t, reason, NoCapacity)
 }
 
 // A prompt is larger than any engine's memory. Sent on it would be declined by
 // one engine after the other until its caller gives up.
 func TestWhatNeverFitsIsRefusedAtOnce(t *testing.T) {
-	d, _ := world(2)
-	r := ask(7)
+	d, _ := newTestDispatcher(2)
+	r := newTestRequest(7)
 	r.PromptTokens = models.CacheTokens + 1
 	_, reason := d.Place(time.Second, r)
 	assert.Equal(t, reason, TooLarge)
@@ -226,32 +226,32 @@
 // An engine restarts under its identity. What was known of its memory and its
 // load is over; requests would be sent after prompts that are gone.
 func TestANewLifeHasAnEmptyMemory(t *testing.T) {
-	d, all := world(1)
-	a := mustPlace(t, d, time.Second, ask(7))
+	d, all := newTestDispatcher(1)
+	a := mustPlace(t, d, time.Second, newTestRequest(7))
 	d.RecordResponseStart(time.Second, a)
 	reborn := all["e0"]
 	reborn.Born = 2
 	all["e0"] = reborn
 	d.SetEndpoints(all)
 	d.RecordOutcome(2*time.Second, a, Broken) // of the former life
-	b := mustPlace(t, d, 2*time.Second, ask(7))
+	b := mustPlace(t, d, 2*time.Second, newTestRequest(7))
 	assert.Equal(t, b.UncachedTokens, 5000)
-	assert.Equal(t, d.rows["e0"].own, 1)
+	assert.Equal(t, d.endpoints["e0"].attempts, 1)
 }
 
 // Engines differ in speed threefold and say nothing of it. A slow one that gets
 // as much as the others makes its callers wait.
 func TestSpeedIsLearned(t *testing.T) {
-	d, _ := world(2)
+	d, _ := newTestDispatcher(2)
 	count := map[tables.EndpointID]int{}
 	for i := range 300 {
 		now := time.Second + time.Duration(i)*200*time.Millisecond
-		r := ask(0)
+		r := newTestRequest(0)
 		r.SharedParts = nil
 		a := mustPlace(t, d, now, r)
 		count[a.Endpoint.ID]++
 		perMS := map[tables.EndpointID]float64{"e0": 20, "e1": 60}[a.Endpoint.ID]
-		took := time.Duration((baseFirst + 5000/perMS) * float64(time.Millisecond))
+		took := time.Duration((baseFirstEventTime + 5000/perMS) * float64(time.Millisecond))
 		d.RecordResponseStart(now+took, a)
 		d.RecordOutcome(now+took, a, Completed)
 	}
@@ -259,10 +259,10 @@
 }
 
 func TestLoadOfOthersIsHeard(t *testing.T) {
-	d, _ := world(2)
-	a := mustPlace(t, d, time.Second, ask(7))
+	d, _ := newTestDispatcher(2)
+	a := mustPlace(t, d, time.Second, newTestRequest(7))
 	d.RecordEndpointLoad(time.Second, a, dialect.EndpointLoad{Running: 8, Waiting: 4, Slots: 8})
-	other := ask(8)
+	other := newTestRequest(8)
 	other.SharedParts = nil
 	b := mustPlace(t, d, time.Second, other)
 	assert.Assert(t, b.Endpoint.ID != a.Endpoint.ID)
@@ -271,11 +271,11 @@
 // A zone is cut off and takes no connections. An instance that had to find out
 // at each endpoint of the zone would lose a request at every one of them.
 func TestALostEndpointCastsDoubtOnItsZone(t *testing.T) {
-	d, _ := world(8)
+	d, _ := newTestDispatcher(8)
 	lost := 0
 	for i := range 200 {
 		now := time.Second + time.Duration(i)*5*time.Millisecond
-		r := ask(0)
+		r := newTestRequest(0)
 		r.PromptTokens, r.SharedParts = 100, nil
 		a := mustPlace(t, d, now, r)
 		if a.Endpoint.Zone == "b" {
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// firstService is the time of a plain call before any was measured, in
+	// defaultServiceTime is the time of a plain call before any was measured, in
 	// milliseconds.
-	firstService = 50.0
-	// learnPart is the weight of one measurement.
-	learnPart = 0.15
-	// minLearnTokens is the least prefill that says something of speed.
-	minLearnTokens = 400
-	// baseFirst is the part of the time to a first event that is not prefill, in
+	defaultServiceTime = 50.0
+	// sampleWeight is the weight of one measurement.
+	sampleWeight = 0.15
+	// minSampleTokens is the least prefill that says something of speed.
+	minSampleTokens = 400
+	// baseFirstEventTime is the part of the time to a first event that is not prefill, in
 	// milliseconds: network, the step that is running and the first token.
-	baseFirst = 15.0
-	// loadKeep is the time constant with which what an endpoint said of its
+	baseFirstEventTime = 15.0
+	// loadDecay is the time constant with which what an endpoint said of its
 	// load loses its worth. Requests last for about a second.
-	loadKeep = time.Second
+	loadDecay = time.Second
 )
 
 // row is what this instance knows of an endpoint.
@@ -37,71 +37,71 @@
 	listed fleet.Endpoint
 	// hash is that of the identity, for the choice of homes.
 	hash uint64
-	// own counts attempts that have not ended, tokens their memory, prefill the
+	// attempts counts attempts that have not ended, tokens their memory, prefill the
 	// prompt tokens of those without a first event.
-	own     int
-	tokens  int
-	prefill float64
-	// adopted is the part of own that other instances have chosen and report.
-	adopted adopted
+	attempts      int
+	memoryTokens  int
+	prefillTokens float64
+	// remotelyPlaced is the part of own that other instances have chosen and report.
+	remotelyPlaced remoteAttempts
 	// reported is what other instances have here, and loadReportedAt when this one's own
 	// load was last reported; dirty is set while a change is to be.
-	reported       reported
+	reported       reportedLoads
 	loadReportedAt tables.Instant
 	dirty          bool
-	// others is what instances that report nothing had at the endpoint at othersAt, by
+	// unreported is what instances that report nothing had at the endpoint at othersAt, by
 	// the endpoint's answers, and waiting how many of it had not begun.
-	others   float64
-	waiting  float64
-	othersAt tables.Instant
-	// rate is the prefill speed in tokens a millisecond, service the mean time
+	unreported       float64
+	unreportedQueued float64
+	unreportedAt     tables.Instant
+	// prefillRate is the prefill speed in tokens a millisecond, service the mean time
 	// of a plain call in milliseconds.
-	rate    float64
-	service float64
+	prefillRate float64
+	serviceTime float64
 	// averages are those of the endpoint's service.
-	averages *averages
+	averages *serviceAverages
 	availability
-	limit limit
-	// linkFree is when the transfers that are known of have ended.
-	linkFree tables.Instant
-	// stamp is that of the last view in which the endpoint held some beginning of the
+	limit rateLimitState
+	// linkFreeAt is when the transfers that are known of have ended.
+	linkFreeAt tables.Instant
+	// viewID is that of the last view in which the endpoint held some beginning of the
 	// prompt, and has how many parts of it.
-	stamp uint64
-	has   int
-	// gone is set once the endpoint is no longer listed.
-	gone bool
-	// store is set for a store of cached prompts, which takes no requests.
-	store bool
+	viewID      uint64
+	cachedParts int
+	// removed is set once the endpoint is no longer listed.
+	removed bool
+	// isStore is set for a isStore of cached prompts, which takes no requests.
+	isStore bool
 }
 
 // SetEndpoints takes over the endpoints that are known now. It costs little where few have
 // changed: it is called at every change of any of them.
 func (d *Dispatcher) SetEndpoints(endpoints map[tables.EndpointID]fleet.Endpoint) {
 	regroup := false
-	for id, r := range d.rows {
+	for id, r := range d.endpoints {
 		if _, present := endpoints[id]; !present {
-			r.gone = true
-			delete(d.rows, id)
+			r.removed = true
+			delete(d.endpoints, id)
 			regroup = true
 		}
 	}
 	for id, e := range endpoints {
-		if d.enter(id, e) {
+		if d.upsert(id, e) {
 			regroup = true
 		}
 	}
 	if regroup {
-		d.group()
+		d.rebuildServices()
 	}
 	d.populated = true
 }
 
-// group lists the rows of each service anew.
-func (d *Dispatcher) group() {
+// rebuildServices lists the rows of each service anew.
+func (d *Dispatcher) rebuildServices() {
 	clear(d.services)
 	d.stores = d.stores[:0]
-	for _, r := range d.rows {
-		if r.store {
+	for _, r := range d.endpoints {
+		if r.isStore {
 			d.stores = append(d.stores, r)
 			continue
 		}
@@ -112,17 +112,17 @@
 	}
 }
 
-// enter takes over an endpoint, and says whether that makes a new row.
-func (d *Dispatcher) enter(id tables.EndpointID, e fleet.Endpoint) bool {
-	known := d.rows[id]
+// upsert takes over an endpoint, and says whether that makes a new row.
+func (d *Dispatcher) upsert(id tables.EndpointID, e fleet.Endpoint) bool {
+	known := d.endpoints[id]
 	if known == nil || known.Born != e.Born || known.Address != e.Address || known.Service != e.Service {
 		if known != nil {
-			known.gone = true
+			known.removed = true
 		}
-		d.rows[id] = &endpointRow{
-			Endpoint: e, listed: e, store: e.Store, hash: xxhash.Sum64String(string(id)), service: firstService,
-			averages: d.averagesOf(e.Service), rate: d.averagesOf(e.Service).rate(),
-			availability: availability{probation: d.populated},
+		d.endpoints[id] = &endpointRow{
+			Endpoint: e, listed: e, isStore: e.Store, hash: xxhash.Sum64String(string(id)), serviceTime: defaultServiceTime,
+			averages: d.averagesOf(e.Service), prefillRate: d.averagesOf(e.Service).prefillRate(),
+			availability: availability{halfOpen: d.populated},
 		}
 		return true
 	}
@@ -132,9 +132,9 @@
 	known.listed = e
 	// What an answer has shown is newer than what the table says.
 	shown := known.Weights
-	known.probation = known.probation || known.Loading && !e.Loading
+	known.halfOpen = known.halfOpen || known.Loading && !e.Loading
 	if !maps.Equal(shown, e.Weights) {
-		known.relisted()
+		known.clearAbsence()
 	}
 	known.Endpoint = e.Clone()
 	for model, version := range shown {
@@ -143,41 +143,41 @@
 	return false
 }
 
-func (r *endpointRow) loadAnswered(now tables.Instant, load dialect.EndpointLoad) {
-	r.others = float64(max(0, load.Running+load.Waiting-r.own-r.reported.running))
-	r.waiting = min(float64(load.Waiting), r.others)
-	r.othersAt = now
+func (r *endpointRow) recordLoad(now tables.Instant, load dialect.EndpointLoad) {
+	r.unreported = float64(max(0, load.Running+load.Waiting-r.attempts-r.reported.running))
+	r.unreportedQueued = min(float64(load.Waiting), r.unreported)
+	r.unreportedAt = now
 }
 
-// othersNow is the estimate of other instances' attempts.
-func (r *endpointRow) othersNow(now tables.Instant) float64 {
-	return float64(r.reported.running) + r.unreportedNow(now)
+// otherAttempts is the estimate of other instances' attempts.
+func (r *endpointRow) otherAttempts(now tables.Instant) float64 {
+	return float64(r.reported.running) + r.unreportedAttempts(now)
 }
 
-// unreportedNow is the estimate of those that nobody reports.
-func (r *endpointRow) unreportedNow(now tables.Instant) float64 {
-	if r.others == 0 {
+// unreportedAttempts is the estimate of those that nobody reports.
+func (r *endpointRow) unreportedAttempts(now tables.Instant) float64 {
+	if r.unreported == 0 {
 		return 0
 	}
-	return r.others * decay(now-r.othersAt, loadKeep)
+	return r.unreported * decay(now-r.unreportedAt, loadDecay)
 }
 
 func decay(age, constant time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(constant))
 }
 
-// learn takes in the time to a first event or answer.
-func (r *endpointRow) learn(a *Attempt, took time.Duration) {
+// recordLatency takes in the time to a first event or answer.
+func (r *endpointRow) recordLatency(a *Attempt, took time.Duration) {
 	ms := float64(took) / float64(time.Millisecond)
-	if !a.generates {
-		r.service += learnPart * (ms - r.service)
+	if !a.isGeneration {
+		r.serviceTime += sampleWeight * (ms - r.serviceTime)
 		return
 	}
-	work := a.prefill + a.ahead
-	if work < minLearnTokens {
+	work := a.prefillTokens + a.queuedPrefill
+	if work < minSampleTokens {
 		return
 	}
-	perToken := max(ms-baseFirst, 1) / work
-	r.rate = 1 / (1/r.rate + learnPart*(perToken-1/r.rate))
-	r.averages.measured(perToken)
+	perToken := max(ms-baseFirstEventTime, 1) / work
+	r.prefillRate = 1 / (1/r.prefillRate + sampleWeight*(perToken-1/r.prefillRate))
+	r.averages.addPrefillTime(perToken)
 }
--- a/dispatch/lateness_test.go
+++ b/dispatch/lateness_test.go
@@ -18,8 +18,8 @@
 		queue int
 		stays bool
 	}{{10_000, true}, {30_000, false}} {
-		d, _ := world(2)
-		r := ask(7)
+		d, _ := newTestDispatcher(2)
+		r := newTestRequest(7)
 		r.Route.Target = 600 * time.Millisecond
 		first := mustPlace(t, d, time.Second, r)
 		d.RecordResponseStart(2*time.Second, first)
@@ -34,15 +34,15 @@
 // wherever it is made; read elsewhere, the prompt would push out what others need, for
 // nothing.
 func TestAHopelessRequestStaysWithItsPrompt(t *testing.T) {
-	d, _ := world(2)
-	r := ask(7)
+	d, _ := newTestDispatcher(2)
+	r := newTestRequest(7)
 	r.Route.Target = 600 * time.Millisecond
 	first := mustPlace(t, d, time.Second, r)
-	read := first.ExpectedLatency // as fast as was expected, so that nothing is learned
-	d.RecordResponseStart(time.Second+read, first)
-	d.RecordOutcome(time.Second+read, first, Completed)
+	latency := first.ExpectedLatency // as fast as was expected, so that nothing is learned
+	d.RecordResponseStart(time.Second+latency, first)
+	d.RecordOutcome(time.Second+latency, first, Completed)
 	for id, queue := range map[bool]int{true: 120_000, false: 60_000} {
-		for _, row := range d.rows {
+		for _, row := range d.endpoints {
 			if (row.ID == first.Endpoint.ID) == id {
 				d.ApplyLoadReport(3*time.Second, "other", LoadReport{Endpoint: row.ID, Running: 1, MemoryTokens: 1, PrefillTokens: queue})
 			}
@@ -54,15 +54,15 @@
 // An expected wait within the target costs little, however it compares to others; one
 // beyond it costs a late answer, and not more with each second.
 func TestLatenessIsBounded(t *testing.T) {
-	r := ask(7)
+	r := newTestRequest(7)
 	r.Route.Target = 600 * time.Millisecond
 	r.ArrivedAt = time.Second
 	late := lateCost * 600
-	assert.Assert(t, r.lateness(time.Second, 150) < late/20)
-	assert.Assert(t, r.lateness(time.Second, 300) < late/6)
-	assert.Assert(t, r.lateness(time.Second, 1200) > late/2)
-	assert.Assert(t, r.lateness(time.Second, 10_000) < late+waitCost*10_000)
-	assert.Assert(t, r.lateness(2*time.Second, 150) > late/2, "what it has waited counts")
+	assert.Assert(t, r.latenessCost(time.Second, 150) < late/20)
+	assert.Assert(t, r.latenessCost(time.Second, 300) < late/6)
+	assert.Assert(t, r.latenessCost(time.Second, 1200) > late/2)
+	assert.Assert(t, r.latenessCost(time.Second, 10_000) < late+waitCost*10_000)
+	assert.Assert(t, r.latenessCost(2*time.Second, 150) > late/2, "what it has waited counts")
 }
 
 // A request comes while another one has its prompt read behind a queue, which will take
@@ -73,9 +73,9 @@
 		tokens int
 		waits  bool
 	}{{14_000, true}, {90, false}} {
-		d, all := world(4)
+		d, all := newTestDispatcher(4)
 		request := func() *Request {
-			r := ask(7)
+			r := newTestRequest(7)
 			r.Route = &routes.Route{Target: 400 * time.Millisecond}
 			r.SharedParts = r.SharedParts[1:]
 			r.SharedParts[0].EndTokens, r.PromptTokens = c.tokens, c.tokens+300
--- a/dispatch/links.go
+++ b/dispatch/links.go
@@ -14,34 +14,34 @@
 // The sending link is not counted: a store's is faster than an engine's, and would be
 // taken for busy whenever the receiving one is.
 const (
-	// assumedTransfer is how long a link is busy with one token where nothing is
+	// defaultTransferTime is how long a link is busy with one token where nothing is
 	// declared, in milliseconds; a tenth of what reading it takes.
-	assumedTransfer = 0.0066
-	// remoteTransfer is how many times longer a transfer between zones takes, as the
+	defaultTransferTime = 0.0066
+	// crossZoneTransferFactor is how many times longer a transfer between zones takes, as the
 	// platform says.
-	remoteTransfer = 2.0
+	crossZoneTransferFactor = 2.0
 )
 
 // transferTime is how long a token is on the way from one endpoint to another, in
 // milliseconds.
 func (r *Request) transferTime(from, to *endpointRow) float64 {
-	perToken := assumedTransfer
+	perToken := defaultTransferTime
 	if r.Service.TransferTime > 0 {
 		perToken = milliseconds(r.Service.TransferTime)
 	}
 	if from.Zone != to.Zone {
-		perToken *= remoteTransfer
+		perToken *= crossZoneTransferFactor
 	}
 	return perToken
 }
 
-// linkBusy is for how long the endpoint's link is still busy.
-func (r *endpointRow) linkBusy(now tables.Instant) time.Duration { return max(0, r.linkFree-now) }
+// linkBusyFor is for how long the endpoint's link is still busy.
+func (r *endpointRow) linkBusyFor(now tables.Instant) time.Duration { return max(0, r.linkFreeAt-now) }
 
-// transfer counts a transfer on an endpoint's link.
-func (d *Dispatcher) transfer(now tables.Instant, row *endpointRow, ms float64) {
-	row.linkFree = max(row.linkFree, now) + time.Duration(ms*float64(time.Millisecond))
-	d.changed(row)
+// reserveLink counts a reserveLink on an endpoint's link.
+func (d *Dispatcher) reserveLink(now tables.Instant, row *endpointRow, ms float64) {
+	row.linkFreeAt = max(row.linkFreeAt, now) + time.Duration(ms*float64(time.Millisecond))
+	d.markDirty(row)
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/dispatch/load_reports.go
+++ b/dispatch/load_reports.go
@@ -21,59 +21,59 @@
 }
 
 const (
-	// loadAgain is after how long a load that has not changed is reported again: a
+	// loadReportInterval is after how long a load that has not changed is reported again: a
 	// datagram may be lost.
-	loadAgain = time.Second
-	// loadGone is after how long a load that is not reported again counts no more:
+	loadReportInterval = time.Second
+	// loadReportTTL is after how long a load that is not reported again counts no more:
 	// its instance is gone or cut off.
-	loadGone = 2500 * time.Millisecond
-	// sweepLoads is the time between two looks for loads that are gone.
-	sweepLoads = 500 * time.Millisecond
+	loadReportTTL = 2500 * time.Millisecond
+	// loadSweepInterval is the time between two looks for loads that are gone.
+	loadSweepInterval = 500 * time.Millisecond
 )
 
-// reported is what other instances have at an endpoint, by their reports.
-type reported struct {
-	by map[tables.InstanceID]reportedLoad
-	// running, tokens and prefill are the sums.
-	running, tokens, prefill int
+// reportedLoads is what other instances have at an endpoint, by their reports.
+type reportedLoads struct {
+	byInstance map[tables.InstanceID]reportedLoad
+	// running, memoryTokens and prefillTokens are the sums.
+	running, memoryTokens, prefillTokens int
 }
 
 type reportedLoad struct {
 	LoadReport
-	at tables.Instant
+	receivedAt tables.Instant
 }
 
 // set takes the newest report of an instance.
-func (r *reported) set(now tables.Instant, by tables.InstanceID, l LoadReport) {
-	r.drop(by)
+func (r *reportedLoads) set(now tables.Instant, by tables.InstanceID, l LoadReport) {
+	r.remove(by)
 	if l.Running == 0 {
 		return
 	}
-	if r.by == nil {
-		r.by = map[tables.InstanceID]reportedLoad{}
+	if r.byInstance == nil {
+		r.byInstance = map[tables.InstanceID]reportedLoad{}
 	}
-	r.by[by] = reportedLoad{LoadReport: l, at: now}
+	r.byInstance[by] = reportedLoad{LoadReport: l, receivedAt: now}
 	r.running += l.Running
-	r.tokens += l.MemoryTokens
-	r.prefill += l.PrefillTokens
+	r.memoryTokens += l.MemoryTokens
+	r.prefillTokens += l.PrefillTokens
 }
 
-func (r *reported) drop(by tables.InstanceID) {
-	before, known := r.by[by]
+func (r *reportedLoads) remove(by tables.InstanceID) {
+	before, known := r.byInstance[by]
 	if !known {
 		return
 	}
-	delete(r.by, by)
+	delete(r.byInstance, by)
 	r.running -= before.Running
-	r.tokens -= before.MemoryTokens
-	r.prefill -= before.PrefillTokens
+	r.memoryTokens -= before.MemoryTokens
+	r.prefillTokens -= before.PrefillTokens
 }
 
-// sweep forgets instances that are silent.
-func (r *reported) sweep(now tables.Instant) {
-	for by, l := range r.by {
-		if now-l.at > loadGone {
-			r.drop(by)
+// removeExpired forgets instances that are silent.
+func (r *reportedLoads) removeExpired(now tables.Instant) {
+	for by, l := range r.byInstance {
+		if now-l.receivedAt > loadReportTTL {
+			r.remove(by)
 		}
 	}
 }
@@ -83,25 +83,25 @@
 // hundred engines it meets one engine every ten seconds, and queues form before
 // some while others rest.
 func (d *Dispatcher) ApplyLoadReport(now tables.Instant, by tables.InstanceID, l LoadReport) {
-	if row := d.rows[l.Endpoint]; row != nil {
+	if row := d.endpoints[l.Endpoint]; row != nil {
 		row.reported.set(now, by, l)
-		row.linkFree = max(row.linkFree, now+l.LinkBusy)
+		row.linkFreeAt = max(row.linkFreeAt, now+l.LinkBusy)
 		if l.AbsentFor > 0 {
-			row.absent(now + min(l.AbsentFor, maxAbsent))
+			row.markAbsent(now + min(l.AbsentFor, maxAbsence))
 		}
-		row.limit.take(now, l.Limit)
+		row.limit.merge(now, l.Limit)
 	}
 }
 
 // TakeLoadReports returns what has changed of this instance's own load since the last
 // call, and what has to be reported again.
 func (d *Dispatcher) TakeLoadReports(now tables.Instant) []LoadReport {
-	if now-d.sweptLoads > sweepLoads {
-		d.sweptLoads = now
-		for _, row := range d.rows {
-			row.reported.sweep(now)
-			if (row.own > row.adopted.own || row.limit.Limited) && now-row.loadReportedAt > loadAgain {
-				d.changed(row)
+	if now-d.loadsSweptAt > loadSweepInterval {
+		d.loadsSweptAt = now
+		for _, row := range d.endpoints {
+			row.reported.removeExpired(now)
+			if (row.attempts > row.remotelyPlaced.attempts || row.limit.Limited) && now-row.loadReportedAt > loadReportInterval {
+				d.markDirty(row)
 			}
 		}
 	}
@@ -109,10 +109,10 @@
 	for _, row := range d.dirty {
 		row.dirty = false
 		row.loadReportedAt = now
-		if !row.gone {
+		if !row.removed {
 			loads = append(loads, LoadReport{
-				Endpoint: row.ID, Running: row.own - row.adopted.own, MemoryTokens: row.tokens - row.adopted.tokens,
-				PrefillTokens: int(row.prefill - row.adopted.prefill), LinkBusy: row.linkBusy(now), AbsentFor: row.absence(now),
+				Endpoint: row.ID, Running: row.attempts - row.remotelyPlaced.attempts, MemoryTokens: row.memoryTokens - row.remotelyPlaced.memoryTokens,
+				PrefillTokens: int(row.prefillTokens - row.remotelyPlaced.prefillTokens), LinkBusy: row.linkBusyFor(now), AbsentFor: row.absentFor(now),
 				Limit: row.limit.report(now),
 			})
 		}
@@ -121,8 +121,8 @@
 	return loads
 }
 
-// changed notes that this instance's load of an endpoint is to be reported.
-func (d *Dispatcher) changed(row *endpointRow) {
+// markDirty notes that this instance's load of an endpoint is to be reported.
+func (d *Dispatcher) markDirty(row *endpointRow) {
 	if !row.dirty {
 		row.dirty = true
 		d.dirty = append(d.dirty, row)
--- a/dispatch/load_reports_test.go
+++ b/dispatch/load_reports_test.go
@@ -21,14 +21,14 @@
 // that a prompt waits at its engine is worked out here; with loads told every 20
 // ms the mean wait must be less than half of what it is without.
 func TestInstancesThatTellTheirLoadsFormShorterQueues(t *testing.T) {
-	blind, told := meanWait(t, false), meanWait(t, true)
-	t.Logf("mean wait %v when nobody tells, %v when all do", blind, told)
-	assert.Assert(t, told < blind/2, "%v against %v", told, blind)
+	withoutReports, withReports := meanWait(t, false), meanWait(t, true)
+	t.Logf("mean wait %v when nobody tells, %v when all do", withoutReports, withReports)
+	assert.Assert(t, withReports < withoutReports/2, "%v against %v", withReports, withoutReports)
 }
 
 // meanWait plays the load and returns the mean time from placing to the first
 // event that is spent behind other prompts.
-func meanWait(t *testing.T, tell bool) time.Duration {
+func meanWait(t *testing.T, exchange bool) time.Duration {
 	t.Helper()
 	const (
 		instances = 30
@@ -43,7 +43,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	var all []*Dispatcher
 	for i := range instances {
-		d, _ := world(engines)
+		d, _ := newTestDispatcher(engines)
 		d.options.Seed = uint64(i)
 		all = append(all, d)
 	}
@@ -55,10 +55,10 @@
 	free := map[tables.EndpointID]tables.Instant{}
 	var open []running
 	var waited time.Duration
-	now, toldAt := time.Second, time.Second
+	now, exchangedAt := time.Second, time.Second
 	for range requests {
 		now += gap
-		open = keep(open, func(r running) bool {
+		open = filterInPlace(open, func(r running) bool {
 			if r.first > now {
 				return true
 			}
@@ -66,8 +66,8 @@
 			r.by.RecordOutcome(r.first, r.a, Completed)
 			return false
 		})
-		if tell && now-toldAt >= period {
-			toldAt = now
+		if exchange && now-exchangedAt >= period {
+			exchangedAt = now
 			for i, from := range all {
 				for _, l := range from.TakeLoadReports(now) {
 					for j, to := range all {
@@ -79,7 +79,7 @@
 			}
 		}
 		d := all[rng.IntN(instances)]
-		r := ask(0)
+		r := newTestRequest(0)
 		r.SharedParts, r.PromptTokens = nil, int(500+rng.ExpFloat64()*2000)
 		a, _ := d.Place(now, r)
 		if a == nil {
@@ -94,7 +94,7 @@
 	return waited / requests
 }
 
-func keep[T any](all []T, stays func(T) bool) []T {
+func filterInPlace[T any](all []T, stays func(T) bool) []T {
 	kept := all[:0]
 	for _, one := range all {
 		if stays(one) {
@@ -107,45 +107,45 @@
 // An instance ends without a word. What it had must not keep an engine from
 // work for good.
 func TestTheLoadOfASilentInstanceIsForgotten(t *testing.T) {
-	d, _ := world(1)
+	d, _ := newTestDispatcher(1)
 	d.ApplyLoadReport(time.Second, "gone", LoadReport{Endpoint: "e0", Running: models.Slots, MemoryTokens: 90_000})
-	_, reason := d.Place(time.Second, ask(7))
+	_, reason := d.Place(time.Second, newTestRequest(7))
 	assert.Equal(t, reason, NoCapacity)
-	later := time.Second + loadGone + sweepLoads
+	later := time.Second + loadReportTTL + loadSweepInterval
 	d.TakeLoadReports(later)
-	mustPlace(t, d, later, ask(7))
+	mustPlace(t, d, later, newTestRequest(7))
 }
 
 // A datagram with a load is lost. The next word holds everything that the sender
 // has, so nothing is counted twice or for ever.
 func TestALoadReplacesTheOneBefore(t *testing.T) {
-	from, _ := world(1)
-	to, _ := world(1)
-	a := mustPlace(t, from, time.Second, ask(7))
-	alone := ask(8)
+	from, _ := newTestDispatcher(1)
+	to, _ := newTestDispatcher(1)
+	a := mustPlace(t, from, time.Second, newTestRequest(7))
+	alone := newTestRequest(8)
 	alone.SharedParts = nil
 	b := mustPlace(t, from, time.Second, alone)
 	loads := from.TakeLoadReports(time.Second)
-	assert.DeepEqual(t, loads, []LoadReport{{Endpoint: "e0", Running: 2, MemoryTokens: a.tokens + b.tokens, PrefillTokens: int(a.prefill + b.prefill)}})
+	assert.DeepEqual(t, loads, []LoadReport{{Endpoint: "e0", Running: 2, MemoryTokens: a.memoryTokens + b.memoryTokens, PrefillTokens: int(a.prefillTokens + b.prefillTokens)}})
 	for range 2 {
 		to.ApplyLoadReport(time.Second, "from", loads[0])
 	}
-	assert.Equal(t, to.rows["e0"].reported.running, 2)
+	assert.Equal(t, to.endpoints["e0"].reported.running, 2)
 	assert.Equal(t, len(from.TakeLoadReports(time.Second)), 0)
-	assert.Equal(t, len(from.TakeLoadReports(time.Second+2*loadAgain)), 1)
+	assert.Equal(t, len(from.TakeLoadReports(time.Second+2*loadReportInterval)), 1)
 	from.RecordOutcome(3*time.Second, a, Completed)
 	from.RecordOutcome(3*time.Second, b, Completed)
 	for _, l := range from.TakeLoadReports(3 * time.Second) {
 		to.ApplyLoadReport(3*time.Second, "from", l)
 	}
-	assert.Equal(t, to.rows["e0"].reported.running, 0)
-	assert.Equal(t, to.rows["e0"].reported.prefill, 0)
+	assert.Equal(t, to.endpoints["e0"].reported.running, 0)
+	assert.Equal(t, to.endpoints["e0"].reported.prefillTokens, 0)
 }
 
 // Each zone has a store. Were all prompts sent to the first, it would drop them
 // before they are asked for again while the others stand empty.
 func TestStoresShareThePrompts(t *testing.T) {
-	d, all := world(2)
+	d, all := newTestDispatcher(2)
 	for i, zone := range []tables.Zone{"a", "b", "c"} {
 		id := tables.EndpointID("store-" + string(zone))
 		all[id] = fleet.Endpoint{
@@ -157,7 +157,7 @@
 	count := map[tables.EndpointID]int{}
 	for part := range uint64(300) {
 		now := time.Second + tables.Instant(part)*time.Second
-		first := mustPlace(t, d, now, ask(100+part))
+		first := mustPlace(t, d, now, newTestRequest(100+part))
 		count[first.CacheStore.ID]++
 		d.RecordResponseStart(now+time.Millisecond, first)
 		d.RecordOutcome(now+time.Millisecond, first, Completed)
--- a/dispatch/prompt_view.go
+++ b/dispatch/prompt_view.go
@@ -9,71 +9,71 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// view is what is known of a request's shared parts under one weights version.
-type view struct {
+// promptView is what is known of a request's shared parts under one weights version.
+type promptView struct {
 	version uint64
-	// stamp tells views apart: rows of the version that hold a beginning of the prompt
+	// id tells views apart: rows of the version that hold a beginning of the prompt
 	// bear it, and how much they hold.
-	stamp uint64
-	// levels are the holders of each shared part.
-	levels [][]holder
-	// held counts the tokens of the longest beginning of which each part is or
-	// will be held by some endpoint, and readyAt is when all of it can be used by
+	id uint64
+	// holders are the holders of each shared part.
+	holders [][]holder
+	// heldTokens counts the tokens of the longest beginning of which each part is or
+	// will be heldTokens by some endpoint, and readyAt is when all of it can be used by
 	// others.
-	held    int
-	readyAt tables.Instant
+	heldTokens int
+	readyAt    tables.Instant
 	// sources lists for each part the best endpoints to fetch it and the parts
 	// after it from; nil until asked for.
 	sources [][]source
 	// home is where the first part that nobody holds belongs.
 	home     *endpointRow
-	homeDraw uint64
-	// stray is the probability that the part is read twice if it is not read at its
+	homeHash uint64
+	// collision is the probability that the part is read twice if it is not read at its
 	// home.
-	stray float64
+	collision float64
 }
 
 // source is an endpoint that holds some parts of a prompt.
 type source struct {
 	row *endpointRow
-	// until counts the parts from the prompt's beginning to the last one held.
-	until int
-	used  tables.Instant
+	// endPart counts the parts from the prompt's beginning to the last one held.
+	endPart int
+	usedAt  tables.Instant
 }
 
 // maxSources bounds the sources that are remembered of a part: a few are enough
 // to find one that is not the endpoint in question, or one of its zone.
 const maxSources = 8
 
-// view looks up what is known for a version.
-func (d *Dispatcher) view(now tables.Instant, r *Request, version uint64, rows []*endpointRow) view {
-	d.viewed++
-	v := view{version: version, stamp: d.viewed}
-	cold, found := parts.ID(0), false
+// newView looks up what is known for a version.
+func (d *Dispatcher) newView(now tables.Instant, r *Request, version uint64, rows []*endpointRow) promptView {
+	d.lastViewID++
+	v := promptView{version: version, id: d.lastViewID}
+	missing, found := parts.ID(0), false
 	for i, part := range r.SharedParts {
-		holding := d.holders.of(now, part.ID.KeyAt(version))
-		v.levels = append(v.levels, holding)
-		v.mark(now, r, i, holding)
+		holding := d.cache.holdersOf(now, part.ID.KeyAt(version))
+		v.holders = append(v.holders, holding)
+		v.markHolders(now, r, i, holding)
 		switch {
 		case found:
 		case len(holding) == 0:
-			cold, found = part.ID, true
+			missing, found = part.ID, true
 		default:
-			v.held = part.EndTokens
-			v.readyAt = max(v.readyAt, earliest(holding))
+			v.heldTokens = part.EndTokens
+			v.readyAt = max(v.readyAt, earliestReady(holding))
 		}
 	}
 	if found {
-		v.chooseHome(now, r, cold, rows)
-		v.stray = d.collision(now, cold)
+		v.chooseHome(now, r, missing, rows)
+		v.collision = d.collisionProbability(now, missing)
 	}
 	return v
 }
 
-func earliest(holding []holder) tables.Instant {
-	first := holding[0].ready
+func earliestReady(holding []holder) tables.Instant {
+	first := holding[0].readyAt
 	for _, one := range holding[1:] {
-		first = min(first, one.ready)
+		first = min(first, one.readyAt)
 	}
 	return first
 }
@@ -81,47 +81,47 @@
 // chooseHome picks the endpoint that a part which nobody holds belongs to: the
 // one with the highest draw of a hash over the endpoint and the part. Instances
 // that meet a new part at the same moment send it to one place without a word.
-func (v *view) chooseHome(now tables.Instant, r *Request, part parts.ID, rows []*endpointRow) {
+func (v *promptView) chooseHome(now tables.Instant, r *Request, part parts.ID, rows []*endpointRow) {
 	for _, row := range rows {
-		if row.Draining || row.Loading || row.Weights[r.Model] != v.version || row.doubtNow(now) > homeDoubt || row.absence(now) > 0 {
+		if row.Draining || row.Loading || row.Weights[r.Model] != v.version || row.currentFailureScore(now) > maxHomeFailureScore || row.absentFor(now) > 0 {
 			continue
 		}
-		if draw := placement.Mix(row.hash ^ uint64(part)); v.home == nil || draw > v.homeDraw {
-			v.home, v.homeDraw = row, draw
+		if hash := placement.Mix(row.hash ^ uint64(part)); v.home == nil || hash > v.homeHash {
+			v.home, v.homeHash = row, hash
 		}
 	}
 }
 
-// mark notes at the rows that hold a part and all before it how many these are, so that
+// markHolders notes at the rows that hold a part and all before it how many these are, so that
 // no row has to be looked up among the holders.
-func (v *view) mark(now tables.Instant, r *Request, level int, holding []holder) {
+func (v *promptView) markHolders(now tables.Instant, r *Request, level int, holding []holder) {
 	for i := range holding {
 		row := holding[i].row
-		if holding[i].ready > now || row.Weights[r.Model] != v.version {
+		if holding[i].readyAt > now || row.Weights[r.Model] != v.version {
 			continue
 		}
 		switch {
 		case level == 0:
-			row.stamp, row.has = v.stamp, 1
-		case row.stamp == v.stamp && row.has == level:
-			row.has = level + 1
+			row.viewID, row.cachedParts = v.id, 1
+		case row.viewID == v.id && row.cachedParts == level:
+			row.cachedParts = level + 1
 		}
 	}
 }
 
-// at counts the parts from the prompt's beginning that an endpoint of the view's version
+// cachedParts counts the parts from the prompt's beginning that an endpoint of the view's version
 // has read. What another request is still reading there is read once more.
-func (v *view) at(row *endpointRow) int {
-	if row.stamp != v.stamp {
+func (v *promptView) cachedParts(row *endpointRow) int {
+	if row.viewID != v.id {
 		return 0
 	}
-	return row.has
+	return row.cachedParts
 }
 
-func holds(now tables.Instant, holding []holder, row *endpointRow) bool {
+func isReadyOn(now tables.Instant, holding []holder, row *endpointRow) bool {
 	for i := range holding {
 		if holding[i].row == row {
-			return holding[i].ready <= now
+			return holding[i].readyAt <= now
 		}
 	}
 	return false
@@ -130,12 +130,12 @@
 // sourceFor is the endpoint from which one that has the first parts can fetch
 // most of the others, and until which part: of several one of its own zone, and
 // the one that used them last.
-func (v *view) sourceFor(now tables.Instant, row *endpointRow, has int) (*endpointRow, int) {
-	if has >= len(v.levels) {
+func (v *promptView) sourceFor(now tables.Instant, row *endpointRow, has int) (*endpointRow, int) {
+	if has >= len(v.holders) {
 		return nil, has
 	}
 	if v.sources == nil {
-		v.sources = make([][]source, len(v.levels))
+		v.sources = make([][]source, len(v.holders))
 	}
 	if v.sources[has] == nil {
 		v.sources[has] = v.sourcesFrom(now, has)
@@ -149,33 +149,33 @@
 		if best == nil {
 			best = one
 		}
-		if one.row.Zone == row.Zone && one.until == best.until {
-			return one.row, one.until
+		if one.row.Zone == row.Zone && one.endPart == best.endPart {
+			return one.row, one.endPart
 		}
 	}
 	if best == nil {
 		return nil, has
 	}
-	return best.row, best.until
+	return best.row, best.endPart
 }
 
 // sourcesFrom lists the endpoints that hold a part, those first that hold most of
 // what follows, and among them those that used it last.
-func (v *view) sourcesFrom(now tables.Instant, from int) []source {
-	found := make([]source, 0, min(len(v.levels[from]), maxSources))
-	for i := range v.levels[from] {
-		one := &v.levels[from][i]
-		if one.ready > now || !one.row.sound(now) {
+func (v *promptView) sourcesFrom(now tables.Instant, from int) []source {
+	found := make([]source, 0, min(len(v.holders[from]), maxSources))
+	for i := range v.holders[from] {
+		one := &v.holders[from][i]
+		if one.readyAt > now || !one.row.canServeFetch(now) {
 			continue
 		}
 		until := from + 1
-		for until < len(v.levels) && holds(now, v.levels[until], one.row) {
+		for until < len(v.holders) && isReadyOn(now, v.holders[until], one.row) {
 			until++
 		}
-		found = append(found, source{row: one.row, until: until, used: one.lastUse(now)})
+		found = append(found, source{row: one.row, endPart: until, usedAt: one.lastUse(now)})
 	}
 	slices.SortStableFunc(found, func(a, b source) int {
-		return cmp.Or(cmp.Compare(b.until, a.until), cmp.Compare(b.used, a.used))
+		return cmp.Or(cmp.Compare(b.endPart, a.endPart), cmp.Compare(b.usedAt, a.usedAt))
 	})
 	return found[:min(len(found), maxSources)]
 }
--- a/dispatch/rate_limits.go
+++ b/dispatch/rate_limits.go
@@ -20,58 +20,58 @@
 }
 
 const (
-	// limitPause is how long an endpoint whose limit leaves no room gets nothing, where
+	// defaultLimitBackoff is how long an endpoint whose limit leaves no room gets nothing, where
 	// nobody has said when it will. minLimitPause and maxLimitPause bound it.
-	limitPause    = 200 * time.Millisecond
-	minLimitPause = 20 * time.Millisecond
-	maxLimitPause = time.Second
+	defaultLimitBackoff = 200 * time.Millisecond
+	minLimitBackoff     = 20 * time.Millisecond
+	maxLimitBackoff     = time.Second
 )
 
-// limit is what an endpoint last said of a limit, and when; known is false if it has never
+// rateLimitState is what an endpoint last said of a rateLimitState, and when; known is false if it has never
 // named one.
-type limit struct {
+type rateLimitState struct {
 	RateLimit
 	known bool
 	at    tables.Instant
-	// fullUntil is until when the limit leaves no room.
-	fullUntil tables.Instant
+	// exhaustedUntil is until when the limit leaves no room.
+	exhaustedUntil tables.Instant
 }
 
-// note takes what an endpoint said at that time, and says whether that is news.
-func (l *limit) note(at tables.Instant, named RateLimit) (changed bool) {
+// update takes what an endpoint said at that time, and says whether that is news.
+func (l *rateLimitState) update(at tables.Instant, named RateLimit) (changed bool) {
 	if l.known && at < l.at {
 		return false
 	}
 	changed = l.RateLimit != named
 	l.RateLimit, l.known, l.at = named, true, at
 	if !named.Limited {
-		l.fullUntil = 0
+		l.exhaustedUntil = 0
 	}
 	return changed
 }
 
 // report is what others need to know; nil if the endpoint has never named a limit.
-func (l *limit) report(now tables.Instant) *RateLimitReport {
+func (l *rateLimitState) report(now tables.Instant) *RateLimitReport {
 	if !l.known {
 		return nil
 	}
 	return &RateLimitReport{RateLimit: l.RateLimit, Age: now - l.at}
 }
 
-// take takes another instance's report.
-func (l *limit) take(now tables.Instant, r *RateLimitReport) {
+// merge takes another instance's report.
+func (l *rateLimitState) merge(now tables.Instant, r *RateLimitReport) {
 	if r != nil {
-		l.note(now-max(0, r.Age), r.RateLimit)
+		l.update(now-max(0, r.Age), r.RateLimit)
 	}
 }
 
-// fill notes that the limit leaves no room for a while.
-func (l *limit) fill(now tables.Instant, pause time.Duration) {
-	l.fullUntil = now + min(max(pause, minLimitPause), maxLimitPause)
+// markExhausted notes that the limit leaves no room for a while.
+func (l *rateLimitState) markExhausted(now tables.Instant, pause time.Duration) {
+	l.exhaustedUntil = now + min(max(pause, minLimitBackoff), maxLimitBackoff)
 }
 
-// full says whether the limit leaves no room now.
-func (l *limit) full(now tables.Instant) bool { return now < l.fullUntil }
+// exhausted says whether the limit leaves no room now.
+func (l *rateLimitState) exhausted(now tables.Instant) bool { return now < l.exhaustedUntil }
 
 // RecordRateLimit notes what an endpoint's answer says of a limit, and returns what was known
 // before.
@@ -81,15 +81,15 @@
 	if !named.Limited && !row.limit.known {
 		return before
 	}
-	if row.limit.note(now, named) {
-		d.changed(row)
+	if row.limit.update(now, named) {
+		d.markDirty(row)
 	}
 	return before
 }
 
 // RateLimit is what is known of an endpoint's limit.
 func (d *Dispatcher) RateLimit(id tables.EndpointID) RateLimit {
-	if row := d.rows[id]; row != nil {
+	if row := d.endpoints[id]; row != nil {
 		return row.limit.RateLimit
 	}
 	return RateLimit{}
@@ -99,5 +99,5 @@
 // for it; pause is when it may.
 func (d *Dispatcher) RecordRateLimited(now tables.Instant, a *Attempt, pause time.Duration) {
 	d.RecordOutcome(now, a, RateLimited)
-	a.row.limit.fill(now, pause)
+	a.row.limit.markExhausted(now, pause)
 }
--- a/dispatch/rate_limits_test.go
+++ b/dispatch/rate_limits_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func plain() *Request {
-	r := ask(1)
+func requestWithoutParts() *Request {
+	r := newTestRequest(1)
 	r.SharedParts = nil
 	return r
 }
@@ -18,17 +18,17 @@
 // Guards against an endpoint whose limit leaves no room being chosen again and again while
 // others are free.
 func TestAnEndpointWhoseLimitIsReachedIsLeftAlone(t *testing.T) {
-	d, _ := world(2)
+	d, _ := newTestDispatcher(2)
 	now := time.Second
-	first := mustPlace(t, d, now, plain())
+	first := mustPlace(t, d, now, requestWithoutParts())
 	d.RecordRateLimit(now, first, perSecond(1))
 	d.RecordRateLimited(now, first, 300*time.Millisecond)
 	for range 3 {
-		other := mustPlace(t, d, now, plain())
+		other := mustPlace(t, d, now, requestWithoutParts())
 		assert.Assert(t, other.Endpoint.ID != first.Endpoint.ID)
 	}
-	r := plain()
-	for id := range d.rows {
+	r := requestWithoutParts()
+	for id := range d.endpoints {
 		if id != first.Endpoint.ID {
 			r.Tried = append(r.Tried, id)
 		}
@@ -41,80 +41,80 @@
 
 // Guards against an endpoint that is closed for long after it has lifted its limit.
 func TestALiftedLimitOpensAnEndpointAtOnce(t *testing.T) {
-	d, _ := world(1)
+	d, _ := newTestDispatcher(1)
 	now := time.Second
-	running := mustPlace(t, d, now, plain())
+	running := mustPlace(t, d, now, requestWithoutParts())
 	d.RecordRateLimit(now, running, perSecond(1))
-	d.RecordRateLimited(now, mustPlace(t, d, now, plain()), time.Second)
-	_, reason := d.Place(now, plain())
+	d.RecordRateLimited(now, mustPlace(t, d, now, requestWithoutParts()), time.Second)
+	_, reason := d.Place(now, requestWithoutParts())
 	assert.Equal(t, reason, NoCapacity)
 	before := d.RecordRateLimit(now, running, RateLimit{})
 	assert.Equal(t, before, perSecond(1))
-	assert.Equal(t, d.RateLimit(mustPlace(t, d, now, plain()).Endpoint.ID), RateLimit{})
+	assert.Equal(t, d.RateLimit(mustPlace(t, d, now, requestWithoutParts()).Endpoint.ID), RateLimit{})
 }
 
 // Guards against instances that have had no answer yet sending as if there were no limit, and
 // against an older report undoing a newer answer.
 func TestLimitsReachTheOtherInstances(t *testing.T) {
-	c := newChoosers(3, 1)
+	c := newTestCluster(3, 1)
 	now := time.Second
-	a := mustPlace(t, c.all[0], now, plain())
-	c.all[0].RecordRateLimit(now, a, perSecond(2))
+	a := mustPlace(t, c.dispatchers[0], now, requestWithoutParts())
+	c.dispatchers[0].RecordRateLimit(now, a, perSecond(2))
 	c.exchange(now)
-	for _, d := range c.all {
-		assert.Equal(t, d.RateLimit(mustPlace(t, d, now, plain()).Endpoint.ID), perSecond(2))
+	for _, d := range c.dispatchers {
+		assert.Equal(t, d.RateLimit(mustPlace(t, d, now, requestWithoutParts()).Endpoint.ID), perSecond(2))
 	}
 
 	now += time.Second
-	b := mustPlace(t, c.all[1], now, plain())
-	c.all[1].RecordRateLimit(now, b, RateLimit{})
-	c.all[1].ApplyLoadReport(now, "late", LoadReport{Endpoint: "e0", Limit: &RateLimitReport{RateLimit: perSecond(2), Age: 500 * time.Millisecond}})
-	assert.Equal(t, c.all[1].RateLimit(b.Endpoint.ID), RateLimit{})
+	b := mustPlace(t, c.dispatchers[1], now, requestWithoutParts())
+	c.dispatchers[1].RecordRateLimit(now, b, RateLimit{})
+	c.dispatchers[1].ApplyLoadReport(now, "late", LoadReport{Endpoint: "e0", Limit: &RateLimitReport{RateLimit: perSecond(2), Age: 500 * time.Millisecond}})
+	assert.Equal(t, c.dispatchers[1].RateLimit(b.Endpoint.ID), RateLimit{})
 	c.exchange(now)
-	assert.Equal(t, c.all[2].RateLimit(mustPlace(t, c.all[2], now, plain()).Endpoint.ID), RateLimit{})
+	assert.Equal(t, c.dispatchers[2].RateLimit(mustPlace(t, c.dispatchers[2], now, requestWithoutParts()).Endpoint.ID), RateLimit{})
 }
 
 // Guards against a report that was lost leaving an instance without knowledge of a limit.
 func TestALimitIsReportedAgainWhileItIsInForce(t *testing.T) {
-	d, _ := world(1)
+	d, _ := newTestDispatcher(1)
 	now := time.Second
-	a := mustPlace(t, d, now, plain())
+	a := mustPlace(t, d, now, requestWithoutParts())
 	d.RecordRateLimit(now, a, perSecond(2))
 	d.RecordOutcome(now, a, Completed)
 	assert.Equal(t, len(d.TakeLoadReports(now)), 1)
-	assert.Equal(t, len(d.TakeLoadReports(now+loadAgain)), 0)
-	again := d.TakeLoadReports(now + 2*loadAgain)
+	assert.Equal(t, len(d.TakeLoadReports(now+loadReportInterval)), 0)
+	again := d.TakeLoadReports(now + 2*loadReportInterval)
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Limit.RateLimit, perSecond(2))
-	assert.Equal(t, again[0].Limit.Age, 2*loadAgain)
+	assert.Equal(t, again[0].Limit.Age, 2*loadReportInterval)
 }
 
 // Guards against an instance that a scheduler chooses for sending without counting, and
 // against the scheduler offering an endpoint that has just been found full.
 func TestALimitGoesWithASchedulersChoice(t *testing.T) {
-	scheduler, _ := world(2)
-	asking, _ := world(2)
+	scheduler, _ := newTestDispatcher(2)
+	asking, _ := newTestDispatcher(2)
 	now := time.Second
-	chosen := mustPlace(t, scheduler, now, plain())
+	chosen := mustPlace(t, scheduler, now, requestWithoutParts())
 	scheduler.RecordRateLimit(now, chosen, perSecond(3))
-	adopted := asking.AcceptDecision(now, plain(), chosen.Decision(now))
+	adopted := asking.AcceptDecision(now, requestWithoutParts(), chosen.Decision(now))
 	assert.Equal(t, asking.RateLimit(adopted.Endpoint.ID), perSecond(3))
 
 	asking.RecordRateLimited(now, adopted, time.Second)
-	assert.Assert(t, asking.AcceptDecision(now, plain(), chosen.Decision(now)) == nil)
+	assert.Assert(t, asking.AcceptDecision(now, requestWithoutParts(), chosen.Decision(now)) == nil)
 	scheduler.RecordOutcome(now, chosen, DecodeOutcome(uint32(RateLimited)))
-	assert.Assert(t, mustPlace(t, scheduler, now, plain()).Endpoint.ID != chosen.Endpoint.ID)
+	assert.Assert(t, mustPlace(t, scheduler, now, requestWithoutParts()).Endpoint.ID != chosen.Endpoint.ID)
 }
 
 // Guards against a new process at an endpoint's address that is held to the limit of the one
 // before.
 func TestANewProcessHasNoLimitYet(t *testing.T) {
-	d, all := world(1)
+	d, all := newTestDispatcher(1)
 	now := time.Second
-	d.RecordRateLimit(now, mustPlace(t, d, now, plain()), perSecond(1))
+	d.RecordRateLimit(now, mustPlace(t, d, now, requestWithoutParts()), perSecond(1))
 	e := all["e0"].Clone()
 	e.Born++
 	all["e0"] = e
 	d.SetEndpoints(all)
-	assert.Equal(t, d.RateLimit(mustPlace(t, d, now, plain()).Endpoint.ID), RateLimit{})
+	assert.Equal(t, d.RateLimit(mustPlace(t, d, now, requestWithoutParts()).Endpoint.ID), RateLimit{})
 }
--- a/dispatch/rationale.go
+++ b/dispatch/rationale.go
@@ -31,20 +31,20 @@
 	RuleNoSharedParts PlacementRule = "nothing shared"
 )
 
-// ruleOf names why a candidate is the best.
-func ruleOf(r *Request, c *candidate) PlacementRule {
+// placementRule names why a candidate is the best.
+func placementRule(r *Request, c *candidate) PlacementRule {
 	switch {
 	case r.Model == "":
 		return RuleLeastWait
 	case len(r.SharedParts) == 0:
 		return RuleNoSharedParts
-	case c.again > 0:
+	case c.recomputedTokens > 0:
 		return RuleRecompute
-	case c.source != nil && c.fetched > 0:
+	case c.source != nil && c.fetchedTokens > 0:
 		return RuleCacheFetch
-	case c.home:
+	case c.isHome:
 		return RuleHomeEndpoint
-	case int(c.uncached) > r.PromptTokens-r.sharedTokens():
+	case int(c.uncachedTokens) > r.PromptTokens-r.sharedTokens():
 		return RuleAwayFromHome
 	}
 	return RuleCacheHit
@@ -63,19 +63,19 @@
 		c.Listed++
 		_, serves := row.Weights[r.Model]
 		switch {
-		case r.tried(row.ID):
+		case r.hasTried(row.ID):
 			c.Tried++
 		case row.Draining:
 			c.Draining++
-		case !row.availability.takes(now):
+		case !row.availability.available(now):
 			c.Unavailable++
 		case r.Model != "" && row.Loading:
 			c.Loading++
-		case r.Model != "" && !serves, !d.usable(now, r, row):
+		case r.Model != "" && !serves, !d.isEligible(now, r, row):
 			c.OtherWeights++
-		case row.limit.full(now):
+		case row.limit.exhausted(now):
 			c.RateLimited++
-		case !d.hasRoom(now, r, row):
+		case !d.hasCapacity(now, r, row):
 			c.AtCapacity++
 		default:
 			c.Available++
@@ -116,12 +116,12 @@
 	SinceResponse time.Duration
 }
 
-// known notes what the choice of a candidate rests on.
-func known(now tables.Instant, r *Request, c *candidate) Rationale {
+// rationaleOf notes what the choice of a candidate rests on.
+func rationaleOf(now tables.Instant, r *Request, c *candidate) Rationale {
 	row := c.row
-	k := Rationale{Rule: ruleOf(r, c), OwnAttempts: row.own, OtherAttempts: int(row.othersNow(now) + 0.5), FailureScore: row.doubtNow(now), SinceResponse: row.sinceAnswer(now)}
-	if row.othersAt > 0 {
-		k.LoadAge = now - row.othersAt
+	k := Rationale{Rule: placementRule(r, c), OwnAttempts: row.attempts, OtherAttempts: int(row.otherAttempts(now) + 0.5), FailureScore: row.currentFailureScore(now), SinceResponse: row.sinceResponse(now)}
+	if row.unreportedAt > 0 {
+		k.LoadAge = now - row.unreportedAt
 	}
 	return k
 }
--- a/dispatch/remote.go
+++ b/dispatch/remote.go
@@ -27,18 +27,18 @@
 	}
 }
 
-// adopted is what of an endpoint's own load other instances have chosen.
-type adopted struct {
-	own, tokens int
-	prefill     float64
+// remoteAttempts is what of an endpoint's own load other instances have chosen.
+type remoteAttempts struct {
+	attempts, memoryTokens int
+	prefillTokens          float64
 }
 
-// end takes an attempt out.
-func (o *adopted) end(a *Attempt) {
-	o.own--
-	o.tokens -= a.tokens
-	if !a.first {
-		o.prefill -= a.prefill
+// remove takes an attempt out.
+func (o *remoteAttempts) remove(a *Attempt) {
+	o.attempts--
+	o.memoryTokens -= a.memoryTokens
+	if !a.responseStarted {
+		o.prefillTokens -= a.prefillTokens
 	}
 }
 
@@ -46,11 +46,11 @@
 // It returns nil if this instance knows that the endpoint must not have it. The
 // other one counts the attempt too and tells of it, so this one does not.
 func (d *Dispatcher) AcceptDecision(now tables.Instant, r *Request, chosen Decision) *Attempt {
-	row := d.rows[chosen.Endpoint]
+	row := d.endpoints[chosen.Endpoint]
 	if row != nil {
-		row.limit.take(now, chosen.Limit)
+		row.limit.merge(now, chosen.Limit)
 	}
-	if row == nil || r.tried(row.ID) || row.Weights[r.Model] > chosen.WeightsVersion {
+	if row == nil || r.hasTried(row.ID) || row.Weights[r.Model] > chosen.WeightsVersion {
 		return nil
 	}
 	if row.Weights[r.Model] < chosen.WeightsVersion {
@@ -58,7 +58,7 @@
 	}
 	// Whether the endpoint loads weights at this moment is left to the chooser: the
 	// two learn of it at different moments.
-	if !row.takes(now) || row.limit.full(now) || !d.inTime(now, r.Model, chosen.WeightsVersion) {
+	if !row.acceptsRequests(now) || row.limit.exhausted(now) || !d.versionAllowed(now, r.Model, chosen.WeightsVersion) {
 		return nil
 	}
 	a := &Attempt{
@@ -66,34 +66,34 @@
 		WeightsVersion:  chosen.WeightsVersion,
 		ExpectedLatency: chosen.ExpectedLatency,
 		UncachedTokens:  chosen.UncachedTokens,
-		Rationale:       Rationale{Rule: chosen.Rule, OwnAttempts: row.own, OtherAttempts: int(row.othersNow(now) + 0.5), FailureScore: row.doubtNow(now), SinceResponse: row.sinceAnswer(now)},
+		Rationale:       Rationale{Rule: chosen.Rule, OwnAttempts: row.attempts, OtherAttempts: int(row.otherAttempts(now) + 0.5), FailureScore: row.currentFailureScore(now), SinceResponse: row.sinceResponse(now)},
 		row:             row,
-		began:           now,
-		tokens:          r.tokens(),
-		prefill:         float64(chosen.UncachedTokens),
-		generates:       true,
-		adopted:         true,
+		startedAt:       now,
+		memoryTokens:    r.memoryTokens(),
+		prefillTokens:   float64(chosen.UncachedTokens),
+		isGeneration:    true,
+		remotelyPlaced:  true,
 	}
-	if source := d.rows[chosen.CacheSource]; source != nil && source.sound(now) {
+	if source := d.endpoints[chosen.CacheSource]; source != nil && source.canServeFetch(now) {
 		a.CacheSource = source.Endpoint
 	}
-	if store := d.rows[chosen.CacheStore]; store != nil && !store.Draining {
+	if store := d.endpoints[chosen.CacheStore]; store != nil && !store.Draining {
 		a.CacheStore = store.Endpoint
 	}
 	// Where only a confirmed endpoint was asked for, the chooser has heard from this one.
-	if r.DeliveredAttempts > 0 && !r.ConfirmedOnly && !d.confirmed(now, row) {
-		d.stray(now, a)
+	if r.DeliveredAttempts > 0 && !r.ConfirmedOnly && !d.addressConfirmed(now, row) {
+		d.countUnconfirmed(now, a)
 	}
-	row.own++
-	row.tokens += a.tokens
-	row.prefill += a.prefill
-	row.adopted.own++
-	row.adopted.tokens += a.tokens
-	row.adopted.prefill += a.prefill
+	row.attempts++
+	row.memoryTokens += a.memoryTokens
+	row.prefillTokens += a.prefillTokens
+	row.remotelyPlaced.attempts++
+	row.remotelyPlaced.memoryTokens += a.memoryTokens
+	row.remotelyPlaced.prefillTokens += a.prefillTokens
 	for _, part := range r.SharedParts {
 		key := part.ID.KeyAt(a.WeightsVersion)
-		if _, fresh := d.holders.note(now, now+a.ExpectedLatency+ownReady, key, row); fresh {
-			a.placed = append(a.placed, key)
+		if _, fresh := d.cache.record(now, now+a.ExpectedLatency+readyMargin, key, row); fresh {
+			a.addedParts = append(a.addedParts, key)
 		}
 	}
 	return a
@@ -103,5 +103,5 @@
 // an equal share of the requests: those that receive a choice at once, and those of
 // other zones that receive it later.
 func (d *Dispatcher) SetSchedulerCounts(near, remote int) {
-	d.placers, d.remotePlacers = float64(max(near, 0)), float64(max(remote, 0))
+	d.schedulers, d.remoteSchedulers = float64(max(near, 0)), float64(max(remote, 0))
 }
--- a/dispatch/remote_test.go
+++ b/dispatch/remote_test.go
@@ -12,60 +12,60 @@
 // TestAdoptedAttemptIsToldByItsChooserOnly guards against requests that count twice, at
 // the instance that chose their endpoint and at the one that sends them.
 func TestAdoptedAttemptIsToldByItsChooserOnly(t *testing.T) {
-	chooser, _ := world(4)
-	sender, _ := world(4)
-	r := ask(7)
+	chooser, _ := newTestDispatcher(4)
+	sender, _ := newTestDispatcher(4)
+	r := newTestRequest(7)
 	chosen, reason := chooser.Place(0, r)
 	assert.Equal(t, reason, RejectReason(""))
-	adopted := sender.AcceptDecision(0, ask(7), chosen.Decision(0))
-	assert.Assert(t, adopted != nil)
-	assert.Equal(t, adopted.Endpoint.ID, chosen.Endpoint.ID)
+	accepted := sender.AcceptDecision(0, newTestRequest(7), chosen.Decision(0))
+	assert.Assert(t, accepted != nil)
+	assert.Equal(t, accepted.Endpoint.ID, chosen.Endpoint.ID)
 	assert.Equal(t, len(chooser.TakeLoadReports(0)), 1)
 	assert.Equal(t, len(sender.TakeLoadReports(0)), 0)
 	assert.Equal(t, len(sender.TakeCacheUpdates()), 0)
 	assert.Equal(t, len(sender.TakeLoadReports(2*time.Second)), 0, "nor is it told again")
-	sender.RecordResponseStart(time.Second, adopted)
-	sender.RecordOutcome(time.Second, adopted, Completed)
-	row := sender.rows[adopted.Endpoint.ID]
-	assert.Equal(t, row.own, 0)
-	assert.Equal(t, row.prefill, 0.0)
-	assert.DeepEqual(t, row.adopted.own, 0)
-	assert.Equal(t, row.adopted.prefill, 0.0)
+	sender.RecordResponseStart(time.Second, accepted)
+	sender.RecordOutcome(time.Second, accepted, Completed)
+	row := sender.endpoints[accepted.Endpoint.ID]
+	assert.Equal(t, row.attempts, 0)
+	assert.Equal(t, row.prefillTokens, 0.0)
+	assert.DeepEqual(t, row.remotelyPlaced.attempts, 0)
+	assert.Equal(t, row.remotelyPlaced.prefillTokens, 0.0)
 }
 
 // TestChoiceThatIsKnownToBeWrongIsNotAdopted guards against requests that are sent where
 // this instance knows that they must not go.
 func TestChoiceThatIsKnownToBeWrongIsNotAdopted(t *testing.T) {
-	chooser, _ := world(4)
-	sender, _ := world(4)
-	chosen, _ := chooser.Place(0, ask(7))
+	chooser, _ := newTestDispatcher(4)
+	sender, _ := newTestDispatcher(4)
+	chosen, _ := chooser.Place(0, newTestRequest(7))
 	sender.SetReachable(0, chosen.Endpoint.ID, false)
-	assert.Assert(t, sender.AcceptDecision(0, ask(7), chosen.Decision(0)) == nil)
+	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), chosen.Decision(0)) == nil)
 	sender.SetReachable(0, chosen.Endpoint.ID, true)
-	newer := sender.rows[chosen.Endpoint.ID]
+	newer := sender.endpoints[chosen.Endpoint.ID]
 	older := chosen.Decision(0)
 	newer.Weights["m"] = older.WeightsVersion + 1
-	assert.Assert(t, sender.AcceptDecision(0, ask(7), older) == nil, "its weights are newer")
+	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), older) == nil, "its weights are newer")
 	newer.Weights["m"] = older.WeightsVersion
 	newer.Loading = true
-	assert.Assert(t, sender.AcceptDecision(0, ask(7), older) != nil, "it heard late that loading has ended")
+	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), older) != nil, "it heard late that loading has ended")
 	gone := chosen.Decision(0)
 	gone.Endpoint = "gone"
-	assert.Assert(t, sender.AcceptDecision(0, ask(7), gone) == nil)
+	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), gone) == nil)
 }
 
 // TestReportedPartsChangeBeliefsOnly guards against a scheduler that goes on sending
 // prompts to an endpoint which has dropped them, and against one that remembers every
 // part that no request shares.
 func TestReportedPartsChangeBeliefsOnly(t *testing.T) {
-	d, _ := world(4)
-	r := ask(7)
+	d, _ := newTestDispatcher(4)
+	r := newTestRequest(7)
 	chosen, _ := d.Place(0, r)
 	key := r.SharedParts[0].ID.KeyAt(chosen.WeightsVersion)
 	report := CacheUpdate{Endpoint: chosen.Endpoint.ID, Key: key, Evicted: true}
-	assert.Assert(t, !d.ApplyCacheEvent(dropGrace/2, report), "the word is older than the placement")
+	assert.Assert(t, !d.ApplyCacheEvent(evictionGrace/2, report), "the word is older than the placement")
 	assert.Assert(t, d.ApplyCacheEvent(time.Second, report))
-	assert.Equal(t, len(d.holders.of(time.Second, key)), 0)
+	assert.Equal(t, len(d.cache.holdersOf(time.Second, key)), 0)
 	assert.Assert(t, !d.ApplyCacheEvent(time.Second, CacheUpdate{Endpoint: chosen.Endpoint.ID, Key: parts.Key(99)}))
-	assert.Equal(t, len(d.holders.rows[parts.Key(99)]), 0)
+	assert.Equal(t, len(d.cache.holders[parts.Key(99)]), 0)
 }
--- a/dispatch/retry_budget.go
+++ b/dispatch/retry_budget.go
@@ -17,32 +17,32 @@
 }
 
 const (
-	// firstPeers is the number of instances that share a budget until the real
+	// defaultInstances is the number of instances that share a budget until the real
 	// one is known; too high a number only makes an instance careful.
-	firstPeers = 12
-	// extraPart is the part of the common allowance that is given out. The rest
+	defaultInstances = 12
+	// extraUsableFraction is the part of the common allowance that is given out. The rest
 	// is for instances that have not heard of a newcomer yet.
-	extraPart = 0.8
-	// budgetSlices is how finely the window slides.
-	budgetSlices = 20
+	extraUsableFraction = 0.8
+	// windowSlices is how finely the window slides.
+	windowSlices = 20
 )
 
-// budget counts one service's requests and repeated sends of this instance.
-type budget struct {
+// retryWindow counts one service's requests and repeated sends of this instance.
+type retryWindow struct {
 	slice    int64
-	requests [budgetSlices + 1]int
-	repeats  [budgetSlices + 1]int
+	requests [windowSlices + 1]int
+	retries  [windowSlices + 1]int
 }
 
 // SetInstanceCount notes how many instances share the budgets. The number of instances
 // that are known shrinks when zones are cut off from each other, while all of
 // them go on; so callers hand in the most that was known of late.
-func (d *Dispatcher) SetInstanceCount(n int) { d.peers = max(n, 1) }
+func (d *Dispatcher) SetInstanceCount(n int) { d.instances = max(n, 1) }
 
 // RecordRequest counts a caller's request for a service.
 func (d *Dispatcher) RecordRequest(now tables.Instant, service string) {
-	b := d.budget(now, service)
-	b.requests[b.at()]++
+	b := d.retryWindow(now, service)
+	b.requests[b.current()]++
 }
 
 // TakeRetry takes one repeated send from the budget if there is room for it.
@@ -55,27 +55,27 @@
 	if !d.CanRetry(now, service) {
 		return false
 	}
-	b := d.budget(now, service)
-	b.repeats[b.at()]++
+	b := d.retryWindow(now, service)
+	b.retries[b.current()]++
 	return true
 }
 
 // CanRetry says whether Repeat would.
 func (d *Dispatcher) CanRetry(now tables.Instant, service string) bool {
-	requests, repeats := d.budget(now, service).sums()
-	allowed := d.options.RetryBudget.Ratio*float64(requests) + d.extraShare()
-	return float64(repeats+1+d.straysIn(now)) <= allowed
+	requests, repeats := d.retryWindow(now, service).totals()
+	allowed := d.options.RetryBudget.Ratio*float64(requests) + d.extraRetries()
+	return float64(repeats+1+d.unconfirmedInWindow(now)) <= allowed
 }
 
-// extraShare is this instance's part of the sends that do not depend on requests.
-func (d *Dispatcher) extraShare() float64 {
-	return extraPart * d.options.RetryBudget.Extra / float64(d.peers)
+// extraRetries is this instance's part of the sends that do not depend on requests.
+func (d *Dispatcher) extraRetries() float64 {
+	return extraUsableFraction * d.options.RetryBudget.Extra / float64(d.instances)
 }
 
-// sums are the requests and the repeats of the window.
-func (b *budget) sums() (requests, repeats int) {
+// totals are the requests and the repeats of the window.
+func (b *retryWindow) totals() (requests, repeats int) {
 	for i := range b.requests {
-		repeats += b.repeats[i]
+		repeats += b.retries[i]
 		if i != b.oldest() {
 			requests += b.requests[i]
 		}
@@ -86,33 +86,33 @@
 // oldest is the slice that may lie outside the window. Its repeats count and its
 // requests do not: over all of the slices, half a second more than the window,
 // requests would allow for a twentieth more repeats than the window bears.
-func (b *budget) oldest() int { return b.index(b.slice + 1) }
+func (b *retryWindow) oldest() int { return b.index(b.slice + 1) }
 
-func (b *budget) at() int { return b.index(b.slice) }
+func (b *retryWindow) current() int { return b.index(b.slice) }
 
-func (b *budget) index(slice int64) int { return int(slice % int64(len(b.requests))) }
+func (b *retryWindow) index(slice int64) int { return int(slice % int64(len(b.requests))) }
 
-// holds says whether the counts of a slice are still kept.
-func (b *budget) holds(slice int64) bool { return b.slice-slice < int64(len(b.requests)) }
+// retains says whether the counts of a slice are still kept.
+func (b *retryWindow) retains(slice int64) bool { return b.slice-slice < int64(len(b.requests)) }
 
-// budget returns the counts of a service with the slices up to now.
-func (d *Dispatcher) budget(now tables.Instant, service string) *budget {
-	b := d.budgets[service]
+// retryWindow returns the counts of a service with the slices up to now.
+func (d *Dispatcher) retryWindow(now tables.Instant, service string) *retryWindow {
+	b := d.retryWindows[service]
 	if b == nil {
-		b = &budget{}
-		d.budgets[service] = b
+		b = &retryWindow{}
+		d.retryWindows[service] = b
 	}
-	d.slide(b, now)
+	d.advance(b, now)
 	return b
 }
 
-// slide moves the window on to now.
-func (d *Dispatcher) slide(b *budget, now tables.Instant) {
-	width := max(d.options.RetryBudget.Window/budgetSlices, time.Millisecond)
+// advance moves the window on to now.
+func (d *Dispatcher) advance(b *retryWindow, now tables.Instant) {
+	width := max(d.options.RetryBudget.Window/windowSlices, time.Millisecond)
 	slice := int64(now / width)
 	for steps := 0; b.slice < slice && steps < len(b.requests); steps++ {
 		b.slice++
-		b.requests[b.at()], b.repeats[b.at()] = 0, 0
+		b.requests[b.current()], b.retries[b.current()] = 0, 0
 	}
 	b.slice = max(b.slice, slice)
 }
--- a/dispatch/unconfirmed.go
+++ b/dispatch/unconfirmed.go
@@ -16,10 +16,10 @@
 // confirmed the endpoint was on its way, and so will the repeat be.
 const confirmMargin = 500 * time.Millisecond
 
-// confirmed says whether no other process can be at the endpoint's address yet: it answered
+// addressConfirmed says whether no other process can be at the endpoint's address yet: it answered
 // as itself so lately.
-func (d *Dispatcher) confirmed(now tables.Instant, row *endpointRow) bool {
-	since := row.sinceAnswer(now)
+func (d *Dispatcher) addressConfirmed(now tables.Instant, row *endpointRow) bool {
+	since := row.sinceResponse(now)
 	return since >= 0 && since+confirmMargin <= d.options.AddressReuseDelay
 }
 
@@ -27,42 +27,42 @@
 // repeats may arrive at the same service, beside those that are meant for it.
 func (d *Dispatcher) CanRetryUnconfirmed(now tables.Instant) bool {
 	excess := 0.0
-	for service := range d.budgets {
-		requests, repeats := d.budget(now, service).sums()
+	for service := range d.retryWindows {
+		requests, repeats := d.retryWindow(now, service).totals()
 		excess = max(excess, float64(repeats)-d.options.RetryBudget.Ratio*float64(requests))
 	}
-	return float64(d.straysIn(now)+1)+excess <= d.extraShare()
+	return float64(d.unconfirmedInWindow(now)+1)+excess <= d.extraRetries()
 }
 
-// straysAllowed says whether this repeat may.
-func (d *Dispatcher) straysAllowed(now tables.Instant, r *Request) bool {
+// mayRetryUnconfirmed says whether this repeat may.
+func (d *Dispatcher) mayRetryUnconfirmed(now tables.Instant, r *Request) bool {
 	if r.Remote {
 		return !r.ConfirmedOnly
 	}
 	return d.CanRetryUnconfirmed(now)
 }
 
-func (d *Dispatcher) straysIn(now tables.Instant) int {
-	d.slide(&d.strays, now)
-	_, strays := d.strays.sums()
+func (d *Dispatcher) unconfirmedInWindow(now tables.Instant) int {
+	d.advance(&d.unconfirmedRetries, now)
+	_, strays := d.unconfirmedRetries.totals()
 	return strays
 }
 
-// stray counts an attempt as one that may arrive at another service.
-func (d *Dispatcher) stray(now tables.Instant, a *Attempt) {
-	d.slide(&d.strays, now)
-	d.strays.repeats[d.strays.at()]++
-	a.stray, a.straySlice = true, d.strays.slice
+// countUnconfirmed counts an attempt as one that may arrive at another service.
+func (d *Dispatcher) countUnconfirmed(now tables.Instant, a *Attempt) {
+	d.advance(&d.unconfirmedRetries, now)
+	d.unconfirmedRetries.retries[d.unconfirmedRetries.current()]++
+	a.unconfirmed, a.unconfirmedSlice = true, d.unconfirmedRetries.slice
 }
 
-// settleStray takes the count back if the attempt arrived at its endpoint or nowhere.
-func (d *Dispatcher) settleStray(now tables.Instant, a *Attempt) {
-	if !a.stray {
+// releaseUnconfirmed takes the count back if the attempt arrived at its endpoint or nowhere.
+func (d *Dispatcher) releaseUnconfirmed(now tables.Instant, a *Attempt) {
+	if !a.unconfirmed {
 		return
 	}
-	a.stray = false
-	d.slide(&d.strays, now)
-	if d.strays.holds(a.straySlice) {
-		d.strays.repeats[d.strays.index(a.straySlice)]--
+	a.unconfirmed = false
+	d.advance(&d.unconfirmedRetries, now)
+	if d.unconfirmedRetries.retains(a.unconfirmedSlice) {
+		d.unconfirmedRetries.retries[d.unconfirmedRetries.index(a.unconfirmedSlice)]--
 	}
 }
