--- a/dispatch/absence_test.go
+++ b/dispatch/absence_test.go
@@ -66,7 +66,7 @@
 		ends tables.Instant
 	}
 	var open []running
-	sends, misdirected := 0, 0
+	attempts, misdirected := 0, 0
 	for now := time.Second; now < time.Second+length; now += gap {
 		c.exchange(now)
 		open = filterInPlace(open, func(r running) bool {
@@ -77,14 +77,14 @@
 			r.by.RecordOutcome(now, r.a, Completed)
 			return false
 		})
-		d := c.dispatchers[sends%instances]
-		r := newTestRequest(uint64(sends % 200))
+		d := c.dispatchers[attempts%instances]
+		r := newTestRequest(uint64(attempts % 200))
 		for {
 			a, _ := d.Place(now, r)
 			if a == nil {
 				break
 			}
-			sends++
+			attempts++
 			if _, gone := replaced[a.Endpoint.ID]; !gone {
 				open = append(open, running{by: d, a: a, ends: now + busy})
 				break
@@ -95,7 +95,7 @@
 			r.Tried = append(r.Tried, a.Endpoint.ID)
 		}
 	}
-	t.Logf("%d of %d attempts misdirected", misdirected, sends)
+	t.Logf("%d of %d attempts misdirected", misdirected, attempts)
 	// One misdirected answer is enough for all dispatchers: they learn of it within the
 	// interval of the exchange, and probe the endpoint again after one and after three
 	// seconds.
@@ -116,11 +116,11 @@
 	assert.Equal(t, reason, NoEndpoint)
 
 	now += misdirectedAbsence
-	trial := mustPlace(t, d, now, newTestRequest(3))
+	probe := mustPlace(t, d, now, newTestRequest(3))
 	_, reason = d.Place(now, newTestRequest(4))
 	assert.Equal(t, reason, NoEndpoint)
 
-	d.RecordResponseStart(now, trial)
+	d.RecordResponseStart(now, probe)
 	mustPlace(t, d, now, newTestRequest(5))
 	mustPlace(t, d, now, newTestRequest(6))
 }
@@ -165,18 +165,18 @@
 		r.SharedParts = nil
 		return r
 	}
-	expectTrial := func() {
+	expectProbe := func() {
 		t.Helper()
-		trial := mustPlace(t, d, now, unshared())
+		probe := mustPlace(t, d, now, unshared())
 		_, reason := d.Place(now, unshared())
 		assert.Equal(t, reason, NoEndpoint)
-		d.RecordResponseStart(now, trial)
+		d.RecordResponseStart(now, probe)
 		mustPlace(t, d, now, unshared())
 	}
 	mustPlace(t, d, now, unshared())
 	change(func(e *fleet.Endpoint) { e.Loading = true })
 	change(func(e *fleet.Endpoint) { e.Loading = false })
-	expectTrial()
+	expectProbe()
 	change(func(e *fleet.Endpoint) { e.Born++ })
-	expectTrial()
+	expectProbe()
 }
--- a/dispatch/address_reuse_test.go
+++ b/dispatch/address_reuse_test.go
@@ -77,19 +77,19 @@
 }
 
 // end ends an engine; its successor is listed at once.
-func (f *simulatedFleet) end(id tables.EndpointID, choosers []*Dispatcher) {
+func (f *simulatedFleet) end(id tables.EndpointID, dispatchers []*Dispatcher) {
 	f.ends[id] = f.now
 	f.add()
-	f.list(choosers)
+	f.list(dispatchers)
 	f.after(listLag, func() {
 		delete(f.listed, id)
-		f.list(choosers)
+		f.list(dispatchers)
 	})
 }
 
 // list gives the endpoint list to all dispatchers.
-func (f *simulatedFleet) list(choosers []*Dispatcher) {
-	for _, d := range choosers {
+func (f *simulatedFleet) list(dispatchers []*Dispatcher) {
+	for _, d := range dispatchers {
 		d.SetEndpoints(f.listed)
 	}
 }
@@ -150,23 +150,23 @@
 		if a == nil {
 			return
 		}
-		end, took := f.outcomeAt(a.Endpoint.ID)
-		if end == Misdirected && r.DeliveredAttempts > 0 {
+		outcome, took := f.outcomeAt(a.Endpoint.ID)
+		if outcome == Misdirected && r.DeliveredAttempts > 0 {
 			retries = append(retries, f.now)
 		}
 		f.after(took, func() {
-			if end == Completed {
+			if outcome == Completed {
 				served++
 				d.RecordResponseStart(f.now, a)
-				d.RecordOutcome(f.now, a, end)
+				d.RecordOutcome(f.now, a, outcome)
 				return
 			}
-			d.RecordOutcome(f.now, a, end)
+			d.RecordOutcome(f.now, a, outcome)
 			r.Tried = append(r.Tried, a.Endpoint.ID)
-			if end == ConnectTimeout {
+			if outcome == ConnectTimeout {
 				f.probeUntilReachable(d, a.Endpoint.ID)
 			}
-			if end == Misdirected {
+			if outcome == Misdirected {
 				r.DeliveredAttempts++
 				if !d.TakeRetry(f.now, "models") {
 					return
@@ -175,15 +175,15 @@
 			try(d, r)
 		})
 	}
-	asked := 0
+	requests := 0
 	for now := f.now; now < 20*time.Second; now += gap {
 		f.run(now)
 		c.exchange(now)
-		d := c.dispatchers[asked%instances]
-		r := newTestRequest(uint64(asked % 200))
+		d := c.dispatchers[requests%instances]
+		r := newTestRequest(uint64(requests % 200))
 		r.SharedParts = nil
 		r.ArrivedAt = now
-		asked++
+		requests++
 		d.RecordRequest(now, "models")
 		try(d, r)
 	}
@@ -198,9 +198,9 @@
 		}
 		most = max(most, n)
 	}
-	t.Logf("%d of %d requests served, %d retries at reused addresses, %d in a window", served, asked, len(retries), most)
+	t.Logf("%d of %d requests served, %d retries at reused addresses, %d in a window", served, requests, len(retries), most)
 	// No route leads to the other service, so it receives no requests that would raise
 	// its budget above Extra.
 	assert.Assert(t, float64(most) <= extra, "%d retries within %v, budget %.0f", most, window, extra)
-	assert.Assert(t, served > asked*4/5, "%d of %d requests served", served, asked)
+	assert.Assert(t, served > requests*4/5, "%d of %d requests served", served, requests)
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -145,10 +145,10 @@
 // decline it or cut it off.
 func TestLoadingAndDrainingEnginesReceiveNothing(t *testing.T) {
 	d, all := newTestDispatcher(2)
-	loading, leaving := all["e0"], all["e1"]
+	loading, draining := all["e0"], all["e1"]
 	loading.Loading = true
-	leaving.Draining = true
-	all["e0"], all["e1"] = loading, leaving
+	draining.Draining = true
+	all["e0"], all["e1"] = loading, draining
 	d.SetEndpoints(all)
 	_, reason := d.Place(time.Second, newTestRequest(7))
 	assert.Equal(t, reason, NoEndpoint)
@@ -187,13 +187,13 @@
 // callers see failed requests as long as such engines receive any.
 func TestFailingEnginesReceiveFewerRequests(t *testing.T) {
 	d, _ := newTestDispatcher(4)
-	bad, count := tables.EndpointID("e2"), 0
+	failing, count := tables.EndpointID("e2"), 0
 	for i := range 400 {
 		now := time.Second + time.Duration(i)*20*time.Millisecond
 		r := newTestRequest(0)
 		r.SharedParts = nil
 		a := mustPlace(t, d, now, r)
-		if a.Endpoint.ID == bad {
+		if a.Endpoint.ID == failing {
 			count++
 			d.RecordOutcome(now, a, Broken)
 			continue
@@ -233,9 +233,9 @@
 	d, all := newTestDispatcher(1)
 	a := mustPlace(t, d, time.Second, newTestRequest(7))
 	d.RecordResponseStart(time.Second, a)
-	reborn := all["e0"]
-	reborn.Born = 2
-	all["e0"] = reborn
+	restarted := all["e0"]
+	restarted.Born = 2
+	all["e0"] = restarted
 	d.SetEndpoints(all)
 	d.RecordOutcome(2*time.Second, a, Broken) // an attempt at the previous process
 	b := mustPlace(t, d, 2*time.Second, newTestRequest(7))
--- a/dispatch/remote_test.go
+++ b/dispatch/remote_test.go
@@ -12,15 +12,15 @@
 // Guards against requests that count twice: at the scheduler that placed them and at the
 // instance that sends them.
 func TestOnlyTheSchedulerReportsARemotelyPlacedAttempt(t *testing.T) {
-	chooser, _ := newTestDispatcher(4)
+	scheduler, _ := newTestDispatcher(4)
 	sender, _ := newTestDispatcher(4)
 	r := newTestRequest(7)
-	chosen, reason := chooser.Place(0, r)
+	chosen, reason := scheduler.Place(0, r)
 	assert.Equal(t, reason, RejectReason(""))
 	accepted := sender.AcceptDecision(0, newTestRequest(7), chosen.Decision(0))
 	assert.Assert(t, accepted != nil)
 	assert.Equal(t, accepted.Endpoint.ID, chosen.Endpoint.ID)
-	assert.Equal(t, len(chooser.TakeLoadReports(0)), 1)
+	assert.Equal(t, len(scheduler.TakeLoadReports(0)), 1)
 	assert.Equal(t, len(sender.TakeLoadReports(0)), 0)
 	assert.Equal(t, len(sender.TakeCacheUpdates()), 0)
 	assert.Equal(t, len(sender.TakeLoadReports(2*time.Second)), 0, "the load is not reported again either")
@@ -36,9 +36,9 @@
 // Guards against requests that are sent to an endpoint which this instance knows must not
 // receive them.
 func TestInvalidDecisionIsNotAccepted(t *testing.T) {
-	chooser, _ := newTestDispatcher(4)
+	scheduler, _ := newTestDispatcher(4)
 	sender, _ := newTestDispatcher(4)
-	chosen, _ := chooser.Place(0, newTestRequest(7))
+	chosen, _ := scheduler.Place(0, newTestRequest(7))
 	sender.SetReachable(0, chosen.Endpoint.ID, false)
 	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), chosen.Decision(0)) == nil)
 	sender.SetReachable(0, chosen.Endpoint.ID, true)
@@ -48,7 +48,7 @@
 	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), older) == nil, "the endpoint serves newer weights")
 	newer.Weights["m"] = older.WeightsVersion
 	newer.Loading = true
-	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), older) != nil, "the end of loading may become known here later")
+	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), older) != nil, "the sender may learn late that loading has ended")
 	gone := chosen.Decision(0)
 	gone.Endpoint = "gone"
 	assert.Assert(t, sender.AcceptDecision(0, newTestRequest(7), gone) == nil)
--- a/dispatch/unconfirmed_test.go
+++ b/dispatch/unconfirmed_test.go
@@ -37,10 +37,10 @@
 	now := 4 * time.Second
 	r := newTestRequest(1)
 	r.SharedParts = nil
-	living := mustPlace(t, d, now, r)
-	d.RecordResponseStart(now, living)
+	confirmed := mustPlace(t, d, now, r)
+	d.RecordResponseStart(now, confirmed)
 	for range 3 {
-		assert.Equal(t, mustPlace(t, d, now, newRetry()).Endpoint.ID, living.Endpoint.ID)
+		assert.Equal(t, mustPlace(t, d, now, newRetry()).Endpoint.ID, confirmed.Endpoint.ID)
 	}
 	assert.Equal(t, d.unconfirmedInWindow(now), 0)
 }
