--- a/dispatch/absence_test.go
+++ b/dispatch/absence_test.go
@@ -17,6 +17,7 @@
 	exchangedAt tables.Instant
 }
 
+// newTestCluster returns n dispatchers for the same engines, with different seeds.
 func newTestCluster(n, engines int) *testCluster {
 	c := &testCluster{}
 	for i := range n {
--- a/dispatch/cache_events_test.go
+++ b/dispatch/cache_events_test.go
@@ -60,10 +60,10 @@
 	a := mustPlace(t, d, 2*time.Second, newTestRequest(7))
 	assert.Equal(t, a.UncachedTokens, 1000)
 	assert.Equal(t, len(d.TakeCacheUpdates()), 0)
-	holdings := d.EndpointCaches(2 * time.Second)
-	assert.Equal(t, len(holdings), 1)
-	assert.Equal(t, holdings[0].Endpoint, tables.EndpointID("e2"))
-	assert.Equal(t, len(holdings[0].Keys), 2)
+	caches := d.EndpointCaches(2 * time.Second)
+	assert.Equal(t, len(caches), 1)
+	assert.Equal(t, caches[0].Endpoint, tables.EndpointID("e2"))
+	assert.Equal(t, len(caches[0].Keys), 2)
 }
 
 // Guards against parts of single requests, which make up most of an engine's events,
@@ -99,9 +99,9 @@
 	runRequest(t, reader, 7*time.Second, newTestRequest(7))
 	_ = reader.TakeCacheUpdates()
 	reader.RecordCacheEvents(8*time.Second, found, sharedKeys(newTestRequest(7)), nil, false)
-	news := reader.TakeCacheUpdates()
-	assert.Equal(t, len(news), 2)
-	assert.Equal(t, news[0].Endpoint, found)
+	updates := reader.TakeCacheUpdates()
+	assert.Equal(t, len(updates), 2)
+	assert.Equal(t, updates[0].Endpoint, found)
 }
 
 // Guards against counting an inner part as cached after the engine has evicted the outer
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -125,6 +125,9 @@
 	// Rationale is the state on which the placement was based.
 	Rationale Rationale
 
+	// row is the endpoint's row, and startedAt when the attempt was placed. memoryTokens is
+	// the engine memory that it occupies, prefillTokens its uncached prompt tokens, and
+	// queuedPrefill the prefill queue before it, in tokens.
 	row             *endpointRow
 	startedAt       tables.Instant
 	memoryTokens    int
--- a/dispatch/rate_limits_test.go
+++ b/dispatch/rate_limits_test.go
@@ -100,10 +100,10 @@
 	now := time.Second
 	chosen := mustPlace(t, scheduler, now, requestWithoutParts())
 	scheduler.RecordRateLimit(now, chosen, perSecond(3))
-	adopted := asking.AcceptDecision(now, requestWithoutParts(), chosen.Decision(now))
-	assert.Equal(t, asking.RateLimit(adopted.Endpoint.ID), perSecond(3))
+	accepted := asking.AcceptDecision(now, requestWithoutParts(), chosen.Decision(now))
+	assert.Equal(t, asking.RateLimit(accepted.Endpoint.ID), perSecond(3))
 
-	asking.RecordRateLimited(now, adopted, time.Second)
+	asking.RecordRateLimited(now, accepted, time.Second)
 	assert.Assert(t, asking.AcceptDecision(now, requestWithoutParts(), chosen.Decision(now)) == nil)
 	scheduler.RecordOutcome(now, chosen, DecodeOutcome(uint32(RateLimited)))
 	assert.Assert(t, mustPlace(t, scheduler, now, requestWithoutParts()).Endpoint.ID != chosen.Endpoint.ID)
