--- a/dispatch/availability.go
+++ b/dispatch/availability.go
@@ -12,8 +12,8 @@
 	// maxFailureScore caps the failure score, so that an endpoint recovers from a long
 	// outage as fast as from a short one.
 	maxFailureScore = 6.0
-	// zoneFailureScore is added to the other endpoints of a zone when one of them is
-	// lost.
+	// zoneFailureScore is added to the other endpoints of a zone when a connection to one
+	// of them timed out and the zone is silent.
 	zoneFailureScore = 0.8
 	// declinedBackoff is how long an endpoint receives no requests after it has declined
 	// one: it is full or is changing its weights.
--- a/dispatch/cache_directory.go
+++ b/dispatch/cache_directory.go
@@ -182,8 +182,9 @@
 }
 
 // assignStore has an attempt's endpoint copy the parts that it computes to a store, if
-// one is available. If the cached part of the prompt, cachedTokens long, covers all
-// shared parts, they are in the store already or are not worth the transfer.
+// one is available. cachedTokens is how much of the prompt is cached or fetched. Nothing
+// is copied if that covers all shared parts: they are in the store already or are not
+// worth the transfer.
 func (d *Dispatcher) assignStore(now tables.Instant, r *Request, a *Attempt, cachedTokens int) {
 	if r.sharedTokens() <= cachedTokens {
 		return
--- a/dispatch/rationale.go
+++ b/dispatch/rationale.go
@@ -108,9 +108,9 @@
 	return strings.TrimSpace(text)
 }
 
-// Rationale is the state on which a placement was based, for logs.
+// Rationale is the state on which a placement was based, for logs and metrics.
 type Rationale struct {
-	// Rule is why the endpoint was chosen.
+	// Rule is the reason for which the endpoint was chosen.
 	Rule PlacementRule
 	// OwnAttempts counts the attempts of this instance at the endpoint. OtherAttempts
 	// estimates those of other instances, by a load answer of the endpoint that is
--- a/dispatch/remote.go
+++ b/dispatch/remote.go
@@ -9,6 +9,7 @@
 // Decision is the placement that a remote scheduler, another instance, has made for a
 // request of this instance.
 type Decision struct {
+	// Endpoint is the chosen endpoint.
 	Endpoint tables.EndpointID
 	// CacheSource and CacheStore are those of the attempt; empty if the attempt has none.
 	CacheSource, CacheStore tables.EndpointID
@@ -31,8 +32,8 @@
 	}
 }
 
-// remoteAttempts is the part of this instance's load at an endpoint whose endpoint a
-// remote scheduler chose. The scheduler reports that part, so this instance leaves it out
+// remoteAttempts is the part of this instance's load at an endpoint that remote
+// schedulers have placed. The schedulers report that part, so this instance leaves it out
 // of its own load reports.
 type remoteAttempts struct {
 	attempts, memoryTokens int
