--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,6 +1,7 @@
-// Package prefix cuts prompts into pieces and names each piece by a hash over
-// everything before it, so that equal hashes mean equal prefixes within one
-// cache scope.
+// Package prefix hashes prompts for prefix caching. It splits a prompt into
+// blocks of fixed size and chains their hashes: each hash covers the block and
+// everything before it, as in the block hashes of a paged KV cache. Equal
+// hashes therefore mean equal prefixes within one cache scope.
 package prefix
 
 import (
@@ -12,17 +13,18 @@
 )
 
 const (
-	// BytesPerToken estimates tokens from the length of a text.
+	// BytesPerToken is the number of bytes of text assumed per token.
 	BytesPerToken = 4
-	// BlockTokens is the size of the pieces in which engines hold their cache.
+	// BlockTokens is the size, in tokens, of the blocks in which engines cache
+	// prompts.
 	BlockTokens = 4000
-	// BlockBytes is PieceTokens in bytes of text.
+	// BlockBytes is BlockTokens converted to bytes of text.
 	BlockBytes = BlockTokens * BytesPerToken
 )
 
-// Scope is what cache entries may be shared within. A difference in any field
-// gives different hashes for equal text. The boot identity of the endpoint is
-// kept beside the hash, not in it.
+// Scope is the boundary within which cache entries may be shared. Scopes that
+// differ in any field give different hashes for equal text. The boot ID of an
+// endpoint is not part of the hash; it is stored beside it.
 type Scope struct {
 	Organisation tables.OrganisationID
 	Model        tables.ModelName
@@ -30,9 +32,9 @@
 	Weights      tables.WeightsVersion
 }
 
-// RootHash is the hash that the first piece of the scope is chained to. Fields are
-// separated by a byte that identifiers cannot hold, so that two scopes cannot
-// run together into one text.
+// RootHash returns the hash that the first block of the scope chains to. A zero
+// byte, which identifiers cannot contain, separates the fields, so that two
+// scopes cannot concatenate to the same text.
 func (s Scope) RootHash() tables.BlockHash {
 	var d xxhash.Digest
 	d.Reset()
@@ -43,18 +45,20 @@
 	return tables.BlockHash(d.Sum64())
 }
 
-// ChainHash chains one piece of text to the hash before it.
-func ChainHash(before tables.BlockHash, piece string) tables.BlockHash {
+// ChainHash returns the hash of a block of text chained to the hash of
+// everything before it.
+func ChainHash(parent tables.BlockHash, block string) tables.BlockHash {
 	var d xxhash.Digest
 	d.Reset()
-	var head [8]byte
-	binary.LittleEndian.PutUint64(head[:], uint64(before))
-	_, _ = d.Write(head[:])
-	_, _ = d.WriteString(piece)
+	var parentBytes [8]byte
+	binary.LittleEndian.PutUint64(parentBytes[:], uint64(parent))
+	_, _ = d.Write(parentBytes[:])
+	_, _ = d.WriteString(block)
 	return tables.BlockHash(d.Sum64())
 }
 
-// BlockHashes appends to dst the hashes of all full pieces of text.
+// BlockHashes appends the chained hashes of all full blocks of text to dst. A
+// partial block at the end has no hash.
 func BlockHashes(dst []tables.BlockHash, root tables.BlockHash, text string) []tables.BlockHash {
 	hash := root
 	for len(text) >= BlockBytes {
@@ -65,5 +69,6 @@
 	return dst
 }
 
-// EstimateTokens estimates the tokens of a text of n bytes.
+// EstimateTokens estimates the number of tokens in a text of n bytes, rounded
+// up.
 func EstimateTokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func TestBlocksAreNestedAndScoped(t *testing.T) {
+func TestBlockHashesAreChainedAndScoped(t *testing.T) {
 	scope := Scope{Organisation: "a", Model: "m", Weights: "v1"}
 	style := strings.Repeat("s", BlockBytes)
 	short := BlockHashes(nil, scope.RootHash(), style+"tail")
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -11,10 +11,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// BenchmarkDecision is one request from Submit to its end, and the tail of the part from Submit to
-// the action, at fleets of several
-// sizes with views of several sizes. Prompts have ten blocks, of which the
-// outer ones are held by several endpoints.
+// BenchmarkDecision measures one request from Submit to the end of its attempt,
+// for several fleet sizes and several sizes of the cache index. It also reports
+// the tail latency of the part from Submit to the action. Prompts have ten
+// blocks; several endpoints hold the outer ones.
 func BenchmarkDecision(b *testing.B) {
 	for _, endpoints := range []int{9, 18, 138, 1100} {
 		for _, blocks := range []int{10_000, 1_000_000, 12_500_000} {
@@ -40,7 +40,7 @@
 	r := router.New(router.Options{Instance: "i1", Zone: "z1", Seed: 1, CacheIndexEntries: blocks})
 	r.Configure(0, c)
 	random := rand.New(rand.NewPCG(1, 2))
-	fill(r, c, blocks, random)
+	fillCacheIndex(r, c, blocks, random)
 	now := time.Second
 	b.ReportAllocs()
 	var took []time.Duration
@@ -68,14 +68,14 @@
 	reportTail(b, took)
 }
 
-// reportTail reports the time from Submit to the action at the 99th percentile.
+// reportTail reports the 99th percentile of the time from Submit to the action.
 func reportTail(b *testing.B, took []time.Duration) {
 	slices.Sort(took)
 	b.ReportMetric(float64(took[len(took)*99/100]), "p99-ns/decision")
 }
 
-// fill makes blocks known, each at one endpoint.
-func fill(r *router.Router, c *tables.Configuration, blocks int, random *rand.Rand) {
+// fillCacheIndex makes the router record each block at one endpoint.
+func fillCacheIndex(r *router.Router, c *tables.Configuration, blocks int, random *rand.Rand) {
 	sequence := make([]uint64, len(c.Endpoints))
 	for first := 0; first < blocks; first += 100 {
 		at := random.IntN(len(c.Endpoints))
--- a/router/completion.go
+++ b/router/completion.go
@@ -9,19 +9,21 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// retryAfter is the time to try again named when nothing better is known.
-const retryAfter = 2 * time.Second
+// defaultRetryAfter is the retry delay that a caller receives when no better
+// estimate exists.
+const defaultRetryAfter = 2 * time.Second
 
-// attemptEnded frees the endpoint and decides what becomes of the request.
-func (r *Router) attemptEnded(now tables.Instant, in AttemptEnded) {
+// observeAttemptEnded releases the attempt's resources and then completes,
+// retries or fails the request.
+func (r *Router) observeAttemptEnded(now tables.Instant, in AttemptEnded) {
 	a, ok := r.attempts[in.Attempt]
 	if !ok {
 		return
 	}
-	r.release(a)
-	r.learnEnd(now, a, in)
-	r.judge(now, a, in.Result)
-	r.suspectEnd(now, a, in)
+	r.releaseAttempt(a)
+	r.recordAttemptEnd(now, a, in)
+	r.updateHealth(now, a, in.Result)
+	r.updateQuarantine(now, a, in)
 	row := a.Request
 	if !in.Result.provesNotRun() {
 		row.MayHaveRun = true
@@ -31,7 +33,7 @@
 		row.Weights = a.Weights
 	}
 	if row.State == tables.Finished {
-		r.forget(row)
+		r.removeIfDone(row)
 		return
 	}
 	if in.Result == Completed {
@@ -41,12 +43,12 @@
 	}
 	row.FailedEndpoints = append(row.FailedEndpoints, a.Endpoint)
 	if len(row.Attempts) == 0 {
-		r.afterFailure(now, a, in)
+		r.retryOrFail(now, a, in)
 	}
 }
 
-// judge takes an attempt's end into the health of its endpoint.
-func (r *Router) judge(now tables.Instant, a *tables.AttemptRow, end AttemptResult) {
+// updateHealth applies the result of an attempt to the health of its endpoint.
+func (r *Router) updateHealth(now tables.Instant, a *tables.AttemptRow, end AttemptResult) {
 	row := r.endpoints.Row(a.Endpoint)
 	switch end {
 	case Completed:
@@ -55,115 +57,123 @@
 	case Interrupted:
 		health.Failed(now, &row.Health)
 	case NotStarted:
-		// Work that runs at most once also ends like this when its claim is not
-		// granted, which says nothing of the endpoint.
+		// Work that runs at most once also ends as NotStarted when its claim is
+		// not granted. That is no evidence against the endpoint.
 		if a.Request.Profile.Idempotent {
 			health.Failed(now, &row.Health)
 		}
 	case Unreachable:
 		health.Eject(now, &row.Health)
 	case Crashed:
-		r.crashed(now, row, a.Boot)
+		r.handleCrash(now, row, a.Boot)
 	}
 }
 
-// provesNotRun says whether the attempt cannot have run.
+// provesNotRun reports whether the result proves that the work did not run.
 func (e AttemptResult) provesNotRun() bool {
 	return e == NotStarted || e == Rejected || e == Unreachable
 }
 
-// crashed ends a life of an endpoint: its cache is gone.
-func (r *Router) crashed(now tables.Instant, row *tables.EndpointRow, boot tables.BootID) {
+// handleCrash ends a boot of an endpoint: its cache is lost.
+func (r *Router) handleCrash(now tables.Instant, row *tables.EndpointRow, boot tables.BootID) {
 	if boot != row.Boot {
 		return
 	}
 	row.EndBoot()
-	r.view.Reset(row.Index)
+	r.cacheIndex.Reset(row.Index)
 	health.Eject(now, &row.Health)
 }
 
-// release removes an attempt from its endpoint, request and table.
-func (r *Router) release(a *tables.AttemptRow) {
+// releaseAttempt removes an attempt from its endpoint, its request and the
+// table of attempts.
+func (r *Router) releaseAttempt(a *tables.AttemptRow) {
 	delete(r.attempts, a.ID)
 	r.endpoints.Row(a.Endpoint).Load.LocalAttempts--
 	if a.FirstTokenAt == 0 {
-		r.prefillOver(a)
+		r.releasePrefill(a)
 	}
-	kept := a.Request.Attempts[:0]
+	remaining := a.Request.Attempts[:0]
 	for _, other := range a.Request.Attempts {
 		if other != a {
-			kept = append(kept, other)
+			remaining = append(remaining, other)
 		}
 	}
-	a.Request.Attempts = kept
+	a.Request.Attempts = remaining
 }
 
-// afterFailure retries a request whose last attempt failed, or fails it.
-func (r *Router) afterFailure(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
+// retryOrFail retries a request whose last attempt failed, or fails it.
+func (r *Router) retryOrFail(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
 	row := a.Request
 	switch {
 	case in.Result == Cancelled && !a.Aborted:
-		// The shell gave the request up itself and tells its caller.
+		// The caller of Tick cancelled the attempt itself and answers the
+		// request.
 		r.finish(row)
-	case r.convicted(now, row.Request.Fingerprint):
+	case r.isQuarantined(now, row.Request.Fingerprint):
 		r.fail(row, tables.CodeQuarantined, 0)
 	case !retry.SafeToRetry(row):
 		r.fail(row, tables.CodeOutcomeUnknown, 0)
-	case in.Result == Unreachable && len(row.FailedEndpoints) < maxUnreachable:
-		// Nothing reached an endpoint, so trying another adds no load to the
-		// fleet. When a zone is cut off, two thirds of the endpoints are gone at
-		// once: counted like other retries, these would use up the request's
-		// tries and the budget of all, and requests would be refused though the
-		// own zone's endpoints are idle.
-		r.again(now, row)
-	case row.Retries+1 >= retry.MaxAttempts && holdable(now, row):
+	case in.Result == Unreachable && len(row.FailedEndpoints) < maxUnreachableAttempts:
+		// No work reached an endpoint, so a further attempt adds no load to the
+		// fleet and counts neither as a retry nor against the retry budget.
+		// When a zone is cut off, two thirds of the endpoints become
+		// unreachable at once. Counted as retries, these attempts would exhaust
+		// the request's attempts and the shared budget, and requests would be
+		// refused although endpoints in the local zone are idle.
+		r.requeue(now, row)
+	case row.Retries+1 >= retry.MaxAttempts && canRestartRetries(now, row):
 		row.FailedEndpoints = row.FailedEndpoints[:0]
-		r.again(now, row)
-		row.NotBefore = now + heldRetryPause
+		r.requeue(now, row)
+		row.NotBefore = now + deferredRetryDelay
 	case row.Retries+1 >= retry.MaxAttempts:
-		r.fail(row, failureCode(row), retryAfter)
-	case !r.budget.TryWithdraw():
-		r.fail(row, r.budgetCode(row), retryAfter)
+		r.fail(row, failureCode(row), defaultRetryAfter)
+	case !r.retryBudget.TryWithdraw():
+		r.fail(row, r.exhaustedBudgetCode(row), defaultRetryAfter)
 	default:
 		row.Retries++
-		r.again(now, row)
+		r.requeue(now, row)
 	}
 }
 
-// heldRetryPause is the wait of work that can be held before it is tried again
-// after all its tries. It is about as long as an endpoint that crashed is away.
-const heldRetryPause = 2 * time.Second
+// deferredRetryDelay is the delay before deferrable work starts a new series of
+// attempts. It is about as long as a crashed endpoint is unavailable.
+const deferredRetryDelay = 2 * time.Second
 
-// holdable says whether a request that proved unable to start can be held
-// longer. Its tries are over within a tenth of a second. Were it refused then, a
-// crash of a few endpoints would refuse work that had an hour to wait for them.
-func holdable(now tables.Instant, row *tables.RequestRow) bool {
-	return !row.MayHaveRun && float64(now-row.SubmittedAt) < promoteAfter*float64(row.Profile.MaxWait)
+// canRestartRetries reports whether a request that used up its attempts may
+// start a new series: it is deferrable, certainly has not run, and has waited
+// less than promoteAfterFraction of its limit. One series of attempts takes
+// less than a tenth of a second. Without this rule, the crash of a few
+// endpoints would refuse work that can wait an hour for them.
+func canRestartRetries(now tables.Instant, row *tables.RequestRow) bool {
+	return !row.MayHaveRun && float64(now-row.SubmittedAt) < promoteAfterFraction*float64(row.Profile.MaxWait)
 }
 
-// again lets a request wait for its next attempt.
-func (r *Router) again(now tables.Instant, row *tables.RequestRow) {
+// requeue queues a request for its next attempt.
+func (r *Router) requeue(now tables.Instant, row *tables.RequestRow) {
 	row.NotBefore = now + retry.Backoff(max(row.Retries, 1))
 	row.StartBy = now + admission.Patience(row.Profile)
 	if row.Request.Deadline > 0 {
 		row.StartBy = min(row.StartBy, row.Request.Deadline)
 	}
-	r.enqueue(now, row, ownGroup(row))
+	r.enqueue(now, row, privateGroup(row))
 }
 
-// maxUnreachable bounds the endpoints that one request finds unreachable.
-const maxUnreachable = 16
+// maxUnreachableAttempts limits the unreachable endpoints that one request
+// tries.
+const maxUnreachableAttempts = 16
 
-// budgetCode is the code of a request that was not tried again for want of
-// budget. A stream that broke is called that, whatever the reason.
-func (r *Router) budgetCode(row *tables.RequestRow) tables.ErrorCode {
+// exhaustedBudgetCode returns the error code of a request that is not retried
+// because the retry budget is exhausted. A request whose stream broke always
+// reports the broken stream.
+func (r *Router) exhaustedBudgetCode(row *tables.RequestRow) tables.ErrorCode {
 	if row.DeliveredTokens > 0 {
 		return tables.CodeStreamBroken
 	}
 	return tables.CodeRetryBudget
 }
 
-// failureCode is the code of a request whose attempts have all failed.
+// failureCode returns the error code of a request whose attempts have all
+// failed.
 func failureCode(row *tables.RequestRow) tables.ErrorCode {
 	switch {
 	case row.DeliveredTokens > 0:
@@ -175,7 +185,7 @@
 	}
 }
 
-// outcome is what is certain about the work of a request that is given up.
+// outcome returns what is certain about the work of a request that is given up.
 func outcome(row *tables.RequestRow) tables.Outcome {
 	if row.MayHaveRun || len(row.Attempts) > 0 {
 		return tables.OutcomeUnknown
@@ -197,34 +207,34 @@
 	r.actions = append(r.actions, Refuse{Request: request.ID, Refusal: refusal})
 }
 
-// timeout ends a request whose deadline has passed.
-func (r *Router) timeout(now tables.Instant, row *tables.RequestRow) {
+// expireDeadline ends a request whose deadline has passed.
+func (r *Router) expireDeadline(now tables.Instant, row *tables.RequestRow) {
 	if !row.Dispatched {
-		r.refuse(row.Request, tables.Refusal{Code: tables.CodeTimeout, RetryAfter: retryAfter})
+		r.refuse(row.Request, tables.Refusal{Code: tables.CodeTimeout, RetryAfter: defaultRetryAfter})
 		r.finish(row)
 		return
 	}
 	r.abortAll(now, row)
-	r.fail(row, tables.CodeTimeout, retryAfter)
+	r.fail(row, tables.CodeTimeout, defaultRetryAfter)
 }
 
-// giveUp ends a request that waited for as long as it may. One that was
-// dispatched before cannot be refused any more; it fails.
-func (r *Router) giveUp(now tables.Instant, row *tables.RequestRow) {
+// expireQueued ends a request that has reached its maximum wait. A request that
+// was dispatched before can no longer be refused, so it fails.
+func (r *Router) expireQueued(now tables.Instant, row *tables.RequestRow) {
 	if row.Dispatched {
-		r.fail(row, failureCode(row), retryAfter)
+		r.fail(row, failureCode(row), defaultRetryAfter)
 		return
 	}
 	c := &r.classes[row.Priority]
 	refusal := tables.Refusal{Code: tables.CodeOverloaded, RetryAfter: c.backlog[row.Organisation].RetryAfter(now, row.StartBy-row.SubmittedAt)}
 	switch {
-	case r.organisations.rows[row.Organisation].limiter.Full(r.share):
+	case r.organisations.rows[row.Organisation].limiter.Full(r.trafficShare):
 		refusal.Code = tables.CodeOrganisationLimit
-	case !r.anyServes(now, row):
+	case !r.hasEligibleEndpoint(now, row):
 		refusal.Code = tables.CodeNoEndpoint
 	}
 	if refusal.Code == tables.CodeOverloaded {
-		r.notePressure(now, row)
+		r.recordShed(now, row)
 	}
 	r.refuse(row.Request, refusal)
 	r.finish(row)
@@ -239,10 +249,10 @@
 		row.HoldsConcurrencySlot = false
 		r.organisations.rows[row.Organisation].limiter.Stop()
 	}
-	r.forget(row)
+	r.removeIfDone(row)
 }
 
-func (r *Router) forget(row *tables.RequestRow) {
+func (r *Router) removeIfDone(row *tables.RequestRow) {
 	if len(row.Attempts) == 0 {
 		delete(r.requests, row.Request.ID)
 	}
--- a/router/deferrable_retry_test.go
+++ b/router/deferrable_retry_test.go
@@ -9,10 +9,11 @@
 	"github.com/carawaystile/carawaystile/router"
 )
 
-// A few engines crash at once while a check that can wait an hour is tried at
-// them. Nothing ran; all its tries were over within a tenth of a second, and its
-// caller was refused with the hour hardly begun.
-func TestHeldWorkOutlivesACrashOfAllItsTries(t *testing.T) {
+// Several engines crash while a check that may wait an hour is tried at them.
+// Nothing runs, and all its attempts fail within a tenth of a second. The
+// request must stay queued; it used to be refused then, with nearly the whole
+// hour left.
+func TestDeferrableWorkOutlastsExhaustedRetries(t *testing.T) {
 	r := newRouter(9)
 	now := ms
 	req := request("r1", "check", now)
@@ -23,7 +24,7 @@
 		now += 50 * ms
 		for _, action := range r.Tick(now) {
 			d, ok := action.(router.Dispatch)
-			assert.Assert(t, ok, "%T after %d tries", action, tried)
+			assert.Assert(t, ok, "unexpected %T after %d attempts", action, tried)
 			tried++
 			r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.NotStarted})
 		}
@@ -39,5 +40,5 @@
 			}
 		}
 	}
-	t.Fatal("it was never tried again")
+	t.Fatal("the request was not dispatched again after its failed attempts")
 }
--- a/router/deferrable_test.go
+++ b/router/deferrable_test.go
@@ -11,12 +11,12 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// A rights desk sends one long check a minute, each with a prefix of its own,
-// to engines that are idle. Checks that can wait an hour are held for a while so
-// that more of a kind come together. While they are held hardly any starts, and
-// the prediction of the wait took that for an overloaded fleet: checks were
-// refused though every engine was idle.
-func TestHeldWorkIsNotRefusedWhileEnginesAreIdle(t *testing.T) {
+// One long check a minute, each with a prefix of its own, arrives at idle
+// engines. The router holds a check that may wait an hour for a while, so that
+// requests with the same prefix accumulate. Hardly any check starts in that
+// time. The wait prediction mistook this for an overloaded fleet, and checks
+// were refused although every engine was idle.
+func TestDeferrableWorkIsNotRefusedWhileEnginesAreIdle(t *testing.T) {
 	r := newRouter(2)
 	served := 0
 	const sent = 60
@@ -30,7 +30,7 @@
 		}
 		for _, action := range r.Tick(now) {
 			d, ok := action.(router.Dispatch)
-			assert.Assert(t, ok, "after %v: %#v", now, action)
+			assert.Assert(t, ok, "unexpected action at %v: %#v", now, action)
 			served++
 			r.Observe(now, router.AttemptStarted{Attempt: d.Attempt, Boot: "b", Weights: "w1"})
 			r.Observe(now, router.FirstToken{Attempt: d.Attempt})
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -9,46 +9,51 @@
 )
 
 const (
-	// initialHomeTrust is the part of a prefix that is supposed to be at its
-	// home before that was ever seen to be so.
-	initialHomeTrust = 0.5
-	// learnHome, learnSpeed and learnService are the weights of one sample.
-	learnHome    = 0.02
-	learnSpeed   = 0.1
-	learnService = 0.05
-	// minSampleTokens is the least prefill work that says something of speed.
-	minSampleTokens = 2000
-	// learnWork is the weight of one dispatch in the means of prefill work.
-	learnWork = 0.02
-	// otherMargin is how much more prefill work than own attempts those of
-	// other instances are believed to bring. Engines count a prefix that several
-	// queued attempts share once for each; without the bound the queue of a hot
-	// prefix's home looks many times longer than it is, and its requests flee to
-	// endpoints that must compute the prefix anew.
-	otherMargin = 1.5
+	// initialHomeHitRatio is the value of homeHitRatio before the first sample.
+	initialHomeHitRatio = 0.5
+	// homeHitRatioAlpha, prefillRateAlpha and serviceTimeAlpha are the
+	// smoothing factors of exponentially weighted moving averages: the weight
+	// of one sample.
+	homeHitRatioAlpha = 0.02
+	prefillRateAlpha  = 0.1
+	serviceTimeAlpha  = 0.05
+	// minPrefillSampleTokens is the least prefill work whose duration is a
+	// useful sample of speed.
+	minPrefillSampleTokens = 2000
+	// prefillWorkAlpha is the smoothing factor of the averages over the prefill
+	// work of dispatches.
+	prefillWorkAlpha = 0.02
+	// maxRemoteWorkRatio limits the prefill work attributed to an attempt of
+	// another instance, relative to the mean of this instance's attempts.
+	// Engines count a prefix that several queued attempts share once per
+	// attempt. Without the limit, the queue at the home of a hot prefix looks
+	// many times longer than it is, and requests move to endpoints that must
+	// compute the prefix again.
+	maxRemoteWorkRatio = 1.5
 )
 
-// learn takes in what the first token of an attempt shows of the endpoint's
-// cache and speed.
-func (r *Router) learn(now tables.Instant, a *tables.AttemptRow, found int) {
+// recordFirstToken updates the cache and speed estimates of an endpoint from an
+// attempt's first token. found is the number of prompt tokens that the endpoint
+// had cached.
+func (r *Router) recordFirstToken(now tables.Instant, a *tables.AttemptRow, cachedTokens int) {
 	row := r.endpoints.Row(a.Endpoint)
 	if a.Boot == row.Boot {
-		r.view.Learn(a.Endpoint, a.KnownTokens, found)
+		r.cacheIndex.Learn(a.Endpoint, a.KnownTokens, cachedTokens)
 	}
 	if a.HomeTokens > 0 && a.KnownTokens == 0 {
-		part := min(1, float64(found)/float64(a.HomeTokens))
-		r.homeTrust += learnHome * (part - r.homeTrust)
+		hitRatio := min(1, float64(cachedTokens)/float64(a.HomeTokens))
+		r.homeHitRatio += homeHitRatioAlpha * (hitRatio - r.homeHitRatio)
 	}
-	uncached := max(0, a.Request.Request.PromptTokens-found)
+	uncached := max(0, a.Request.Request.PromptTokens-cachedTokens)
 	if a.PrefillTokensAhead <= uncached {
-		r.learnPrefill(row, a.PrefillTokensAhead+uncached, now-a.DispatchedAt)
+		r.updatePrefillRate(row, a.PrefillTokensAhead+uncached, now-a.DispatchedAt)
 	}
 }
 
-// learnPrefill averages the time for a token of prefill work, the work that
-// was ahead included.
-func (r *Router) learnPrefill(row *tables.EndpointRow, tokens int, took time.Duration) {
-	if tokens < minSampleTokens || took <= 0 {
+// updatePrefillRate adds a sample to the moving average of the time per token
+// of prefill work. tokens includes the work queued ahead of the attempt.
+func (r *Router) updatePrefillRate(row *tables.EndpointRow, tokens int, took time.Duration) {
+	if tokens < minPrefillSampleTokens || took <= 0 {
 		return
 	}
 	speed := &row.Throughput
@@ -57,65 +62,67 @@
 		rate = placement.DefaultPrefillRate
 	}
 	seconds := took.Seconds() / float64(tokens)
-	speed.PrefillRate = 1 / (1/rate + sampleWeight(row)*(seconds-1/rate))
+	speed.PrefillRate = 1 / (1/rate + prefillSampleWeight(row)*(seconds-1/rate))
 	speed.PrefillSamples++
 }
 
-// sampleWeight is the weight of the next sample of an endpoint's speed. A
-// declared speed is a good first guess and gives way slowly. Where none is
-// declared the first samples are averaged: the default in its place can be far
-// off for all endpoints alike, and a slow one among them would look like the
-// others until the default is forgotten, with callers waiting at it meanwhile.
-func sampleWeight(row *tables.EndpointRow) float64 {
+// prefillSampleWeight returns the weight of the next sample of an endpoint's
+// prefill rate. A declared rate is a good initial value, so samples replace it
+// slowly. Without a declared rate, the first samples are averaged with equal
+// weight: the default rate may be far off for all endpoints, and a slow
+// endpoint would look like the others, with callers queued at it, until the
+// average has forgotten the default.
+func prefillSampleWeight(row *tables.EndpointRow) float64 {
 	if row.Endpoint.PrefillRate > 0 {
-		return learnSpeed
+		return prefillRateAlpha
 	}
-	return max(learnSpeed, 1/float64(row.Throughput.PrefillSamples+1))
+	return max(prefillRateAlpha, 1/float64(row.Throughput.PrefillSamples+1))
 }
 
-// learnEnd takes in what the end of an attempt shows.
-func (r *Router) learnEnd(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
+// recordAttemptEnd updates the estimates from the end of an attempt.
+func (r *Router) recordAttemptEnd(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
 	row := r.endpoints.Row(a.Endpoint)
 	if in.Result == Completed {
-		r.learnService(row, now-a.DispatchedAt)
+		r.updateServiceTime(row, now-a.DispatchedAt)
 		return
 	}
 	if a.FirstTokenAt == 0 && a.Boot == row.Boot {
 		known := min(len(a.Request.Request.Blocks), a.KnownTokens/prefix.BlockTokens)
-		r.view.Forget(a.Endpoint, a.Request.Request.Blocks[known:])
+		r.cacheIndex.Forget(a.Endpoint, a.Request.Request.Blocks[known:])
 	}
 }
 
-func (r *Router) learnService(row *tables.EndpointRow, took time.Duration) {
+func (r *Router) updateServiceTime(row *tables.EndpointRow, took time.Duration) {
 	if row.Throughput.MeanServiceTime == 0 {
 		row.Throughput.MeanServiceTime = took
 		return
 	}
-	row.Throughput.MeanServiceTime += time.Duration(learnService * float64(took-row.Throughput.MeanServiceTime))
+	row.Throughput.MeanServiceTime += time.Duration(serviceTimeAlpha * float64(took-row.Throughput.MeanServiceTime))
 }
 
-// busyWindow is the time constant over which the use of endpoints is averaged.
+// busyWindow is the time constant of BusyFraction.
 const busyWindow = 10 * time.Second
 
-// learnBusy takes in whether an endpoint had prefill work at its last report.
-func (r *Router) learnBusy(now tables.Instant, row *tables.EndpointRow, busy bool) {
-	passed := float64(min(now-row.Load.ReportedAt, busyWindow)) / float64(busyWindow)
+// updateBusyFraction adds to BusyFraction whether an endpoint reported queued
+// prefill work.
+func (r *Router) updateBusyFraction(now tables.Instant, row *tables.EndpointRow, busy bool) {
+	alpha := float64(min(now-row.Load.ReportedAt, busyWindow)) / float64(busyWindow)
 	target := 0.0
 	if busy {
 		target = 1
 	}
-	row.Load.BusyFraction += passed * (target - row.Load.BusyFraction)
+	row.Load.BusyFraction += alpha * (target - row.Load.BusyFraction)
 }
 
-// learnMix takes in the prefill work of a dispatch.
-func (r *Router) learnMix(p tables.Priority, uncached int) {
-	r.meanUncached += learnWork * (float64(uncached) - r.meanUncached)
+// updatePriorityMix adds the prefill work of a dispatch to the averages.
+func (r *Router) updatePriorityMix(p tables.Priority, uncached int) {
+	r.meanUncachedTokens += prefillWorkAlpha * (float64(uncached) - r.meanUncachedTokens)
 	if uncached == 0 {
 		return
 	}
-	weight := learnWork * min(1, float64(uncached)/prefix.BlockTokens)
-	for i := range r.mix {
-		r.mix[i] -= weight * r.mix[i]
+	weight := prefillWorkAlpha * min(1, float64(uncached)/prefix.BlockTokens)
+	for i := range r.priorityMix {
+		r.priorityMix[i] -= weight * r.priorityMix[i]
 	}
-	r.mix[p] += weight
+	r.priorityMix[p] += weight
 }
--- a/router/explain.go
+++ b/router/explain.go
@@ -5,50 +5,51 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Explanation says why a request went where it went, or why it did not run.
+// Explanation records why a request went to an endpoint, or why it did not run.
 type Explanation struct {
 	Request tables.RequestID `json:"request"`
-	// At is the reading of the router's clock when it was decided.
+	// At is the reading of the router's clock at the decision.
 	At tables.Instant `json:"at_nanoseconds"`
-	// Endpoint is the chosen one; empty while the request waits.
+	// Endpoint is the chosen endpoint; empty while the request waits.
 	Endpoint   tables.EndpointID  `json:"endpoint,omitempty"`
 	Candidates []placement.Report `json:"candidates"`
 }
 
-// ring holds the newest explanations.
-type ring struct {
-	rows []Explanation
-	at   map[tables.RequestID]int
-	next int
+// explanationRing is a ring buffer of the newest explanations, indexed by
+// request.
+type explanationRing struct {
+	entries []Explanation
+	index   map[tables.RequestID]int
+	next    int
 }
 
-func newRing(size int) ring {
-	return ring{rows: make([]Explanation, size), at: make(map[tables.RequestID]int, size)}
+func newExplanationRing(size int) explanationRing {
+	return explanationRing{entries: make([]Explanation, size), index: make(map[tables.RequestID]int, size)}
 }
 
-// slot returns the row for a request, reusing its former or the oldest one.
-func (g *ring) slot(id tables.RequestID) *Explanation {
-	i, ok := g.at[id]
+// slot returns the request's entry. A new request takes the oldest entry.
+func (r *explanationRing) slot(id tables.RequestID) *Explanation {
+	i, ok := r.index[id]
 	if !ok {
-		i = g.next
-		g.next = (g.next + 1) % len(g.rows)
-		delete(g.at, g.rows[i].Request)
-		g.at[id] = i
+		i = r.next
+		r.next = (r.next + 1) % len(r.entries)
+		delete(r.index, r.entries[i].Request)
+		r.index[id] = i
 	}
-	return &g.rows[i]
+	return &r.entries[i]
 }
 
-// Explain returns the last decision on a request, while it is remembered.
+// Explain returns the last decision on a request, if it is still remembered.
 func (r *Router) Explain(id tables.RequestID) (Explanation, bool) {
-	i, ok := r.explained.at[id]
+	i, ok := r.explanations.index[id]
 	if !ok {
 		return Explanation{}, false
 	}
-	return r.explained.rows[i], true
+	return r.explanations.entries[i], true
 }
 
-func (r *Router) explain(q *placement.Query, candidates []placement.Candidate, chosen tables.EndpointIndex) {
-	row := r.explained.slot(q.Request.Request.ID)
+func (r *Router) recordExplanation(q *placement.Query, candidates []placement.Candidate, chosen tables.EndpointIndex) {
+	row := r.explanations.slot(q.Request.Request.ID)
 	row.Request = q.Request.Request.ID
 	row.At = q.Now
 	row.Endpoint = ""
@@ -58,9 +59,10 @@
 	row.Candidates = r.picker.Explain(row.Candidates[:0], q, candidates)
 }
 
-// explainWait records why a request waits, once; it is tried again many times.
+// explainWait records why a request waits. It records only the first decision,
+// since the router retries a queued request many times.
 func (r *Router) explainWait(q *placement.Query, candidates []placement.Candidate) {
-	if _, ok := r.explained.at[q.Request.Request.ID]; !ok {
-		r.explain(q, candidates, tables.NoEndpoint)
+	if _, ok := r.explanations.index[q.Request.Request.ID]; !ok {
+		r.recordExplanation(q, candidates, tables.NoEndpoint)
 	}
 }
--- a/router/failure_test.go
+++ b/router/failure_test.go
@@ -11,8 +11,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// until ticks every 20 ms up to an instant and returns all actions.
-func until(r *router.Router, from, to time.Duration) []router.Action {
+// tickUntil calls Tick every 20 ms up to an instant and returns all actions.
+func tickUntil(r *router.Router, from, to time.Duration) []router.Action {
 	var all []router.Action
 	for now := from; now <= to; now += 20 * ms {
 		all = append(all, r.Tick(now)...)
@@ -20,7 +20,7 @@
 	return all
 }
 
-func count[A router.Action](actions []router.Action) int {
+func countActions[A router.Action](actions []router.Action) int {
 	n := 0
 	for _, action := range actions {
 		if _, ok := action.(A); ok {
@@ -30,15 +30,15 @@
 	return n
 }
 
-// A stream breaks after its first tokens while the model's weights are being
-// changed, and no endpoint serves the old ones any more. Tokens of other weights
+// A stream breaks after its first tokens while the weights of the model change,
+// and no endpoint serves the old version any more. Tokens from other weights
 // must not continue the answer; the caller is told that the stream broke.
 func TestStreamIsNotResumedOnOtherWeights(t *testing.T) {
 	r := newRouter(2)
-	d := dispatched(t, r, ms, request("r1", "draft", ms))
+	d := submitForDispatch(t, r, ms, request("r1", "draft", ms))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: d.Attempt, Boot: "b", Weights: "w1"})
 	r.Observe(3*ms, router.FirstToken{Attempt: d.Attempt})
-	c := fixture(2)
+	c := testConfiguration(2)
 	c.Revision = 2
 	c.Models[0].Weights = "w2"
 	r.Configure(4*ms, c)
@@ -46,46 +46,46 @@
 		r.Observe(4*ms, router.LoadReport{Endpoint: id, Boot: "b", Weights: map[tables.ModelName]tables.WeightsVersion{"m": "w2"}})
 	}
 	r.Observe(5*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Interrupted, GeneratedTokens: 3, DeliveredTokens: 3})
-	actions := until(r, 6*ms, 10*time.Second)
-	assert.Equal(t, count[router.Dispatch](actions), 0)
-	f := only[router.Fail](t, actions)
+	actions := tickUntil(r, 6*ms, 10*time.Second)
+	assert.Equal(t, countActions[router.Dispatch](actions), 0)
+	f := singleAction[router.Fail](t, actions)
 	assert.Equal(t, f.Code, tables.CodeStreamBroken)
 	assert.Equal(t, f.Outcome, tables.OutcomeUnknown)
 }
 
-// An engine hangs: it takes requests and its connections stay open, but no
-// token ever comes. Without a judgement by time its callers would wait for
-// their whole timeout.
-func TestHangingEndpointIsLeft(t *testing.T) {
+// An engine hangs: it accepts requests and keeps their connections open, but
+// sends no token. Without a check of elapsed time, callers would wait for their
+// whole timeout.
+func TestHungAttemptIsAbortedAndRetriedElsewhere(t *testing.T) {
 	r := newRouter(2)
-	first := dispatched(t, r, ms, request("r1", "draft", ms))
+	first := submitForDispatch(t, r, ms, request("r1", "draft", ms))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: first.Attempt, Boot: "b"})
-	aborted := until(r, 20*ms, 15*time.Second)
-	abort := only[router.Abort](t, aborted)
+	aborted := tickUntil(r, 20*ms, 15*time.Second)
+	abort := singleAction[router.Abort](t, aborted)
 	assert.Equal(t, abort.Attempt, first.Attempt)
 	r.Observe(15*time.Second, router.AttemptEnded{Attempt: first.Attempt, Result: router.Cancelled})
-	again := only[router.Dispatch](t, until(r, 15*time.Second, 16*time.Second))
+	again := singleAction[router.Dispatch](t, tickUntil(r, 15*time.Second, 16*time.Second))
 	assert.Assert(t, again.Endpoint.ID != first.Endpoint.ID)
 }
 
-// An engine crashes and comes back empty and idle. If all waiting work went to
-// it at once it would be overloaded before it has shown that it works.
-func TestReturningEndpointIsNotStampeded(t *testing.T) {
+// An engine crashes and comes back empty and idle. If all queued work went to
+// it at once, it would be overloaded before it has proved that it works.
+func TestRecoveringEndpointGetsLimitedWork(t *testing.T) {
 	r := newRouter(1)
-	d := dispatched(t, r, ms, request("r0", "draft", ms))
+	d := submitForDispatch(t, r, ms, request("r0", "draft", ms))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: d.Attempt, Boot: "b1"})
 	r.Observe(3*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Crashed})
 	for i := range 10 {
 		r.Submit(4*ms, request(fmt.Sprint("r", i+1), "draft", 4*ms))
 	}
-	assert.Equal(t, count[router.Dispatch](until(r, 5*ms, 900*ms)), 0)
-	assert.Equal(t, count[router.Dispatch](until(r, 920*ms, 1500*ms)), 2)
+	assert.Equal(t, countActions[router.Dispatch](tickUntil(r, 5*ms, 900*ms)), 0)
+	assert.Equal(t, countActions[router.Dispatch](tickUntil(r, 920*ms, 1500*ms)), 2)
 }
 
-// Every attempt breaks, because something that all endpoints share is down.
-// Retrying each request up to its limit would multiply the load on endpoints
-// that fail already.
-func TestRetriesAreBounded(t *testing.T) {
+// Every attempt fails, because something that all endpoints share is down.
+// Retrying each request up to its own limit would multiply the load on
+// endpoints that already fail.
+func TestRetryBudgetLimitsAttempts(t *testing.T) {
 	r := newRouter(9)
 	now := ms
 	dispatches, requests := 0, 400
@@ -104,12 +104,12 @@
 	assert.Assert(t, dispatches < requests*13/10+20, "%d attempts for %d requests", dispatches, requests)
 }
 
-// Far more comes than one engine can run. Drafting cannot wait and checks can;
-// when some must be refused it has to be the checks' turn first, and a refusal
-// says when to come back.
-func TestOverloadRefusesTheLeastUrgentFirst(t *testing.T) {
+// More work arrives than one engine can run. The profile draft is not
+// deferrable, and check is. When some must be refused, checks come first, and
+// each refusal names a retry delay.
+func TestOverloadShedsLeastUrgentFirst(t *testing.T) {
 	r := newRouter(1)
-	c := fixture(1)
+	c := testConfiguration(1)
 	c.Revision = 2
 	for i := range c.Profiles {
 		if c.Profiles[i].Name == "check" {
@@ -148,56 +148,57 @@
 	}
 	assert.Assert(t, refused > 0)
 	assert.Assert(t, started["draft"] > 5*started["check"], "%v", started)
-	assert.Assert(t, started["check"] > 0, "held work starves: %v", started)
+	assert.Assert(t, started["check"] > 0, "deferrable work starves: %v", started)
 }
 
-// A caller sets a limit of two requests at once for an organisation. More must
-// wait, however idle the endpoints are.
+// The configuration limits an organisation to two concurrent requests. Further
+// requests must wait, even if the endpoints are idle.
 func TestConcurrencyLimitHolds(t *testing.T) {
 	r := newRouter(4)
-	c := fixture(4)
+	c := testConfiguration(4)
 	c.Revision = 2
 	c.Organisations[0].Concurrent = 2
 	r.Configure(0, c)
 	for i := range 6 {
 		r.Submit(ms, request(fmt.Sprint("r", i), "draft", ms))
 	}
-	actions := until(r, 2*ms, 500*ms)
-	assert.Equal(t, count[router.Dispatch](actions), 2)
+	actions := tickUntil(r, 2*ms, 500*ms)
+	assert.Equal(t, countActions[router.Dispatch](actions), 2)
 	d := actions[0].(router.Dispatch)
 	r.Observe(510*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed})
-	assert.Equal(t, count[router.Dispatch](until(r, 520*ms, 700*ms)), 1)
+	assert.Equal(t, countActions[router.Dispatch](tickUntil(r, 520*ms, 700*ms)), 1)
 }
 
-// One engine is slow to answer a request whose profile allows a second attempt.
-// The faster of the two must answer and the other be cancelled.
-func TestHedgeIsSentOnceAndTheLoserAborted(t *testing.T) {
+// One engine is slow to answer a request whose profile allows hedging. The
+// faster of the two attempts must answer, and the other must be aborted.
+func TestHedgeIsSentOnceAndLoserAborted(t *testing.T) {
 	r := newRouter(3)
-	first := dispatched(t, r, ms, request("r1", "hedged", ms))
-	second := only[router.Dispatch](t, until(r, 20*ms, 3*time.Second))
+	first := submitForDispatch(t, r, ms, request("r1", "hedged", ms))
+	second := singleAction[router.Dispatch](t, tickUntil(r, 20*ms, 3*time.Second))
 	assert.Assert(t, second.Hedge)
 	assert.Assert(t, second.Endpoint.ID != first.Endpoint.ID)
 	r.Observe(3*time.Second, router.FirstToken{Attempt: second.Attempt})
-	lost := only[router.Abort](t, until(r, 3*time.Second, 3100*ms))
+	lost := singleAction[router.Abort](t, tickUntil(r, 3*time.Second, 3100*ms))
 	assert.Equal(t, lost.Attempt, first.Attempt)
 }
 
-// An engine restarts under its old address with an empty cache. A request whose
-// prefix the former process held must not be sent there as if it were still so.
-func TestCacheOfAFormerBootIsForgotten(t *testing.T) {
+// An engine restarts at the same address with an empty cache. A request whose
+// prefix the previous process held must not be routed there on the old cache
+// information.
+func TestCacheOfFormerBootIsInvalidated(t *testing.T) {
 	r := newRouter(2)
 	blocks := []tables.BlockHash{11, 12, 13}
 	r.Observe(ms, router.LoadReport{Endpoint: "e1", Boot: "b1"})
 	r.Observe(ms, router.CacheEvent{Endpoint: "e1", Boot: "b1", Sequence: 1, Stored: blocks})
 	req := request("r1", "draft", ms)
 	req.Blocks, req.PromptTokens = blocks, 12500
-	assert.Equal(t, dispatched(t, r, ms, req).Endpoint.ID, tables.EndpointID("e1"))
+	assert.Equal(t, submitForDispatch(t, r, ms, req).Endpoint.ID, tables.EndpointID("e1"))
 	r.Observe(2*ms, router.LoadReport{Endpoint: "e1", Boot: "b2"})
 	r.Observe(3*ms, router.CacheEvent{Endpoint: "e1", Boot: "b1", Sequence: 2, Stored: blocks})
 	again := request("r2", "draft", 4*ms)
 	again.Blocks, again.PromptTokens = blocks, 12500
 	r.Submit(4*ms, again)
-	assert.Equal(t, count[router.Dispatch](r.Tick(4*ms)), 1)
+	assert.Equal(t, countActions[router.Dispatch](r.Tick(4*ms)), 1)
 	explained, ok := r.Explain("r2")
 	assert.Assert(t, ok)
 	for _, c := range explained.Candidates {
@@ -207,12 +208,12 @@
 	}
 }
 
-func TestNewsIsToldOnce(t *testing.T) {
+func TestPlacementsAreGossipedOnce(t *testing.T) {
 	r := newRouter(2)
 	for i := range 3 {
 		req := request(fmt.Sprint("r", i), "draft", ms)
 		req.Blocks, req.PromptTokens = []tables.BlockHash{11, 12}, 8500
-		dispatched(t, r, ms, req)
+		submitForDispatch(t, r, ms, req)
 	}
 	assert.Equal(t, len(r.DrainPlacements(nil, 10)), 2)
 	assert.Equal(t, len(r.DrainPlacements(nil, 10)), 0)
--- a/router/gossip.go
+++ b/router/gossip.go
@@ -6,50 +6,52 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// maxNews bounds what waits to be passed on; the oldest goes first.
-const maxNews = 2048
+// maxPendingPlacements limits the queue of placements to send to peers; the
+// oldest are dropped first.
+const maxPendingPlacements = 2048
 
-// news collects what other instances do not know of this one's placements:
-// blocks that are now to be computed where they were not believed to be held.
-// Placements that find their prefix bring nothing new and are not passed on.
-type news struct {
-	rows []PeerPlacement
-	seen map[PeerPlacement]bool
+// placementQueue is a bounded queue, without duplicates, of the placements to
+// gossip to other instances: blocks that an endpoint is about to compute and
+// was not known to hold. A placement that found its whole prefix cached is no
+// news to peers and is not queued.
+type placementQueue struct {
+	pending []PeerPlacement
+	queued  map[PeerPlacement]bool
 }
 
-// placed notes the blocks of a prompt that the chosen endpoint was not known to
+// add queues the blocks of a prompt that the chosen endpoint was not known to
 // hold.
-func (n *news) placed(endpoint *tables.EndpointRow, blocks []tables.BlockHash, c *placement.Candidate) {
-	if n.seen == nil {
-		n.seen = make(map[PeerPlacement]bool)
+func (n *placementQueue) add(endpoint *tables.EndpointRow, blocks []tables.BlockHash, c *placement.Candidate) {
+	if n.queued == nil {
+		n.queued = make(map[PeerPlacement]bool)
 	}
 	known := min(len(blocks), int(c.KnownTokens+0.5)/prefix.BlockTokens)
 	for _, hash := range blocks[known:] {
 		row := PeerPlacement{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot, Block: hash}
-		if n.seen[row] {
+		if n.queued[row] {
 			continue
 		}
-		n.seen[row] = true
-		n.rows = append(n.rows, row)
+		n.queued[row] = true
+		n.pending = append(n.pending, row)
 	}
-	if over := len(n.rows) - maxNews; over > 0 {
-		n.drop(over)
+	if excess := len(n.pending) - maxPendingPlacements; excess > 0 {
+		n.dropOldest(excess)
 	}
 }
 
-func (n *news) drop(count int) {
-	for _, row := range n.rows[:count] {
-		delete(n.seen, row)
+func (n *placementQueue) dropOldest(count int) {
+	for _, row := range n.pending[:count] {
+		delete(n.queued, row)
 	}
-	n.rows = append(n.rows[:0], n.rows[count:]...)
+	n.pending = append(n.pending[:0], n.pending[count:]...)
 }
 
-// DrainPlacements moves at most limit placements that other instances should hear of to
-// dst, oldest first. The shell sends them to its peers, as often and as many as
-// its budget of bytes allows; what is lost costs some reuse and nothing else.
+// DrainPlacements moves at most limit placements from the gossip queue to dst,
+// oldest first. The caller sends them to its peers, within its byte budget. A
+// lost placement costs some cache reuse and nothing else.
 func (r *Router) DrainPlacements(dst []PeerPlacement, limit int) []PeerPlacement {
-	limit = min(limit, len(r.news.rows))
-	dst = append(dst, r.news.rows[:limit]...)
-	r.news.drop(limit)
+	limit = min(limit, len(r.gossip.pending))
+	dst = append(dst, r.gossip.pending[:limit]...)
+	r.gossip.dropOldest(limit)
 	return dst
 }
--- a/router/messages.go
+++ b/router/messages.go
@@ -1,7 +1,9 @@
-// Package router is the one facade over the tables and systems: typed inputs
-// and a clock reading go in, typed actions come out. It holds no goroutine,
-// clock, random source or socket, so that the daemon, the measure command,
-// tests and outside harnesses drive the same decisions.
+// Package router decides where, when and whether each request runs: it is the
+// cache-aware load balancer, retry policy and admission control of one instance
+// behind a single facade. It is a deterministic state machine. Inputs and a
+// clock reading go in, actions come out. The package has no goroutine, clock,
+// random source or socket of its own, so that the daemon, the measure command,
+// tests and external test harnesses run exactly the same decisions.
 package router
 
 import (
@@ -11,82 +13,86 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Input is something that happened outside the decisions.
+// Input is an event that the router observes.
 type Input interface{ input() }
 
-// LoadReport is what an endpoint says of itself; it describes a moment that
-// lies a lag in the past.
+// LoadReport is an endpoint's report of its own state. It describes the
+// endpoint at an earlier instant, by the reporting delay.
 type LoadReport struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
 	Weights  map[tables.ModelName]tables.WeightsVersion
 	Running  int
 	Queued   int
-	// QueuedPrefillTokens is prefill work waiting at the endpoint.
+	// QueuedPrefillTokens is the prefill work, in tokens, that is queued at the
+	// endpoint.
 	QueuedPrefillTokens int
 	CacheBlocks         int
-	// Attempts lists running and queued attempts if the endpoint tells, so
-	// that own dispatches can be told from others'.
+	// Attempts lists the running and queued attempts, if the endpoint reports
+	// them. They allow the router to separate its own attempts from those of
+	// other instances.
 	Attempts []tables.AttemptID
 }
 
-// CacheEvent says that blocks entered or left an endpoint's cache.
+// CacheEvent reports blocks that entered or left an endpoint's prefix cache.
 type CacheEvent struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
-	// Sequence grows by one per event within a boot; a jump is a gap.
+	// Sequence grows by one per event within a boot. A jump means that events
+	// were lost.
 	Sequence uint64
 	Stored   []tables.BlockHash
 	Evicted  []tables.BlockHash
 }
 
-// PeerPlacement is what another instance passes on: a prefix placed at an
-// endpoint.
+// PeerPlacement is gossip from another instance: it has placed a request with
+// this prefix block at the endpoint.
 type PeerPlacement struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
 	Block    tables.BlockHash
 }
 
-// AttemptStarted says that the endpoint accepted an attempt.
+// AttemptStarted reports that the endpoint accepted an attempt.
 type AttemptStarted struct {
 	Attempt tables.AttemptID
 	Boot    tables.BootID
 	Weights tables.WeightsVersion
 }
 
-// FirstToken says that an attempt produced its first token, and how many
-// prompt tokens the endpoint took from its cache.
+// FirstToken reports an attempt's first token and the number of prompt tokens
+// that the endpoint found in its cache.
 type FirstToken struct {
 	Attempt      tables.AttemptID
 	CachedTokens int
 }
 
-// AttemptResult says how an attempt ended.
+// AttemptResult is the way in which an attempt ended.
 type AttemptResult uint8
 
-// The ends of an attempt.
+// The results of an attempt.
 const (
 	// Completed: the whole answer arrived.
 	Completed AttemptResult = iota
-	// NotStarted: provably nothing ran.
+	// NotStarted: it is certain that nothing ran.
 	NotStarted
-	// Rejected: the endpoint said no before running (full, wrong version).
+	// Rejected: the endpoint rejected the attempt before running it, because it
+	// was full or served another version.
 	Rejected
 	// Interrupted: the connection or the endpoint failed after dispatch.
 	Interrupted
-	// Crashed: Broken, and the endpoint's boot identity changed or its port
-	// refuses connections.
+	// Crashed: as Interrupted, and the endpoint's boot ID has changed or its
+	// port refuses connections.
 	Crashed
-	// Cancelled: ended by us.
+	// Cancelled: this process ended the attempt.
 	Cancelled
-	// Unreachable: provably nothing ran, because the endpoint's address took no
-	// connection.
+	// Unreachable: no connection to the endpoint's address could be made, so it
+	// is certain that nothing ran.
 	Unreachable
 )
 
-// AttemptEnded ends an attempt. Delivered is the number of tokens that have
-// reached the caller so far.
+// AttemptEnded reports the end of an attempt. DeliveredTokens is the number of
+// tokens that have reached the caller so far.
 type AttemptEnded struct {
 	Attempt         tables.AttemptID
 	Result          AttemptResult
@@ -94,31 +100,33 @@
 	DeliveredTokens int
 }
 
-// CrashDetected says that the endpoint of an attempt that has ended with Broken turned out
-// to have crashed.
+// CrashDetected reports that the endpoint of an attempt that ended as
+// Interrupted turned out to have crashed.
 type CrashDetected struct {
 	Attempt tables.AttemptID
 }
 
-// EndpointWithdrawn says that an endpoint leaves according to a source other than
-// the configuration (the platform's list), for the given life and before.
+// EndpointWithdrawn reports that a source other than the configuration, such as
+// the platform's list, has withdrawn the endpoint for the given generation and
+// every earlier one.
 type EndpointWithdrawn struct {
 	Endpoint tables.EndpointID
 	Life     uint64
 }
 
-// EntryPeers says how many entry instances share the load, for limits that hold
-// over all of them.
+// EntryPeers describes how the entry instances divide the traffic. It scales
+// the limits that apply to all of them together.
 type EntryPeers struct {
-	// Share is this instance's part of the traffic, above 0 and at most 1.
+	// Share is this instance's fraction of the traffic, above 0 and at most 1.
 	Share float64
-	// Rank is this instance's place among the Count live entry instances, in an
-	// order that all of them agree on, from 0. Count 0 means not known.
+	// Rank is this instance's position among the Count live entry instances,
+	// from 0, in an order that all of them agree on. A Count of 0 means
+	// unknown.
 	Rank, Count int
 }
 
-// PeerSuspect is what another instance found out about a crash, or about a
-// request that crashes endpoints.
+// PeerSuspect is gossip from another instance about a crash, or about a request
+// that crashes endpoints.
 type PeerSuspect struct {
 	Suspect quarantine.Suspect
 }
@@ -134,27 +142,28 @@
 func (EntryPeers) input()        {}
 func (PeerSuspect) input()       {}
 
-// Action is something the shell must do now.
+// Action is something that the caller of Tick must carry out.
 type Action interface{ action() }
 
 // Dispatch starts an attempt at an endpoint. For work that must run at most
-// once the shell asks for the claim before it acts, and reports NeverStarted
-// when it is not granted.
+// once, the caller of Tick first claims the idempotency key, and reports
+// NotStarted if the claim is not granted.
 type Dispatch struct {
 	Request  tables.RequestID
 	Attempt  tables.AttemptID
 	Endpoint tables.Endpoint
-	// Boot is the life that placement counted on, empty if none is known yet.
+	// Boot is the boot that placement assumed, empty if none is known yet.
 	Boot tables.BootID
-	// Weights must be what the endpoint serves, or it refuses the attempt.
+	// Weights is the version that the endpoint must serve; otherwise it rejects
+	// the attempt.
 	Weights  tables.WeightsVersion
 	Priority tables.Priority
-	// ResumeFrom is the number of tokens the caller already has.
+	// ResumeFrom is the number of tokens that the caller already has.
 	ResumeFrom int
 	Hedge      bool
 }
 
-// Refuse ends a request that never left this process.
+// Refuse ends a request that was never dispatched.
 type Refuse struct {
 	Request tables.RequestID
 	Refusal tables.Refusal
@@ -168,14 +177,15 @@
 	RetryAfter time.Duration
 }
 
-// Abort cancels an attempt that lost or is no longer wanted.
+// Abort cancels an attempt that lost to a hedge or is no longer needed.
 type Abort struct {
 	Attempt  tables.AttemptID
 	Endpoint tables.Endpoint
 }
 
-// BroadcastSuspects asks the shell to tell the other instances about a crash. Losing
-// the message costs no more than a further endpoint.
+// BroadcastSuspects asks the caller of Tick to send the suspects of a crash to
+// the other instances. If the message is lost, at most one more endpoint
+// crashes.
 type BroadcastSuspects struct {
 	Suspects []quarantine.Suspect
 }
--- a/router/organisations.go
+++ b/router/organisations.go
@@ -5,13 +5,13 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// organisation is what the decisions keep of one organisation.
+// organisation holds the rate limiter of one organisation.
 type organisation struct {
 	id      tables.OrganisationID
 	limiter fairness.Limiter
 }
 
-// organisations is the table of organisations by flow number.
+// organisations is the table of organisations, indexed by flow.
 type organisations struct {
 	rows  []organisation
 	index map[tables.OrganisationID]fairness.Flow
@@ -20,7 +20,7 @@
 func (r *Router) configureOrganisations() {
 	for i := range r.config.Organisations {
 		o := &r.config.Organisations[i]
-		flow := r.flow(o.ID)
+		flow := r.flowOf(o.ID)
 		r.organisations.rows[flow].limiter.Configure(o.RequestsPerSecond, o.Concurrent)
 		for p := range r.classes {
 			r.classes[p].configure(flow, float64(max(1, o.Share)))
@@ -28,9 +28,10 @@
 	}
 }
 
-// flow is the number of an organisation. One that the configuration does not
-// name, or no longer, has a weight of 1 and no limits.
-func (r *Router) flow(id tables.OrganisationID) fairness.Flow {
+// flowOf returns the flow of an organisation and creates it if needed. An
+// organisation that the configuration does not list has a weight of 1 and no
+// limits.
+func (r *Router) flowOf(id tables.OrganisationID) fairness.Flow {
 	if flow, ok := r.organisations.index[id]; ok {
 		return flow
 	}
--- a/router/overload.go
+++ b/router/overload.go
@@ -8,43 +8,50 @@
 )
 
 const (
-	// pressureFor is how long after the last sign of overload work that can be
-	// held gives way.
-	pressureFor = 3 * time.Second
-	// pressureWaiting is how many waiting urgent requests are such a sign.
-	pressureWaiting = 8
-	// heldPart is the part of all work that held work keeps under pressure, so
-	// that it cannot starve.
-	heldPart = 0.05
-	// workWindow is the time constant over which work is averaged.
-	workWindow = 10 * time.Second
+	// overloadHold is how long the overload state lasts after the last sign of
+	// overload. During it, deferrable work yields.
+	overloadHold = 3 * time.Second
+	// overloadQueueLength is the number of queued urgent requests that is a
+	// sign of overload.
+	overloadQueueLength = 8
+	// minDeferrableShare is the fraction of all work that deferrable work keeps
+	// during overload, so that it does not starve.
+	minDeferrableShare = 0.05
+	// workTimeConstant is the time constant of the moving averages of
+	// dispatched work.
+	workTimeConstant = 10 * time.Second
 )
 
-// pressure tells when urgent work cannot all be started, and keeps account of
-// what held work gets meanwhile. Without it an overload would be shared by all
-// classes, and urgent requests would be refused while others run.
-type pressure struct {
-	until tables.Instant
-	at    tables.Instant
-	all   float64
-	held  float64
+// overloadState is the overload detector behind load shedding. It holds back
+// deferrable work while urgent work cannot all start, and measures the share
+// that deferrable work still gets. Without it, all classes would share an
+// overload, and urgent requests would be refused while less urgent ones run.
+type overloadState struct {
+	until            tables.Instant
+	updatedAt        tables.Instant
+	totalTokens      float64
+	deferrableTokens float64
 }
 
-// sign notes that urgent work waits in numbers or was refused.
-func (p *pressure) sign(now tables.Instant) { p.until = now + pressureFor }
+// trigger records a sign of overload: a long queue of urgent work, or a
+// refusal.
+func (p *overloadState) trigger(now tables.Instant) { p.until = now + overloadHold }
 
-func (p *pressure) on(now tables.Instant) bool { return now < p.until }
+func (p *overloadState) active(now tables.Instant) bool { return now < p.until }
 
-// work counts dispatched work in tokens.
-func (p *pressure) work(now tables.Instant, tokens float64, held bool) {
-	keep := math.Exp(-float64(now-p.at) / float64(workWindow))
-	p.at = now
-	p.all = p.all*keep + tokens
-	p.held *= keep
+// recordWork adds dispatched work, in tokens, to the exponentially decayed
+// totals.
+func (p *overloadState) recordWork(now tables.Instant, tokens float64, held bool) {
+	decay := math.Exp(-float64(now-p.updatedAt) / float64(workTimeConstant))
+	p.updatedAt = now
+	p.totalTokens = p.totalTokens*decay + tokens
+	p.deferrableTokens *= decay
 	if held {
-		p.held += tokens
+		p.deferrableTokens += tokens
 	}
 }
 
-// room says whether held work may start under pressure.
-func (p *pressure) room() bool { return p.held < heldPart*p.all }
+// admitsDeferrable reports whether deferrable work may start during overload.
+func (p *overloadState) admitsDeferrable() bool {
+	return p.deferrableTokens < minDeferrableShare*p.totalTokens
+}
--- a/router/placement.go
+++ b/router/placement.go
@@ -21,54 +21,58 @@
 )
 
 const (
-	// waitReuse and waitHeld are how much a second of waiting counts for work
-	// that favours reuse, and for work that can be held.
-	waitReuse = 0.3
-	waitHeld  = 0.03
-	// maxAhead is the longest queue of prefill, in weighted seconds, that work
-	// which cannot be held is added to. What would wait longer waits here, where
-	// its turn can pass to another organisation and where it can still be
-	// refused as not run.
-	maxAhead = 3.0
-	// delayWeight is how much of the wait that a request means for others counts
-	// against its being started. It keeps prompts that are nowhere cached from
-	// overloaded endpoints, where each would take the place of many that are.
-	delayWeight = 0.1
-	// maxBacklog is the same for work that can be held, in seconds. It is small,
-	// so that held work uses the time that is left without filling queues.
-	maxBacklog = 1.5
-	// coldPart is the part of a prompt above which it counts as not held, and
-	// gatherFor the part of its wait for which held work then gathers.
-	coldPart  = 0.25
-	gatherFor = 0.3
-	// promoteAfter is the part of its wait after which held work is treated like
-	// work that cannot be held.
-	promoteAfter = 0.7
-	// lastChanceAfter is the part of its wait after which a request goes to any
-	// idle endpoint.
-	lastChanceAfter = 0.5
+	// waitWeightReuse and waitWeightDeferrable are the weights of a second of
+	// waiting for profiles that prefer cache reuse, and for deferrable work.
+	waitWeightReuse      = 0.3
+	waitWeightDeferrable = 0.03
+	// maxQueueSeconds is the longest prefill queue at an endpoint, in weighted
+	// seconds, that work which is not deferrable may join. Work that would wait
+	// longer stays queued in the router, where another organisation can go
+	// first and the request can still be refused as not run.
+	maxQueueSeconds = 3.0
+	// delayImposedWeight is the weight of the delay that a request imposes on
+	// others in the decision whether to start it. It keeps uncached prompts
+	// away from overloaded endpoints, where each would displace many cached
+	// ones.
+	delayImposedWeight = 0.1
+	// maxDeferrableQueueSeconds is the limit for deferrable work, in seconds.
+	// It is low, so that deferrable work uses idle time without filling queues.
+	maxDeferrableQueueSeconds = 1.5
+	// coldPromptFraction is the uncached fraction above which a prompt counts
+	// as uncached. Deferrable work with an uncached prompt waits for
+	// batchingFraction of its maximum wait, so that requests with the same
+	// prefix accumulate.
+	coldPromptFraction = 0.25
+	batchingFraction   = 0.3
+	// promoteAfterFraction is the fraction of its maximum wait after which
+	// deferrable work is treated as not deferrable.
+	promoteAfterFraction = 0.7
+	// lastChanceFraction is the fraction of its maximum wait after which a
+	// request may go to any idle endpoint.
+	lastChanceFraction = 0.5
 )
 
-// recomputePrice is what a second of computing something again costs beyond the
-// wait it means for the request itself, by preference. It is paid at one speed
-// for all endpoints: were it paid at the endpoint's own, a fast endpoint would
-// look like a cheap place for another copy, and copies push each other out.
-var recomputePrice = [placement.Preferences]float64{
+// recomputeWeights is, by preference, the cost of a second of recomputation
+// beyond the delay to the request itself. The recompute scorer applies it at
+// one reference speed for all endpoints. At the endpoint's own speed, a fast
+// endpoint would look like a cheap place for another copy of the prefix, and
+// copies evict each other.
+var recomputeWeights = [placement.Preferences]float64{
 	tables.PreferBalanced:   5,
 	tables.PreferFirstToken: 5,
 	tables.PreferReuse:      10,
 }
 
-// standardPicker puts the filters and scorers together. Weights are in the
+// newPicker combines the filters and scorers of placement. Weights are in the
 // order of tables.Preference: balanced, first token, reuse.
-func standardPicker(suspects *quarantine.Detector) placement.Picker {
+func newPicker(suspects *quarantine.Detector) placement.Picker {
 	return placement.Picker{
 		Filters: []placement.Filter{
 			leaving.Filter{}, serves.Filter{}, health.Filter{}, tried.Filter{}, capacity.Filter{}, idle.Filter{},
-			suspectFilter{suspects: suspects},
+			quarantineFilter{suspects: suspects},
 		},
 		Scorers: []placement.Weighted{
-			{Scorer: recompute.Scorer{}, Weights: recomputePrice},
+			{Scorer: recompute.Scorer{}, Weights: recomputeWeights},
 			{Scorer: compute.Scorer{}, Weights: [placement.Preferences]float64{1, 1, 1}},
 			{Scorer: queue.Scorer{}, Weights: [placement.Preferences]float64{1, 1, 1}},
 			{Scorer: eviction.Scorer{}, Weights: [placement.Preferences]float64{0.5, 0, 1}},
@@ -77,20 +81,21 @@
 	}
 }
 
-// place dispatches an attempt of the request if any endpoint may take it now.
-func (r *Router) place(now tables.Instant, row *tables.RequestRow, hedge bool) bool {
-	if row.Profile.MaxWait > 0 && row.DeliveredTokens == 0 && r.pressure.on(now) && !r.pressure.room() {
+// tryPlace dispatches an attempt of the request if an endpoint may take it now,
+// and reports whether it did.
+func (r *Router) tryPlace(now tables.Instant, row *tables.RequestRow, hedge bool) bool {
+	if row.Profile.MaxWait > 0 && row.DeliveredTokens == 0 && r.overload.active(now) && !r.overload.admitsDeferrable() {
 		return false
 	}
-	q := r.query(now, row, hedge)
+	q := r.newQuery(now, row, hedge)
 	candidates := r.candidates(&q)
 	choice := r.picker.Pick(&q, candidates)
 	if choice.Endpoint == tables.NoEndpoint && !r.suspects.Empty() {
 		q.AnyOwner = true
 		choice = r.picker.Pick(&q, candidates)
 	}
-	if choice.Endpoint == tables.NoEndpoint || r.better(&q, &choice) {
-		if !lastChance(now, row) {
+	if choice.Endpoint == tables.NoEndpoint || r.shouldWait(&q, &choice) {
+		if !isLastChance(now, row) {
 			r.explainWait(&q, candidates)
 			return false
 		}
@@ -99,57 +104,61 @@
 			return false
 		}
 	}
-	r.explain(&q, candidates, choice.Endpoint)
+	r.recordExplanation(&q, candidates, choice.Endpoint)
 	r.dispatch(&q, choice)
 	return true
 }
 
-// better says whether it is better to wait for the chosen endpoint than to add
-// to its queue. Work that can wait keeps out of the way of work that cannot.
-func (r *Router) better(q *placement.Query, choice *placement.Choice) bool {
+// shouldWait reports whether the request should stay queued in the router
+// instead of joining the chosen endpoint's queue. Deferrable work yields to
+// other work.
+func (r *Router) shouldWait(q *placement.Query, choice *placement.Choice) bool {
 	if q.Request.DeliveredTokens > 0 {
 		return false
 	}
 	if q.Request.Profile.MaxWait <= 0 || q.Promoted {
-		ahead := choice.Row.Load.PrefillTokensAhead(priority(q), &q.Mix) / choice.PrefillRate()
-		return q.WaitWeight*(ahead+delayWeight*compute.Delay(q, &choice.Candidate)) > maxAhead
+		ahead := choice.Row.Load.PrefillTokensAhead(dispatchPriority(q), &q.Mix) / choice.PrefillRate()
+		return q.WaitWeight*(ahead+delayImposedWeight*compute.Delay(q, &choice.Candidate)) > maxQueueSeconds
 	}
-	if r.gathers(q, choice) {
+	if r.shouldBatch(q, choice) {
 		return true
 	}
-	return float64(choice.Row.Load.PrefillBacklog())/choice.PrefillRate() > maxBacklog
+	return float64(choice.Row.Load.PrefillBacklog())/choice.PrefillRate() > maxDeferrableQueueSeconds
 }
 
-// gathers says whether held work stays held so that more of its group comes
-// together before its prefix is computed. A prefix that is asked for rarely is
-// pushed out between two requests; held, several are served by one computation.
-func (r *Router) gathers(q *placement.Query, choice *placement.Choice) bool {
-	if choice.UncachedTokens(q) <= coldPart*float64(q.Request.Request.PromptTokens) {
+// shouldBatch reports whether deferrable work stays queued to accumulate more
+// requests of its group before their prefix is computed. A prefix that is
+// rarely requested is evicted between two requests; batched requests share one
+// computation.
+func (r *Router) shouldBatch(q *placement.Query, choice *placement.Choice) bool {
+	if choice.UncachedTokens(q) <= coldPromptFraction*float64(q.Request.Request.PromptTokens) {
 		return false
 	}
-	return float64(q.Now-q.Request.SubmittedAt) < gatherFor*float64(q.Request.Profile.MaxWait)
+	return float64(q.Now-q.Request.SubmittedAt) < batchingFraction*float64(q.Request.Profile.MaxWait)
 }
 
-// promoted says whether work has been held for so long that it no longer
-// yields. Without it a steady stream of urgent work would keep every endpoint
-// just busy enough for held work never to start.
-func promoted(now tables.Instant, row *tables.RequestRow) bool {
+// isPromoted reports whether deferrable work has waited so long that it no
+// longer yields to other work. Without promotion, a steady stream of urgent
+// work would keep every endpoint just busy enough to starve deferrable work.
+func isPromoted(now tables.Instant, row *tables.RequestRow) bool {
 	if row.Profile.MaxWait <= 0 || !row.Queued {
 		return false
 	}
-	return float64(now-row.SubmittedAt) > promoteAfter*float64(row.Profile.MaxWait)
+	return float64(now-row.SubmittedAt) > promoteAfterFraction*float64(row.Profile.MaxWait)
 }
 
-// lastChance says whether a request has waited almost as long as it may.
-func lastChance(now tables.Instant, row *tables.RequestRow) bool {
+// isLastChance reports whether a request that is not deferrable has used
+// lastChanceFraction of its maximum wait.
+func isLastChance(now tables.Instant, row *tables.RequestRow) bool {
 	if !row.Queued || row.Profile.MaxWait > 0 {
 		return false
 	}
-	return float64(now-row.SubmittedAt) > lastChanceAfter*float64(row.StartBy-row.SubmittedAt)
+	return float64(now-row.SubmittedAt) > lastChanceFraction*float64(row.StartBy-row.SubmittedAt)
 }
 
-// priority is the urgency with which the endpoint is asked to run the request.
-func priority(q *placement.Query) tables.Priority {
+// dispatchPriority returns the priority at which the endpoint is asked to run
+// the request.
+func dispatchPriority(q *placement.Query) tables.Priority {
 	if q.Promoted {
 		return min(q.Request.Priority, tables.Normal)
 	}
@@ -159,17 +168,18 @@
 func waitWeight(p *tables.Profile) float64 {
 	switch {
 	case p.MaxWait > 0:
-		return waitHeld
+		return waitWeightDeferrable
 	case p.Prefer == tables.PreferReuse:
-		return waitReuse
+		return waitWeightReuse
 	default:
 		return 1
 	}
 }
 
-// anyServes says whether any endpoint could take the request if it had room.
-func (r *Router) anyServes(now tables.Instant, row *tables.RequestRow) bool {
-	q := r.query(now, row, false)
+// hasEligibleEndpoint reports whether any endpoint could take the request if it
+// had capacity.
+func (r *Router) hasEligibleEndpoint(now tables.Instant, row *tables.RequestRow) bool {
+	q := r.newQuery(now, row, false)
 	for _, c := range r.candidates(&q) {
 		if (leaving.Filter{}).Keep(&q, &c) && (serves.Filter{}).Keep(&q, &c) {
 			return true
@@ -178,19 +188,19 @@
 	return false
 }
 
-func (r *Router) query(now tables.Instant, row *tables.RequestRow, hedge bool) placement.Query {
+func (r *Router) newQuery(now tables.Instant, row *tables.RequestRow, hedge bool) placement.Query {
 	q := placement.Query{
 		Now:     now,
 		Request: row,
 		Weights: r.weights[row.Profile.Model],
 		Zone:    r.options.Zone,
-		Spread:  placement.Mix(r.options.Seed + r.lastID),
-		Share:   r.share,
+		Spread:  placement.Mix(r.options.Seed + r.lastAttempt),
+		Share:   r.trafficShare,
 		Hedge:   hedge,
-		Mix:     r.mix,
+		Mix:     r.priorityMix,
 
 		WaitWeight: waitWeight(row.Profile),
-		Promoted:   promoted(now, row),
+		Promoted:   isPromoted(now, row),
 	}
 	if row.DeliveredTokens > 0 {
 		q.Weights = row.Weights
@@ -207,7 +217,7 @@
 		ID:                 r.newAttemptID(),
 		Request:            row,
 		Endpoint:           choice.Endpoint,
-		Priority:           priority(q),
+		Priority:           dispatchPriority(q),
 		Boot:               endpoint.Boot,
 		Weights:            q.Weights,
 		DispatchedAt:       q.Now,
@@ -226,11 +236,11 @@
 	load.LocalAttempts++
 	load.LocalPrefilling++
 	load.LocalPrefillTokens[attempt.Priority] += uncached
-	r.learnMix(row.Priority, uncached)
+	r.updatePriorityMix(row.Priority, uncached)
 	life := quarantine.Incarnation{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot}
 	r.suspects.Started(q.Now, attempt.ID, life, row.Request.Fingerprint)
-	r.news.placed(endpoint, row.Request.Blocks, &choice.Candidate)
-	r.view.Placed(q.Now, choice.Endpoint, row.Request.Blocks)
+	r.gossip.add(endpoint, row.Request.Blocks, &choice.Candidate)
+	r.cacheIndex.Placed(q.Now, choice.Endpoint, row.Request.Blocks)
 	r.actions = append(r.actions, Dispatch{
 		Request:    row.Request.ID,
 		Attempt:    attempt.ID,
@@ -243,21 +253,22 @@
 	})
 }
 
-// expectedFirstToken is the time from dispatch to the first token.
+// expectedFirstToken returns the expected time from dispatch to the first
+// token.
 func expectedFirstToken(q *placement.Query, c *placement.Candidate) time.Duration {
 	seconds := queue.Wait(q, c) + c.UncachedTokens(q)/c.PrefillRate()
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// newAttemptID makes an identity that no other instance and no other life of
-// this one makes, as long as seeds differ.
+// newAttemptID returns a globally unique ID, as long as the seeds of instances
+// and of their runs differ.
 func (r *Router) newAttemptID() tables.AttemptID {
-	r.lastID++
+	r.lastAttempt++
 	var buf [64]byte
 	id := append(buf[:0], r.options.Instance...)
 	id = append(id, '-')
 	id = strconv.AppendUint(id, r.options.Seed, 36)
 	id = append(id, '-')
-	id = strconv.AppendUint(id, r.lastID, 36)
+	id = strconv.AppendUint(id, r.lastAttempt, 36)
 	return tables.AttemptID(id)
 }
--- a/router/pools.go
+++ b/router/pools.go
@@ -7,32 +7,35 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// groupKey names the endpoints that profiles choose from.
-type groupKey struct {
+// poolKey identifies the endpoints that a profile can use: all that serve its
+// model or its service.
+type poolKey struct {
 	kind    tables.EndpointKind
 	model   tables.ModelName
 	service tables.ServiceName
 }
 
-// group is the endpoints declared for one model or service.
-type group struct {
+// pool is a back-end pool: the endpoints that serve one model or service, with
+// the hash table that maps a prefix to its home endpoint.
+type pool struct {
 	members []tables.EndpointIndex
 	homes   *homes.Table
-	// capacity is the slots of all members.
+	// capacity is the sum of the members' slots.
 	capacity int
-	// turnovers are the turnovers of the members' caches in seconds.
+	// turnovers are the members' cache turnover times in seconds: the time in
+	// which an endpoint's cache is filled once over.
 	turnovers    []float64
 	meanTurnover float64
 }
 
-func keyOf(p *tables.Profile) groupKey {
+func poolKeyOf(p *tables.Profile) poolKey {
 	if p.Kind == tables.PlainService {
-		return groupKey{kind: p.Kind, service: p.Service}
+		return poolKey{kind: p.Kind, service: p.Service}
 	}
-	return groupKey{kind: p.Kind, model: p.Model}
+	return poolKey{kind: p.Kind, model: p.Model}
 }
 
-func (k groupKey) accepts(e *tables.Endpoint) bool {
+func (k poolKey) accepts(e *tables.Endpoint) bool {
 	if e.Kind != k.kind {
 		return false
 	}
@@ -47,132 +50,135 @@
 	return false
 }
 
-// configureGroups works out the endpoints of each profile. A table of homes is
-// filled anew only when its members have changed, because that is costly.
-func (r *Router) configureGroups(now tables.Instant) {
-	groups := make(map[groupKey]*group)
+// rebuildPools recomputes the pools of all profiles. A pool keeps its table of
+// homes while its members stay the same, because building a table is expensive.
+func (r *Router) rebuildPools(now tables.Instant) {
+	pools := make(map[poolKey]*pool)
 	for i := range r.config.Profiles {
-		key := keyOf(&r.config.Profiles[i])
-		if groups[key] == nil {
-			groups[key] = r.newGroup(key)
+		key := poolKeyOf(&r.config.Profiles[i])
+		if pools[key] == nil {
+			pools[key] = r.newPool(key)
 		}
 	}
-	r.groups = groups
+	r.pools = pools
 	for i := range r.endpoints.Len() {
 		row := r.endpoints.Row(tables.EndpointIndex(i))
-		r.view.SetEndpoint(row.Index, row.CacheBlocks)
+		r.cacheIndex.SetEndpoint(row.Index, row.CacheBlocks)
 	}
-	for _, g := range groups {
-		r.learnTurnovers(now, g)
+	for _, p := range pools {
+		r.refreshTurnovers(now, p)
 	}
 }
 
-// learnTurnovers works out the turnovers of a group's caches.
-func (r *Router) learnTurnovers(now tables.Instant, g *group) {
-	g.turnovers = g.turnovers[:0]
-	g.meanTurnover = 0
-	for _, index := range g.members {
-		turnover := r.view.Turnover(now, index).Seconds()
-		g.turnovers = append(g.turnovers, turnover)
-		g.meanTurnover += turnover / float64(len(g.members))
+// refreshTurnovers recomputes the cache turnover times of a pool.
+func (r *Router) refreshTurnovers(now tables.Instant, p *pool) {
+	p.turnovers = p.turnovers[:0]
+	p.meanTurnover = 0
+	for _, index := range p.members {
+		turnover := r.cacheIndex.Turnover(now, index).Seconds()
+		p.turnovers = append(p.turnovers, turnover)
+		p.meanTurnover += turnover / float64(len(p.members))
 	}
 }
 
-func (r *Router) newGroup(key groupKey) *group {
-	g := &group{}
+func (r *Router) newPool(key poolKey) *pool {
+	p := &pool{}
 	var members []homes.Member
 	for i := range r.endpoints.Len() {
 		row := r.endpoints.Row(tables.EndpointIndex(i))
 		if row.Draining() || !key.accepts(&row.Endpoint) {
 			continue
 		}
-		g.members = append(g.members, row.Index)
-		g.capacity += row.Slots()
-		members = append(members, homes.Member{ID: row.Endpoint.ID, Index: row.Index, Weight: homeWeight(&row.Endpoint)})
+		p.members = append(p.members, row.Index)
+		p.capacity += row.Slots()
+		members = append(members, homes.Member{ID: row.Endpoint.ID, Index: row.Index, Weight: hashWeight(&row.Endpoint)})
 	}
-	if old := r.groups[key]; old != nil && old.homes.Same(members) {
-		g.homes = old.homes
-		return g
+	if old := r.pools[key]; old != nil && old.homes.Same(members) {
+		p.homes = old.homes
+		return p
 	}
-	g.homes = homes.New(members)
-	return g
+	p.homes = homes.New(members)
+	return p
 }
 
-// homeWeight is the endpoint's part of prefixes by its declared speed.
-func homeWeight(e *tables.Endpoint) float64 {
+// hashWeight is the endpoint's weight in the hash table of homes, proportional
+// to its declared prefill rate.
+func hashWeight(e *tables.Endpoint) float64 {
 	if e.PrefillRate > 0 {
 		return e.PrefillRate / placement.DefaultPrefillRate
 	}
 	return 1
 }
 
-// sharedCount is how often a block must have been asked for lately to count as
+// minSharedCount is the decayed request count from which a block counts as
 // shared by several requests.
-const sharedCount = 1.5
+const minSharedCount = 1.5
 
-// candidates describes the endpoints of the request's group.
+// candidates returns the endpoints of the request's pool with their expected
+// cache hits.
 func (r *Router) candidates(q *placement.Query) []placement.Candidate {
-	g := r.groups[keyOf(q.Request.Profile)]
-	r.scratch = r.scratch[:0]
-	if g == nil {
-		return r.scratch
+	p := r.pools[poolKeyOf(q.Request.Profile)]
+	r.candidateBuf = r.candidateBuf[:0]
+	if p == nil {
+		return r.candidateBuf
 	}
 	blocks := q.Request.Request.Blocks
 	if len(blocks) > 0 {
-		r.view.Match(q.Now, blocks, &r.matches)
+		r.cacheIndex.Match(q.Now, blocks, &r.matches)
 	}
-	q.MeanTurnover = g.meanTurnover
-	home, level, trust := r.home(q, g)
-	for i, index := range g.members {
+	q.MeanTurnover = p.meanTurnover
+	home, depth, assumedHitRatio := r.homeEndpoint(q, p)
+	for i, index := range p.members {
 		c := placement.Candidate{Row: r.endpoints.Row(index)}
 		if len(blocks) > 0 {
 			c.KnownTokens = r.matches.Blocks(index) * prefix.BlockTokens
-			c.Turnover = g.turnovers[i]
+			c.Turnover = p.turnovers[i]
 		}
 		c.CachedTokens = c.KnownTokens
 		if index == home {
-			c.HomeTokens = float64(level * prefix.BlockTokens)
-			c.CachedTokens = max(c.KnownTokens, trust*c.HomeTokens)
+			c.HomeTokens = float64(depth * prefix.BlockTokens)
+			c.CachedTokens = max(c.KnownTokens, assumedHitRatio*c.HomeTokens)
 		}
-		r.scratch = append(r.scratch, c)
+		r.candidateBuf = append(r.candidateBuf, c)
 	}
-	return r.scratch
+	return r.candidateBuf
 }
 
-// home is the endpoint that the shared part of a prompt belongs to, the number
-// of blocks of that part, and the part of it that is supposed to be there. An
-// instance that hears nothing of others' placements supposes all of it: the
-// others send the prefix there too, or will once they meet it.
-func (r *Router) home(q *placement.Query, g *group) (tables.EndpointIndex, int, float64) {
+// homeEndpoint returns the endpoint that the shared part of a prompt hashes to,
+// the number of blocks in that part, and the fraction of it that the endpoint
+// is assumed to have cached. An instance that receives no cache information
+// assumes the whole part: the other instances hash the prefix to the same
+// endpoint, or will once they receive it.
+func (r *Router) homeEndpoint(q *placement.Query, p *pool) (tables.EndpointIndex, int, float64) {
 	blocks := q.Request.Request.Blocks
 	if len(blocks) == 0 {
 		return tables.NoEndpoint, 0, 0
 	}
-	level, trust := 0, r.homeTrust
-	if r.uninformed(q.Now) {
-		level, trust = r.levels[q.Request.Profile.Name].usual(len(blocks)), 1
+	depth, assumedHitRatio := 0, r.homeHitRatio
+	if r.isUninformed(q.Now) {
+		depth, assumedHitRatio = r.depthStats[q.Request.Profile.Name].typicalDepth(len(blocks)), 1
 	} else {
-		level = r.sharedLevel(blocks)
+		depth = r.sharedDepth(blocks)
 	}
-	return g.homes.Home(blocks[level-1], 0), level, trust
+	return p.homes.Home(blocks[depth-1], 0), depth, assumedHitRatio
 }
 
-// sharedLevel is the number of outermost blocks by which a prompt is grouped
-// with others: where the times it was asked for weigh most together with the
-// square of its length. Counts differ between instances, but which of a prompt's
-// levels weighs most hardly does. A prompt of which nothing has been seen is
-// taken as shared to its end.
-func (r *Router) sharedLevel(blocks []tables.BlockHash) int {
-	best, most := len(blocks), 0.0
+// sharedDepth returns the number of leading blocks that identify the prompt's
+// shared prefix: the depth that maximises the block's request count times the
+// square of the depth. Counts differ between instances, but the depth at the
+// maximum rarely does. A prompt without any shared block counts as shared to
+// its full depth.
+func (r *Router) sharedDepth(blocks []tables.BlockHash) int {
+	bestDepth, maxWeight := len(blocks), 0.0
 	for i, hash := range blocks {
-		count := r.counter.Count(hash)
-		if count < sharedCount {
+		count := r.prefixCounter.Count(hash)
+		if count < minSharedCount {
 			break
 		}
 		length := float64(i + 1)
-		if weight := count * length * length; weight >= most {
-			best, most = i+1, weight
+		if weight := count * length * length; weight >= maxWeight {
+			bestDepth, maxWeight = i+1, weight
 		}
 	}
-	return best
+	return bestDepth
 }
--- a/router/prefixdepth.go
+++ b/router/prefixdepth.go
@@ -7,74 +7,80 @@
 )
 
 const (
-	// heardFor is how long after the last cache event or peer placement an
-	// instance counts as told of what others place.
-	heardFor = 20 * time.Second
-	// maxLevels is the deepest block at which sharing is averaged.
-	maxLevels = 64
-	// learnLevel is the weight of one request in the averages.
-	learnLevel = 0.01
+	// cacheInfoTTL is the time since the last cache event or peer placement
+	// after which an instance counts as uninformed about the placements of
+	// others.
+	cacheInfoTTL = 20 * time.Second
+	// maxTrackedDepth is the deepest block for which sharing is averaged.
+	maxTrackedDepth = 64
+	// depthAlpha is the weight of one request in the moving averages.
+	depthAlpha = 0.01
 )
 
-// levels holds, for each number of outermost blocks, the mean of how often all
-// instances together ask for such a prefix of the profile's prompts.
+// depthStats holds, by prefix depth in blocks, a moving average of how often
+// all instances together request a prefix of that depth, over the prompts of
+// one profile.
 //
-// It exists for an instance that hears neither cache events nor peers. What it
-// counts of one prefix is too little to tell how much of a prompt is shared, so
-// each such instance would group the same prompt by another level and have the
-// same prefix computed at another endpoint; one would notice a low hit rate on
-// all of them. The mean over a profile's requests is nearly the same at every
-// instance, and with it the level and the home.
-type levels [maxLevels]float64
+// It serves an instance that receives neither cache events nor peer placements.
+// Such an instance sees too few requests of one prefix to tell how much of a
+// prompt is shared. Each instance would then pick another depth for the same
+// prompt and have the same prefix computed at another endpoint; the symptom is
+// a low hit rate on all of them. The average over a profile's requests is
+// nearly the same at every instance, and so are the depth and the home endpoint
+// that follow from it.
+type depthStats [maxTrackedDepth]float64
 
-// learnLevels takes in how often the prefixes of a request were asked for by
-// other requests. The instance sees only its share of them.
-func (r *Router) learnLevels(request *tables.Request) {
+// updateDepthStats adds the number of times that other requests used the
+// prefixes of this request. The instance sees only its share of the traffic, so
+// the count is scaled up by that share.
+func (r *Router) updateDepthStats(request *tables.Request) {
 	if len(request.Blocks) == 0 {
 		return
 	}
-	l := r.levels[request.Profile]
-	if l == nil {
-		l = &levels{}
-		r.levels[request.Profile] = l
+	stats := r.depthStats[request.Profile]
+	if stats == nil {
+		stats = &depthStats{}
+		r.depthStats[request.Profile] = stats
 	}
-	for i := range l {
-		others := 0.0
+	for i := range stats {
+		otherRequests := 0.0
 		if i < len(request.Blocks) {
-			others = max(0, r.counter.Count(request.Blocks[i])-1) / r.share
+			otherRequests = max(0, r.prefixCounter.Count(request.Blocks[i])-1) / r.trafficShare
 		}
-		l[i] += learnLevel * (others - l[i])
+		stats[i] += depthAlpha * (otherRequests - stats[i])
 	}
 }
 
-// forgetLevels drops what was learned of profiles that are no longer declared.
-func (r *Router) forgetLevels() {
-	for name := range r.levels {
+// pruneDepthStats drops the statistics of profiles that are no longer declared.
+func (r *Router) pruneDepthStats() {
+	for name := range r.depthStats {
 		if r.profiles[name] == nil {
-			delete(r.levels, name)
+			delete(r.depthStats, name)
 		}
 	}
 }
 
-// usual is the level, at most depth, by which prompts of the profile are
-// usually grouped, weighed as in sharedLevel. It is depth when nothing is known.
-func (l *levels) usual(depth int) int {
+// typicalDepth returns the depth, at most depth, at which prompts of the
+// profile are usually shared, by the same weighting as in sharedDepth. It
+// returns depth if there are no statistics.
+func (l *depthStats) typicalDepth(depth int) int {
 	if l == nil {
 		return depth
 	}
-	best, most := depth, 0.0
-	for i := range min(depth, maxLevels) {
+	bestDepth, maxWeight := depth, 0.0
+	for i := range min(depth, maxTrackedDepth) {
 		length := float64(i + 1)
-		if weight := l[i] * length * length; weight > 0 && weight >= most {
-			best, most = i+1, weight
+		if weight := l[i] * length * length; weight > 0 && weight >= maxWeight {
+			bestDepth, maxWeight = i+1, weight
 		}
 	}
-	return best
+	return bestDepth
 }
 
-// uninformed says whether other instances place requests of which this one
-// hears nothing, neither from endpoints nor from peers. It is false for the
-// first heardFor of the clock, in which nothing can have been learned.
-func (r *Router) uninformed(now tables.Instant) bool {
-	return r.share < 1 && now-r.heardAt > heardFor
+// isUninformed reports whether other instances place requests of which this
+// instance receives no information, from endpoints or from peers. It is false
+// for the first cacheInfoTTL of the clock, in which there is nothing to learn
+// from.
+func (r *Router) isUninformed(now tables.Instant) bool {
+	return r.trafficShare < 1 && now-r.cacheInfoAt > cacheInfoTTL
 }
--- a/router/prefixdepth_test.go
+++ b/router/prefixdepth_test.go
@@ -11,47 +11,49 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Two instances stand beside each other and hear of nothing that the other
-// places. Each has served other prompts of a profile, all sharing four blocks
-// by topic. Unless both send a topic that is new to them to the same endpoint,
-// it is computed twice, and its second caller waits for it again.
+// Two instances receive no information about each other's placements. Each has
+// served other prompts of a profile, in which prompts of one topic share four
+// blocks. Both must send a topic that is new to them to the same endpoint;
+// otherwise it is computed twice, and its second caller waits for the
+// computation again.
 func TestUninformedInstancesSendNewPrefixToSameEndpoint(t *testing.T) {
-	first, second := uninformed(t, "i1", 1), uninformed(t, "i2", 1000)
+	first, second := newUninformedRouter(t, "i1", 1), newUninformedRouter(t, "i2", 1000)
 	for topic := range 12 {
 		now := time.Minute + time.Duration(topic)*600*ms
-		a := served(t, first, now, topical("a", 5000+topic, 1, now))
-		b := served(t, second, now, topical("b", 5000+topic, 2, now))
+		a := completeRequest(t, first, now, topicRequest("a", 5000+topic, 1, now))
+		b := completeRequest(t, second, now, topicRequest("b", 5000+topic, 2, now))
 		assert.Equal(t, a.Endpoint.ID, b.Endpoint.ID, "topic %d", topic)
 	}
 }
 
-// served submits a request and lets its attempt complete at once.
-func served(t *testing.T, r *router.Router, now time.Duration, req *tables.Request) router.Dispatch {
+// completeRequest submits a request and completes its attempt immediately.
+func completeRequest(t *testing.T, r *router.Router, now time.Duration, req *tables.Request) router.Dispatch {
 	t.Helper()
-	d := dispatched(t, r, now, req)
+	d := submitForDispatch(t, r, now, req)
 	r.Observe(now, router.FirstToken{Attempt: d.Attempt})
 	r.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.Completed})
 	r.Tick(now)
 	return d
 }
 
-// uninformed is one of two instances, which has served several topics, numbered
-// from the given one, until a minute after its start.
-func uninformed(t *testing.T, name tables.InstanceID, from int) *router.Router {
+// newUninformedRouter returns the router of one of two instances. It has served
+// five topics, numbered from the given one, for the first minute after its
+// start.
+func newUninformedRouter(t *testing.T, name tables.InstanceID, from int) *router.Router {
 	t.Helper()
 	r := router.New(router.Options{Instance: name, Zone: "z1", Seed: uint64(from)})
-	r.Configure(0, fixture(9))
+	r.Configure(0, testConfiguration(9))
 	r.Observe(0, router.EntryPeers{Share: 0.5})
 	for n := range 100 {
 		now := time.Duration(n) * 600 * ms
-		served(t, r, now, topical("w", from+n%5, n, now))
+		completeRequest(t, r, now, topicRequest("w", from+n%5, n, now))
 	}
 	return r
 }
 
-// topical is a request that shares four blocks with others of its topic and
-// ends in two of its own.
-func topical(id string, topic, n int, now time.Duration) *tables.Request {
+// topicRequest returns a request that shares four blocks with the others of its
+// topic and ends in two blocks of its own.
+func topicRequest(id string, topic, n int, now time.Duration) *tables.Request {
 	req := request(fmt.Sprintf("%s-%d-%d", id, topic, n), "draft", now)
 	for block := range 4 {
 		req.Blocks = append(req.Blocks, tables.BlockHash(1e6*(topic+1)+block))
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -6,15 +6,16 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// suspectFilter drops endpoints that a request suspected of crashing them may
-// not share with what runs there.
-type suspectFilter struct{ suspects *quarantine.Detector }
+// quarantineFilter rejects endpoints where a request that is suspected of
+// crashing endpoints must not run beside the work already there.
+type quarantineFilter struct{ suspects *quarantine.Detector }
 
-// Name is the reason given for a dropped candidate.
-func (suspectFilter) Name() string { return "quarantine" }
+// Name is the reason reported for a rejected candidate.
+func (quarantineFilter) Name() string { return "quarantine" }
 
-// Keep asks the quarantine, unless it suspects nobody.
-func (f suspectFilter) Keep(q *placement.Query, c *placement.Candidate) bool {
+// Keep applies the quarantine's verdict. It skips the check while there are no
+// suspects.
+func (f quarantineFilter) Keep(q *placement.Query, c *placement.Candidate) bool {
 	if f.suspects.Empty() {
 		return true
 	}
@@ -25,13 +26,14 @@
 	return f.suspects.Admits(q.Now, c.Row.Endpoint.ID, verdict)
 }
 
-// convicted says whether equal work must not run for now.
-func (r *Router) convicted(now tables.Instant, f tables.Fingerprint) bool {
+// isQuarantined reports whether requests with this fingerprint are refused at
+// present.
+func (r *Router) isQuarantined(now tables.Instant, f tables.Fingerprint) bool {
 	return !r.suspects.Empty() && r.suspects.Verdict(now, f) == quarantine.Reject
 }
 
-// suspectEnd tells the quarantine how an attempt ended.
-func (r *Router) suspectEnd(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
+// updateQuarantine reports the end of an attempt to the quarantine.
+func (r *Router) updateQuarantine(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
 	switch in.Result {
 	case Completed:
 		r.suspects.Completed(a.ID)
@@ -39,39 +41,42 @@
 		r.suspects.Interrupted(now, a.ID, in.GeneratedTokens, in.DeliveredTokens)
 	case Crashed:
 		r.suspects.Interrupted(now, a.ID, in.GeneratedTokens, in.DeliveredTokens)
-		r.suspectCrash(now, quarantine.Incarnation{Endpoint: r.endpoints.Row(a.Endpoint).Endpoint.ID, Boot: a.Boot})
+		r.recordCrash(now, quarantine.Incarnation{Endpoint: r.endpoints.Row(a.Endpoint).Endpoint.ID, Boot: a.Boot})
 	default:
 		r.suspects.Ended(a.ID)
 	}
 }
 
-// attemptCrashed takes in a crash that showed only after its attempt had ended.
-func (r *Router) attemptCrashed(now tables.Instant, in CrashDetected) {
+// observeCrashDetected handles a crash that was detected only after the attempt
+// had ended.
+func (r *Router) observeCrashDetected(now tables.Instant, in CrashDetected) {
 	life, known := r.suspects.IncarnationOf(in.Attempt)
 	if !known {
 		return
 	}
-	if row := r.find(life.Endpoint); row != nil {
-		r.crashed(now, row, life.Boot)
+	if row := r.endpointRow(life.Endpoint); row != nil {
+		r.handleCrash(now, row, life.Boot)
 	}
-	r.suspectCrash(now, life)
+	r.recordCrash(now, life)
 }
 
-// suspectCrash blames what a life of an endpoint was running for its end, and
-// asks the shell to tell the other instances.
-func (r *Router) suspectCrash(now tables.Instant, life quarantine.Incarnation) {
-	if told := r.suspects.Crashed(now, life); len(told) > 0 {
-		r.actions = append(r.actions, BroadcastSuspects{Suspects: told})
+// recordCrash reports the crash of an endpoint's boot to the quarantine, which
+// then suspects the requests that were running there. The resulting suspects
+// are broadcast to the other instances.
+func (r *Router) recordCrash(now tables.Instant, life quarantine.Incarnation) {
+	if suspects := r.suspects.Crashed(now, life); len(suspects) > 0 {
+		r.actions = append(r.actions, BroadcastSuspects{Suspects: suspects})
 	}
 }
 
-// refuseConvicted ends waiting requests that were convicted meanwhile.
-func (r *Router) refuseConvicted(now tables.Instant) {
+// refuseQuarantined ends pending requests that have been quarantined since they
+// were queued.
+func (r *Router) refuseQuarantined(now tables.Instant) {
 	if r.suspects.Empty() {
 		return
 	}
 	for _, row := range r.sortedRequests(func(row *tables.RequestRow) bool {
-		return row.State == tables.Pending && r.convicted(now, row.Request.Fingerprint)
+		return row.State == tables.Pending && r.isQuarantined(now, row.Request.Fingerprint)
 	}) {
 		if row.Dispatched {
 			r.fail(row, tables.CodeQuarantined, 0)
--- a/router/queues.go
+++ b/router/queues.go
@@ -9,95 +9,101 @@
 )
 
 const (
-	// headsTried is how many groups of one organisation are tried in a round.
-	headsTried = 8
-	// maxFailures bounds the requests of a class that are tried in vain in one
-	// round, for the sake of processor time.
-	maxFailures = 16
+	// maxHeadsPerTurn is the number of groups of one organisation that one turn
+	// tries.
+	maxHeadsPerTurn = 8
+	// maxFailedPlacements limits the failed placement attempts per class and
+	// call of serveClass, to bound processor time.
+	maxFailedPlacements = 16
 )
 
-// class holds the waiting requests of one priority.
-type class struct {
-	schedule fairness.Scheduler
-	// The following are by organisation; recent is the group served last.
-	queues  []waiting.Queue
-	backlog []admission.Backlog
-	recent  []tables.BlockHash
-	// blocked is the round, from 1 up, in which nothing of an organisation could be placed.
-	blocked []uint32
-	// cursor walks through the groups of an organisation, so that one which
-	// cannot be placed does not keep the others from being tried.
+// priorityClass is the queue of one priority: weighted fair queueing with one
+// flow per organisation. Within a flow, requests with a common prefix form a
+// group and are dispatched one after the other, while the prefix is cached.
+type priorityClass struct {
+	scheduler fairness.Scheduler
+	// The slices below are indexed by flow. lastGroup is the group that was
+	// served last.
+	queues    []waiting.Queue
+	backlog   []admission.Backlog
+	lastGroup []tables.BlockHash
+	// blockedRound is the last round, counted from 1 up, in which no request of
+	// the flow could be placed.
+	blockedRound []uint32
+	// cursor rotates through a flow's groups, so that a group that cannot be
+	// placed does not block the others.
 	cursor []int
 	round  uint32
 }
 
-// heading is the head of a group that is being tried.
-type heading = waiting.Item
+// queueHead is the first request of a group that is being tried.
+type queueHead = waiting.Item
 
-func (c *class) configure(flow fairness.Flow, weight float64) {
-	c.schedule.SetWeight(flow, weight)
+func (c *priorityClass) configure(flow fairness.Flow, weight float64) {
+	c.scheduler.SetWeight(flow, weight)
 	for int(flow) >= len(c.queues) {
 		c.queues = append(c.queues, waiting.Queue{})
 		c.backlog = append(c.backlog, admission.Backlog{})
-		c.recent = append(c.recent, 0)
-		c.blocked = append(c.blocked, 0)
+		c.lastGroup = append(c.lastGroup, 0)
+		c.blockedRound = append(c.blockedRound, 0)
 		c.cursor = append(c.cursor, 0)
 	}
 }
 
-// takeFresh places new requests at once, unless others of their organisation
-// and class wait already and would be overtaken. What cannot be placed waits, or
-// is refused at once if it would wait in vain.
-func (r *Router) takeFresh(now tables.Instant) {
-	for _, row := range r.fresh {
+// placeNewRequests tries to place new requests immediately, unless earlier
+// requests of the same organisation and class are queued, which they would
+// overtake. A request that cannot be placed is queued, or refused at once if
+// its predicted wait exceeds its limit.
+func (r *Router) placeNewRequests(now tables.Instant) {
+	for _, row := range r.newRequests {
 		if row.State != tables.Pending {
 			continue
 		}
 		c := &r.classes[row.Priority]
-		if c.queues[row.Organisation].Len() == 0 && r.startFresh(now, row) {
+		if c.queues[row.Organisation].Len() == 0 && r.startNewRequest(now, row) {
 			continue
 		}
 		row.StartBy = admission.StartBy(row, 0)
 		if refusal, ok := c.backlog[row.Organisation].Check(now, row.StartBy-now); !ok {
-			r.notePressure(now, row)
+			r.recordShed(now, row)
 			r.refuse(row.Request, refusal)
 			r.finish(row)
 			continue
 		}
-		r.enqueue(now, row, r.groupOf(row))
+		r.enqueue(now, row, r.sharedGroup(row))
 	}
-	clear(r.fresh)
-	r.fresh = r.fresh[:0]
+	clear(r.newRequests)
+	r.newRequests = r.newRequests[:0]
 }
 
-func (r *Router) startFresh(now tables.Instant, row *tables.RequestRow) bool {
-	if r.organisations.rows[row.Organisation].limiter.Full(r.share) {
+func (r *Router) startNewRequest(now tables.Instant, row *tables.RequestRow) bool {
+	if r.organisations.rows[row.Organisation].limiter.Full(r.trafficShare) {
 		return false
 	}
-	if !r.place(now, row, false) {
+	if !r.tryPlace(now, row, false) {
 		return false
 	}
-	r.started(now, row)
+	r.recordStart(now, row)
 	return true
 }
 
-// groupOf is the block by which a waiting request is grouped: the end of what
-// it shares with others.
-func (r *Router) groupOf(row *tables.RequestRow) tables.BlockHash {
+// sharedGroup returns the queue group of a request: the last block of the
+// prefix that it shares with others.
+func (r *Router) sharedGroup(row *tables.RequestRow) tables.BlockHash {
 	blocks := row.Request.Blocks
-	if level := r.sharedLevel(blocks); level > 0 {
-		return blocks[level-1]
+	if depth := r.sharedDepth(blocks); depth > 0 {
+		return blocks[depth-1]
 	}
 	return 0
 }
 
-// ownGroup is a group that a request that failed has for itself, so that it
-// does not hold up others that can be placed.
-func ownGroup(row *tables.RequestRow) tables.BlockHash {
+// privateGroup returns a unique queue group for a failed request, so that it
+// does not delay requests that can be placed.
+func privateGroup(row *tables.RequestRow) tables.BlockHash {
 	return tables.BlockHash(placement.Mix(uint64(row.SubmittedAt) + uint64(row.Retries)<<56))
 }
 
-// enqueue makes a request wait in its class.
+// enqueue adds a request to the queue of its class.
 func (r *Router) enqueue(now tables.Instant, row *tables.RequestRow, key tables.BlockHash) {
 	row.State = tables.Pending
 	row.Queued = true
@@ -105,11 +111,11 @@
 	c := &r.classes[row.Priority]
 	flow := row.Organisation
 	c.queues[flow].Add(waiting.Item{Row: row, GroupKey: key, StartBy: row.StartBy})
-	c.schedule.Add(flow)
+	c.scheduler.Add(flow)
 	c.backlog[flow].Queued(now, row.StartBy-now)
 }
 
-// dequeue takes a request out of its class, if it waits there.
+// dequeue removes a request from the queue of its class, if it is queued.
 func (r *Router) dequeue(row *tables.RequestRow) {
 	if !row.Queued {
 		return
@@ -117,81 +123,82 @@
 	row.Queued = false
 	c := &r.classes[row.Priority]
 	c.queues[row.Organisation].Remove(row, row.QueueGroup)
-	c.schedule.Remove(row.Organisation)
+	c.scheduler.Remove(row.Organisation)
 	c.backlog[row.Organisation].Left()
 }
 
-// serve places waiting requests of a class, organisation by organisation in
-// the order of fair shares, until nothing more can be placed or enough have been
-// tried in vain. The round goes on in the next call, so that every organisation
-// is tried in turn however many there are.
-func (r *Router) serve(now tables.Instant, p tables.Priority) {
+// serveClass places queued requests of a class, flow by flow in fair-share
+// order, until none can be placed or maxFailedPlacements attempts have failed.
+// The next call continues the same round, so that every flow gets its turn
+// however many there are.
+func (r *Router) serveClass(now tables.Instant, p tables.Priority) {
 	c := &r.classes[p]
-	blocked := func(f fairness.Flow) bool { return c.blocked[f] == c.round }
-	r.failures = 0
-	for r.failures < maxFailures {
-		flow, ok := c.schedule.Next(blocked)
+	blocked := func(f fairness.Flow) bool { return c.blockedRound[f] == c.round }
+	r.failedPlacements = 0
+	for r.failedPlacements < maxFailedPlacements {
+		flow, ok := c.scheduler.Next(blocked)
 		if !ok {
 			c.round++
 			return
 		}
-		if !r.serveOne(now, c, flow) {
-			c.blocked[flow] = c.round
+		if !r.serveFlow(now, c, flow) {
+			c.blockedRound[flow] = c.round
 		}
 	}
 }
 
-// serveOne places one waiting request of an organisation.
-func (r *Router) serveOne(now tables.Instant, c *class, flow fairness.Flow) bool {
-	if r.organisations.rows[flow].limiter.Full(r.share) {
-		r.failures++
+// serveFlow places one queued request of a flow.
+func (r *Router) serveFlow(now tables.Instant, c *priorityClass, flow fairness.Flow) bool {
+	if r.organisations.rows[flow].limiter.Full(r.trafficShare) {
+		r.failedPlacements++
 		return false
 	}
-	r.heads = c.queues[flow].Candidates(r.heads[:0], c.recent[flow], c.cursor[flow], headsTried)
+	r.headBuf = c.queues[flow].Candidates(r.headBuf[:0], c.lastGroup[flow], c.cursor[flow], maxHeadsPerTurn)
 	c.cursor[flow]++
-	for i := range r.heads {
-		row := r.heads[i].Row
+	for i := range r.headBuf {
+		row := r.headBuf[i].Row
 		if row.NotBefore > now {
 			continue
 		}
-		if !r.place(now, row, false) {
-			r.failures++
+		if !r.tryPlace(now, row, false) {
+			r.failedPlacements++
 			continue
 		}
-		c.recent[flow] = row.QueueGroup
+		c.lastGroup[flow] = row.QueueGroup
 		r.dequeue(row)
-		r.started(now, row)
+		r.recordStart(now, row)
 		return true
 	}
 	return false
 }
 
-// started accounts for a request whose first or next attempt was dispatched.
-func (r *Router) started(now tables.Instant, row *tables.RequestRow) {
+// recordStart charges a dispatched attempt to its flow and to the
+// organisation's concurrency limit.
+func (r *Router) recordStart(now tables.Instant, row *tables.RequestRow) {
 	c := &r.classes[row.Priority]
 	c.backlog[row.Organisation].Started(now)
-	cost := r.costOf(row)
-	c.schedule.Charge(row.Organisation, cost)
-	r.pressure.work(now, cost, row.Profile.MaxWait > 0)
+	cost := r.requestCost(row)
+	c.scheduler.Charge(row.Organisation, cost)
+	r.overload.recordWork(now, cost, row.Profile.MaxWait > 0)
 	if !row.HoldsConcurrencySlot {
 		row.HoldsConcurrencySlot = true
 		r.organisations.rows[row.Organisation].limiter.Start()
 	}
 }
 
-// costOf is what a dispatched request takes of the endpoints, in tokens of
-// prefill. A token of the answer counts as answerCost tokens of prefill.
-func (r *Router) costOf(row *tables.RequestRow) float64 {
+// requestCost returns the cost of a dispatched request in prefill tokens. A
+// token of the answer costs as much as decodeTokenCost prefill tokens.
+func (r *Router) requestCost(row *tables.RequestRow) float64 {
 	a := row.Attempts[len(row.Attempts)-1]
-	return float64(a.UncachedTokens) + answerCost*float64(row.Request.MaxTokens) + 1
+	return float64(a.UncachedTokens) + decodeTokenCost*float64(row.Request.MaxTokens) + 1
 }
 
-// notePressure takes a refusal of work that cannot be held as a sign of
+// recordShed treats the refusal of work that is not deferrable as a sign of
 // overload.
-func (r *Router) notePressure(now tables.Instant, row *tables.RequestRow) {
+func (r *Router) recordShed(now tables.Instant, row *tables.RequestRow) {
 	if row.Profile.MaxWait <= 0 {
-		r.pressure.sign(now)
+		r.overload.trigger(now)
 	}
 }
 
-const answerCost = 4
+const decodeTokenCost = 4
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -13,8 +13,9 @@
 
 const ms = time.Millisecond
 
-// fixture is a configuration with engines e0, e1 ... and plain services p0, p1.
-func fixture(engines int) *tables.Configuration {
+// testConfiguration has engines e0, e1 and so on, and the plain services p0 and
+// p1.
+func testConfiguration(engines int) *tables.Configuration {
 	c := &tables.Configuration{
 		Revision: 1,
 		Models:   []tables.Model{{Name: "m", Weights: "w1"}},
@@ -42,7 +43,7 @@
 
 func newRouter(engines int) *router.Router {
 	r := router.New(router.Options{Instance: "i1", Zone: "z1", Seed: 7})
-	r.Configure(0, fixture(engines))
+	r.Configure(0, testConfiguration(engines))
 	return r
 }
 
@@ -54,14 +55,15 @@
 	}
 }
 
-// dispatched submits and ticks, and returns the one dispatch that must follow.
-func dispatched(t *testing.T, r *router.Router, now time.Duration, req *tables.Request) router.Dispatch {
+// submitForDispatch submits a request, calls Tick and returns the one dispatch
+// that must result.
+func submitForDispatch(t *testing.T, r *router.Router, now time.Duration, req *tables.Request) router.Dispatch {
 	t.Helper()
 	r.Submit(now, req)
-	return only[router.Dispatch](t, r.Tick(now))
+	return singleAction[router.Dispatch](t, r.Tick(now))
 }
 
-func only[A router.Action](t *testing.T, actions []router.Action) A {
+func singleAction[A router.Action](t *testing.T, actions []router.Action) A {
 	t.Helper()
 	assert.Equal(t, len(actions), 1, "%v", actions)
 	a, ok := actions[0].(A)
@@ -69,9 +71,9 @@
 	return a
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestRequestLifeCycle(t *testing.T) {
 	r := newRouter(2)
-	d := dispatched(t, r, ms, request("r1", "draft", ms))
+	d := submitForDispatch(t, r, ms, request("r1", "draft", ms))
 	assert.Equal(t, d.Request, tables.RequestID("r1"))
 	assert.Equal(t, d.Weights, tables.WeightsVersion("w1"))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: d.Attempt, Boot: "b", Weights: "w1"})
@@ -84,43 +86,42 @@
 }
 
 // An engine's connection breaks before the first token. The caller must not
-// notice, and the second attempt must go elsewhere.
-func TestBrokenAttemptOfIdempotentWorkIsRetriedElsewhere(t *testing.T) {
+// notice, and the second attempt must go to another engine.
+func TestInterruptedIdempotentAttemptIsRetriedElsewhere(t *testing.T) {
 	r := newRouter(2)
-	first := dispatched(t, r, ms, request("r1", "draft", ms))
+	first := submitForDispatch(t, r, ms, request("r1", "draft", ms))
 	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, Result: router.Interrupted})
-	second := only[router.Dispatch](t, r.Tick(100*ms))
+	second := singleAction[router.Dispatch](t, r.Tick(100*ms))
 	assert.Assert(t, second.Endpoint.ID != first.Endpoint.ID)
 	assert.Assert(t, second.Attempt != first.Attempt)
 }
 
-// A publishing call breaks after it was handed over. It may have been
-// published, so a second try could publish twice; the caller is told that the
-// outcome is unknown.
-func TestWorkThatMustRunOnceIsNotRetriedOnceItMayHaveRun(t *testing.T) {
+// A publishing call breaks after dispatch. It may have been published, and a
+// retry could publish it twice. The caller is told that the outcome is unknown.
+func TestNonIdempotentWorkIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	r := newRouter(1)
-	d := dispatched(t, r, ms, request("r1", "publish", ms))
+	d := submitForDispatch(t, r, ms, request("r1", "publish", ms))
 	r.Observe(2*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Interrupted})
-	f := only[router.Fail](t, r.Tick(100*ms))
+	f := singleAction[router.Fail](t, r.Tick(100*ms))
 	assert.Equal(t, f.Outcome, tables.OutcomeUnknown)
 	assert.Equal(t, f.Code, tables.CodeOutcomeUnknown)
 }
 
-// A publishing service declines a call before running it. Nothing was
-// published, so another service may be asked.
-func TestWorkThatMustRunOnceIsRetriedWhenNothingRan(t *testing.T) {
+// A publishing service rejects a call before running it. Nothing was published,
+// so the call may go to another service.
+func TestNonIdempotentWorkIsRetriedIfNothingRan(t *testing.T) {
 	r := newRouter(1)
-	first := dispatched(t, r, ms, request("r1", "publish", ms))
+	first := submitForDispatch(t, r, ms, request("r1", "publish", ms))
 	r.Observe(2*ms, router.AttemptEnded{Attempt: first.Attempt, Result: router.Rejected})
-	second := only[router.Dispatch](t, r.Tick(100*ms))
+	second := singleAction[router.Dispatch](t, r.Tick(100*ms))
 	assert.Assert(t, second.Endpoint.ID != first.Endpoint.ID)
 }
 
 // An engine crashes in the middle of a stream. The caller already has seven
-// tokens and must get the rest from an engine with the same weights.
-func TestBrokenStreamIsResumed(t *testing.T) {
+// tokens and must receive the rest from an engine with the same weights.
+func TestInterruptedStreamIsResumed(t *testing.T) {
 	r := newRouter(2)
-	first := dispatched(t, r, ms, request("r1", "draft", ms))
+	first := submitForDispatch(t, r, ms, request("r1", "draft", ms))
 	r.Observe(2*ms, router.AttemptStarted{Attempt: first.Attempt, Boot: "b", Weights: "w1"})
 	r.Observe(3*ms, router.FirstToken{Attempt: first.Attempt})
 	r.Observe(4*ms, router.AttemptEnded{Attempt: first.Attempt, Result: router.Crashed, GeneratedTokens: 7, DeliveredTokens: 7})
@@ -128,24 +129,24 @@
 	assert.Equal(t, len(actions), 2, "%v", actions)
 	_, told := actions[0].(router.BroadcastSuspects)
 	assert.Assert(t, told, "%#v", actions[0])
-	second := only[router.Dispatch](t, actions[1:])
+	second := singleAction[router.Dispatch](t, actions[1:])
 	assert.Equal(t, second.ResumeFrom, 7)
 	assert.Equal(t, second.Weights, tables.WeightsVersion("w1"))
 }
 
-func TestCancelAborts(t *testing.T) {
+func TestCancelAbortsAttempts(t *testing.T) {
 	r := newRouter(1)
-	d := dispatched(t, r, ms, request("r1", "draft", ms))
+	d := submitForDispatch(t, r, ms, request("r1", "draft", ms))
 	r.Cancel(2*ms, "r1")
-	a := only[router.Abort](t, r.Tick(2*ms))
+	a := singleAction[router.Abort](t, r.Tick(2*ms))
 	assert.Equal(t, a.Attempt, d.Attempt)
 	r.Observe(3*ms, router.AttemptEnded{Attempt: d.Attempt, Result: router.Cancelled})
 	assert.Equal(t, len(r.Tick(4*ms)), 0)
 }
 
-// An operator takes the only endpoint out. A caller's request must wait until
-// its deadline and then be told, truly, that it did not run.
-func TestLeavingEndpointGetsNothing(t *testing.T) {
+// The platform withdraws the only endpoint. A request must not be dispatched to
+// it, and must wait until its deadline.
+func TestWithdrawnEndpointGetsNoWork(t *testing.T) {
 	r := newRouter(1)
 	r.Observe(0, router.EndpointWithdrawn{Endpoint: "e0", Life: 1})
 	r.Submit(ms, request("r1", "draft", ms))
--- a/router/timers.go
+++ b/router/timers.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// hedgeFactor and hedgeMargin make the wait before a second attempt out of
-	// the expected time to first token.
+	// An attempt is hedged after hedgeFactor times its expected time to first
+	// token plus hedgeMargin.
 	hedgeFactor = 2
 	hedgeMargin = 300 * time.Millisecond
-	// turnoverPeriod is how often the turnovers of caches are worked out.
+	// turnoverPeriod is the interval at which cache turnover times are
+	// recomputed.
 	turnoverPeriod = time.Second
-	// abortGrace is how long an aborted attempt may stay without an end before
-	// its endpoint is freed of it.
+	// abortGrace is how long an aborted attempt may take to end before the
+	// router releases its endpoint.
 	abortGrace = 30 * time.Second
 )
 
-// watch looks at everything that happens by the passing of time.
-func (r *Router) watch(now tables.Instant) {
-	r.view.Sweep(now, sweepBuckets)
+// runTimers handles everything that depends on the passing of time.
+func (r *Router) runTimers(now tables.Instant) {
+	r.cacheIndex.Sweep(now, sweepBucketsPerRun)
 	for i := range r.endpoints.Len() {
 		row := r.endpoints.Row(tables.EndpointIndex(i))
 		health.Renew(now, &row.Health)
 		row.Load.Remote.Advance(now)
 	}
-	if now >= r.turnoverAt {
-		r.turnoverAt = now + turnoverPeriod
-		for _, g := range r.groups {
-			r.learnTurnovers(now, g)
+	if now >= r.nextTurnover {
+		r.nextTurnover = now + turnoverPeriod
+		for _, p := range r.pools {
+			r.refreshTurnovers(now, p)
 		}
 	}
-	if r.classes[tables.Urgent].schedule.Waiting() >= pressureWaiting {
-		r.pressure.sign(now)
+	if r.classes[tables.Urgent].scheduler.Waiting() >= overloadQueueLength {
+		r.overload.trigger(now)
 	}
 	r.refuseOverdue(now)
-	r.refuseConvicted(now)
-	for _, row := range r.sortedRequests(func(row *tables.RequestRow) bool { return r.needsLook(now, row) }) {
+	r.refuseQuarantined(now)
+	for _, row := range r.sortedRequests(func(row *tables.RequestRow) bool { return r.needsAttention(now, row) }) {
 		if now >= row.Request.Deadline && row.Request.Deadline > 0 {
-			r.timeout(now, row)
+			r.expireDeadline(now, row)
 			continue
 		}
-		r.watchAttempts(now, row)
+		r.checkAttempts(now, row)
 	}
-	r.dropLost(now)
+	r.dropUnconfirmedAborts(now)
 }
 
-// sortedRequests returns the requests in progress that are wanted, by identity,
-// so that actions do not depend on the order of a map.
+// sortedRequests returns the unfinished requests that match the filter, sorted
+// by ID, so that actions don't depend on map order.
 func (r *Router) sortedRequests(wanted func(*tables.RequestRow) bool) []*tables.RequestRow {
 	var rows []*tables.RequestRow
 	for _, row := range r.requests {
@@ -66,23 +67,23 @@
 	return rows
 }
 
-func (r *Router) needsLook(now tables.Instant, row *tables.RequestRow) bool {
+func (r *Router) needsAttention(now tables.Instant, row *tables.RequestRow) bool {
 	if row.Request.Deadline > 0 && now >= row.Request.Deadline {
 		return true
 	}
 	for _, a := range row.Attempts {
-		if r.hanging(now, a) || r.wantsHedge(now, row, a) {
+		if r.isHung(now, a) || r.shouldHedge(now, row, a) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Router) hanging(now tables.Instant, a *tables.AttemptRow) bool {
+func (r *Router) isHung(now tables.Instant, a *tables.AttemptRow) bool {
 	return health.Hanging(now, r.endpoints.Row(a.Endpoint).LastProgress, a)
 }
 
-// refuseOverdue ends the waiting requests that had to start by now.
+// refuseOverdue ends the queued requests whose start-by time has passed.
 func (r *Router) refuseOverdue(now tables.Instant) {
 	var overdue []waiting.Item
 	for p := range r.classes {
@@ -91,26 +92,26 @@
 		}
 	}
 	for _, item := range overdue {
-		r.giveUp(now, item.Row)
+		r.expireQueued(now, item.Row)
 	}
 }
 
-// watchAttempts deals with attempts that wait too long for a first token.
-func (r *Router) watchAttempts(now tables.Instant, row *tables.RequestRow) {
+// checkAttempts aborts hung attempts and hedges slow ones.
+func (r *Router) checkAttempts(now tables.Instant, row *tables.RequestRow) {
 	for _, a := range row.Attempts {
-		if r.hanging(now, a) && row.Profile.Idempotent {
+		if r.isHung(now, a) && row.Profile.Idempotent {
 			health.Failed(now, &r.endpoints.Row(a.Endpoint).Health)
 			r.abort(now, a)
 			continue
 		}
-		if r.wantsHedge(now, row, a) && r.budget.TryWithdraw() {
-			r.place(now, row, true)
+		if r.shouldHedge(now, row, a) && r.retryBudget.TryWithdraw() {
+			r.tryPlace(now, row, true)
 			return
 		}
 	}
 }
 
-func (r *Router) wantsHedge(now tables.Instant, row *tables.RequestRow, a *tables.AttemptRow) bool {
+func (r *Router) shouldHedge(now tables.Instant, row *tables.RequestRow, a *tables.AttemptRow) bool {
 	if !row.Profile.Hedge || !row.Profile.Idempotent || len(row.Attempts) > 1 {
 		return false
 	}
@@ -120,9 +121,10 @@
 	return now-a.DispatchedAt > hedgeFactor*a.ExpectedTTFT+hedgeMargin
 }
 
-// dropLost ends aborted attempts of which nothing more was heard. Without it a
-// shell that lost track of one would leave its endpoint looking busy for ever.
-func (r *Router) dropLost(now tables.Instant) {
+// dropUnconfirmedAborts ends aborted attempts whose end was never reported.
+// Otherwise, an attempt that the caller of Tick lost track of would count as
+// load on its endpoint for ever.
+func (r *Router) dropUnconfirmedAborts(now tables.Instant) {
 	var lost []tables.AttemptID
 	for id, a := range r.attempts {
 		if a.Aborted && now-a.AbortedAt > abortGrace {
@@ -131,6 +133,6 @@
 	}
 	slices.Sort(lost)
 	for _, id := range lost {
-		r.attemptEnded(now, AttemptEnded{Attempt: id, Result: Cancelled})
+		r.observeAttemptEnded(now, AttemptEnded{Attempt: id, Result: Cancelled})
 	}
 }
--- a/tables/claims.go
+++ b/tables/claims.go
@@ -1,45 +1,50 @@
 package tables
 
-// IdempotencyKey is the idempotency key that a caller gave; it counts within its
-// organisation only.
+// IdempotencyKey is the idempotency key that a caller sent. It is unique within
+// its organisation only.
 type IdempotencyKey string
 
 // BodyHash identifies the exact content of a request: the SHA-256 of profile,
 // call and body.
 type BodyHash [32]byte
 
-// ClaimState says what the control state knows of an organisation's key.
+// ClaimState is the state of the idempotency record of an organisation's key.
 type ClaimState uint8
 
-// The states of a claim, as the instance that asked is told.
+// The states of a claim, as returned to the instance that asked for it.
 const (
-	// ClaimGranted: nobody holds the claim but the one who asked. It may mark it
-	// dispatched, and then run the work once.
+	// ClaimGranted: the asking instance holds the claim exclusively. It may
+	// mark the claim dispatched and then run the work once.
 	ClaimGranted ClaimState = iota
-	// ClaimInProgress: another holds the claim and its right has not expired.
+	// ClaimInProgress: another request holds the claim, and the claim has not
+	// expired.
 	ClaimInProgress
-	// ClaimCompleted: the work ran; Answer holds what it gave.
+	// ClaimCompleted: the work ran, and Response holds its result.
 	ClaimCompleted
-	// ClaimOutcomeUnknown: the claim was marked dispatched and no answer was stored
-	// before the right to it expired. It may have run and must not run again.
+	// ClaimOutcomeUnknown: the claim was marked dispatched, but the claim
+	// expired before a response was stored. The work may have run and must not
+	// run again.
 	ClaimOutcomeUnknown
 )
 
-// ClaimResult is the control state's answer to a claim.
+// ClaimResult is the control state's reply to a request to claim an idempotency
+// key.
 type ClaimResult struct {
 	Organisation OrganisationID
 	Key          IdempotencyKey
 	State        ClaimState
-	// FencingToken tells this claim from later ones of the same key.
+	// FencingToken distinguishes this claim from later claims of the same key.
 	FencingToken FencingToken
-	// ExpiresAt is when the right to mark the claim dispatched expires, by the
-	// clock of the process that asked; set for GrantNew.
+	// ExpiresAt is when the claim expires: until then its holder may mark it
+	// dispatched. It is an instant of the asking process's clock, set for
+	// ClaimGranted.
 	ExpiresAt Instant
-	// Response is set for GrantDone.
+	// Response is set for ClaimCompleted.
 	Response StoredResponse
 }
 
-// StoredResponse is the stored answer to work that ran once.
+// StoredResponse is the stored response of work that runs at most once. Callers
+// that repeat the key receive it again.
 type StoredResponse struct {
 	Status      int
 	ContentType string
--- a/tables/endpoints.go
+++ b/tables/endpoints.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// EndpointIndex is the dense number of an endpoint within one Endpoints table.
-// It never changes or passes to another endpoint while the table lives.
+// EndpointIndex is the dense index of an endpoint in one Endpoints table. An
+// index is stable and is never reused while the table exists.
 type EndpointIndex int32
 
-// NoEndpoint is the index of no endpoint.
+// NoEndpoint is the index that stands for no endpoint.
 const NoEndpoint EndpointIndex = -1
 
-// Load is what is known of the work at an endpoint. The reported part is old
-// by the reporting lag; the own part is exact.
+// Load is the estimated work at an endpoint: remote work, which other instances
+// sent and which load reports show with a delay, and local work, which this
+// instance sent and knows exactly.
 type Load struct {
-	// HasReport is set once a load report of the current boot has been seen.
+	// HasReport is set once a load report of the current boot has arrived.
 	HasReport bool
 	// ReportedAt is when the last report arrived.
 	ReportedAt Instant
-	// Remote is what other instances have at the endpoint.
+	// Remote estimates the work that other instances have at the endpoint.
 	Remote RemoteLoad
-	// ReportedAttempts and ReportedTokens are the attempts and the prefill work of
-	// the last report.
+	// ReportedAttempts and ReportedPrefillTokens are the attempts and the
+	// queued prefill work of the last report, whoever sent them.
 	ReportedAttempts      int
 	ReportedPrefillTokens int
-	// BusyFraction is the part of recent load reports in which there was prefill work,
-	// 0 to 1.
+	// BusyFraction is an exponentially weighted average, from 0 to 1, of the
+	// fraction of recent load reports that showed queued prefill work.
 	BusyFraction float64
-	// LocalAttempts counts attempts of this instance that have not ended.
+	// LocalAttempts counts the attempts of this instance that have not ended.
 	LocalAttempts int
-	// LocalPrefillTokens is prefill work of own attempts that have no first token yet,
-	// by priority.
+	// LocalPrefillTokens is, by priority, the prefill work of this instance's
+	// attempts that have no first token yet.
 	LocalPrefillTokens [PriorityCount]int
-	// LocalPrefilling counts own attempts that have no first token yet.
+	// LocalPrefilling counts this instance's attempts that have no first token
+	// yet.
 	LocalPrefilling int
 }
 
-// TotalAttempts is the estimate of attempts at the endpoint, queued ones included.
+// TotalAttempts estimates the attempts at the endpoint, including queued ones.
 func (l *Load) TotalAttempts() int { return int(l.Remote.Attempts+0.5) + l.LocalAttempts }
 
-// PrefillTokensAhead is the prefill work, in tokens, that an endpoint does before that of a
-// new request: all of the same or a more urgent priority. The part of others'
-// work that is so is not reported; mix is the part that each priority has in
-// this instance's own work, and is taken to hold for others too.
+// PrefillTokensAhead estimates the prefill work, in tokens, that the endpoint
+// does before a new request of priority p: all work of the same or a more
+// urgent priority. Load reports don't split remote work by priority. mix is the
+// fraction of each priority in this instance's own work, and the estimate
+// assumes the same fractions for remote work.
 func (l *Load) PrefillTokensAhead(p Priority, mix *[PriorityCount]float64) float64 {
-	ahead := 0.0
-	part := 0.0
+	tokens := 0.0
+	remoteFraction := 0.0
 	for i := range int(p) + 1 {
-		ahead += float64(l.LocalPrefillTokens[i])
-		part += mix[i]
+		tokens += float64(l.LocalPrefillTokens[i])
+		remoteFraction += mix[i]
 	}
-	return ahead + part*l.Remote.Tokens
+	return tokens + remoteFraction*l.Remote.Tokens
 }
 
 // PrefillBacklog is all prefill work at the endpoint in tokens.
@@ -60,83 +63,92 @@
 	return sum
 }
 
-// Throughput holds what was learned of an endpoint's speed.
+// Throughput holds moving averages of an endpoint's measured speed.
 type Throughput struct {
-	// PrefillRate is in prompt tokens per second over the whole endpoint, Decode
-	// in tokens per second for one attempt.
+	// PrefillRate is in prompt tokens per second over the whole endpoint,
+	// DecodeRate in tokens per second of one attempt.
 	PrefillRate float64
 	DecodeRate  float64
 	// MeanServiceTime is the mean time from dispatch to the end of an attempt.
 	MeanServiceTime time.Duration
-	// PrefillSamples counts the measurements behind Prefill.
+	// PrefillSamples counts the measurements behind PrefillRate.
 	PrefillSamples int
 }
 
-// HealthState says how far an endpoint is trusted.
+// HealthState is the state of an endpoint in outlier ejection, a per-endpoint
+// circuit breaker.
 type HealthState uint8
 
-// The states of trust in an endpoint.
+// The states of outlier ejection.
 const (
-	// Healthy endpoints receive work without limit.
+	// Healthy endpoints receive work without limit; the circuit is closed.
 	Healthy HealthState = iota
-	// Probation endpoints receive a few attempts at a time.
+	// Probation endpoints receive a few attempts at a time; the circuit is half
+	// open.
 	Probation
-	// Ejected endpoints receive nothing until their time is over.
+	// Ejected endpoints receive no work until EjectedUntil; the circuit is
+	// open.
 	Ejected
 )
 
-// Health is what traffic has shown of an endpoint.
+// Health is an endpoint's outlier-ejection state, derived from the results of
+// its attempts.
 type Health struct {
 	State HealthState
-	// EjectedUntil is when an ejected endpoint may be tried again.
+	// EjectedUntil is when an ejected endpoint goes on probation.
 	EjectedUntil Instant
-	// ConsecutiveFailures counts failures in a row; Ejections counts ejections without
-	// full recovery between them and lengthens the next one.
+	// ConsecutiveFailures counts failures since the last success. Ejections
+	// counts ejections since the last full recovery; each one lengthens the
+	// next.
 	ConsecutiveFailures int
 	Ejections           int
-	// ProbationSuccesses counts successes on probation.
+	// ProbationSuccesses counts the successes since probation began.
 	ProbationSuccesses int
 }
 
-// EndpointRow is everything the decisions know of one endpoint.
+// EndpointRow is the state that routing keeps of one endpoint.
 type EndpointRow struct {
 	Index    EndpointIndex
 	Endpoint Endpoint
-	// Declared is set while the configuration in force names the endpoint.
+	// Declared is set while the configuration in force lists the endpoint.
 	Declared bool
-	// Withdrawn is set once a source said that the endpoint leaves, for GoneLife
-	// and every earlier life.
+	// Withdrawn is set once a source other than the configuration has said that
+	// the endpoint leaves. It applies to generation WithdrawnLife and to every
+	// earlier one.
 	Withdrawn     bool
 	WithdrawnLife uint64
-	// Boot is the life of the endpoint's process last seen, empty if none.
+	// Boot is the last known boot of the endpoint's process, empty if none is
+	// known.
 	Boot BootID
-	// FormerBoots holds boots that ended, newest last, so that late messages of an
-	// earlier process are told from those of a new one.
+	// FormerBoots holds ended boots, newest last, so that late messages of an
+	// earlier process can be told from those of a new one.
 	FormerBoots []BootID
-	// Weights is what the endpoint said it serves. A model that is missing is
-	// not known, unless WeightsKnown is set.
+	// Weights are the versions that the endpoint reports to serve. A model that
+	// is missing from the map is not served if WeightsKnown is set, and unknown
+	// otherwise.
 	Weights      map[ModelName]WeightsVersion
 	WeightsKnown bool
 	Load         Load
-	// LastProgress is when the endpoint last showed that it gets work done.
+	// LastProgress is when the endpoint last showed that it completes work.
 	LastProgress Instant
 	Throughput   Throughput
 	Health       Health
-	// CacheBlocks is the capacity of its cache in pieces, 0 if not known.
+	// CacheBlocks is the capacity of the endpoint's prefix cache in blocks, 0
+	// if unknown.
 	CacheBlocks int
 }
 
-// Draining says whether the endpoint must receive no new work, because any
-// source said so for its present life or a later one.
+// Draining reports whether the endpoint must receive no new work, because any
+// source withdrew its current generation or a later one.
 func (e *EndpointRow) Draining() bool {
 	return !e.Declared || e.Endpoint.Leaving || (e.Withdrawn && e.WithdrawnLife >= e.Endpoint.Life)
 }
 
-// Slots is how many attempts the endpoint runs at once, at least 1.
+// Slots is the number of attempts that the endpoint runs at once, at least 1.
 func (e *EndpointRow) Slots() int { return max(1, e.Endpoint.Slots) }
 
-// Serves says whether the endpoint is declared for the model and not known to
-// serve other weights than the wanted ones.
+// Serves reports whether the endpoint is declared for the model and is not
+// known to serve other weights than the wanted ones.
 func (e *EndpointRow) Serves(model ModelName, wanted WeightsVersion) bool {
 	if !e.declares(model) {
 		return false
@@ -156,26 +168,28 @@
 	return false
 }
 
-// maxFormerBoots bounds EndpointRow.Former; older ones are forgotten.
+// maxFormerBoots limits EndpointRow.FormerBoots; the oldest boots are dropped.
 const maxFormerBoots = 8
 
-// BootChange says what a message's boot identity means for an endpoint.
+// BootChange is the result of comparing a message's boot ID with an endpoint's
+// known boots.
 type BootChange uint8
 
-// The meanings of a boot identity.
+// The results of comparing a boot ID.
 const (
-	// BootSame is the boot already known.
+	// BootSame is the current boot.
 	BootSame BootChange = iota
-	// BootNew is a boot not seen before; everything known of the earlier one
-	// has been reset.
+	// BootNew is a boot that was not known before. The state of the previous
+	// boot has been reset.
 	BootNew
-	// BootStale is an earlier boot: the message must be ignored.
+	// BootStale is an ended boot; the message must be ignored.
 	BootStale
 )
 
-// ObserveBoot compares a message's boot identity with the known one. An engine
-// that restarts keeps its address but loses its cache, and messages of its
-// former life may still arrive; those must not be taken for news of the new.
+// ObserveBoot compares a message's boot ID with the known boots and starts a
+// new boot if the ID is unknown. An engine that restarts keeps its address but
+// loses its cache, and messages of the previous process may still arrive; they
+// must not count for the new one.
 func (e *EndpointRow) ObserveBoot(boot BootID) BootChange {
 	if boot == "" || boot == e.Boot {
 		return BootSame
@@ -190,7 +204,7 @@
 	return BootNew
 }
 
-// EndBoot forgets what was known of the present boot, because it has ended.
+// EndBoot resets the state of the current boot, because its process has ended.
 func (e *EndpointRow) EndBoot() {
 	if e.Boot != "" {
 		e.FormerBoots = append(e.FormerBoots, e.Boot)
@@ -216,7 +230,8 @@
 	return &Endpoints{index: make(map[EndpointID]EndpointIndex)}
 }
 
-// Len is the number of rows, those no longer declared included.
+// Len returns the number of rows, including those of endpoints that are no
+// longer declared.
 func (t *Endpoints) Len() int { return len(t.rows) }
 
 // Row returns the row at index. The pointer is valid until the next Configure.
@@ -230,8 +245,8 @@
 	return NoEndpoint
 }
 
-// Configure takes over the declarations of a configuration. Rows of endpoints
-// that are no longer declared stay, so that their attempts can end.
+// Configure applies the endpoint declarations of a configuration. Rows of
+// endpoints that are no longer declared stay, so that their attempts can end.
 func (t *Endpoints) Configure(c *Configuration) {
 	for i := range t.rows {
 		t.rows[i].Declared = false
--- a/tables/errorcodes.go
+++ b/tables/errorcodes.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// ErrorCode is the stable number of a failure that a caller or operator sees.
+// ErrorCode is the stable number of a failure that callers and operators see.
 // Numbers are never reused.
 type ErrorCode uint16
 
-// The codes a caller can meet.
+// The codes that a caller can receive.
 const (
 	CodeMalformed         ErrorCode = 4000
 	CodeUnauthorised      ErrorCode = 4010
@@ -35,11 +35,11 @@
 	CodeOutcomeUnknown    ErrorCode = 5041
 )
 
-// Refusal is the final answer to a request that did not run. Only code that
-// has dispatched no attempt of the request may make one.
+// Refusal is the final answer to a request that did not run. A refusal is only
+// valid if no attempt of the request has been dispatched.
 type Refusal struct {
 	Code ErrorCode
-	// RetryAfter is when it is worth asking again; zero means that asking
-	// again will not help.
+	// RetryAfter is the delay after which a retry may succeed; zero means that
+	// a retry won't help.
 	RetryAfter time.Duration
 }
--- a/tables/remoteload.go
+++ b/tables/remoteload.go
@@ -6,59 +6,62 @@
 )
 
 const (
-	// othersKeep is the time constant with which a report of others' work loses
-	// its worth. What it showed is done soon after, and what came since is not
-	// in it; the mean over many reports is the better guess then.
-	othersKeep = 700 * time.Millisecond
-	// othersMean is the time constant of that mean.
-	othersMean = 10 * time.Second
+	// reportTimeConstant is the time constant with which the last report loses
+	// weight to the long-term mean. Most of the work in a report is done soon
+	// after it, and the report lacks the work that has come since; by then the
+	// mean over many reports is the better estimate.
+	reportTimeConstant = 700 * time.Millisecond
+	// meanTimeConstant is the time constant of the long-term mean.
+	meanTimeConstant = 10 * time.Second
 )
 
-// RemoteLoad is what other instances have at an endpoint: as last reported, its
-// mean, and the estimate that decisions use. Without the mean, all instances
-// would hold the same snapshot for true until the next one comes, avoid the
-// same endpoints and crowd the same others; with reports two seconds apart that
-// halves what the fleet can do.
+// RemoteLoad estimates the work that other instances have at an endpoint. It
+// combines two exponentially weighted estimates: the last report, whose weight
+// decays with its age, and a long-term mean of reports. With the last report
+// alone, all instances would trust the same snapshot until the next one
+// arrives, avoid the same endpoints and overload the same others. With reports
+// two seconds apart, that herd effect halves the capacity of the fleet.
 type RemoteLoad struct {
-	reported othersSample
-	mean     othersSample
-	at       Instant
-	// Attempts and Tokens are the estimate: attempts, queued ones included, and
-	// their prefill work.
+	reported   loadSample
+	mean       loadSample
+	reportedAt Instant
+	// Attempts and Tokens are the current estimate: the attempts, including
+	// queued ones, and their prefill work in tokens.
 	Attempts float64
 	Tokens   float64
 }
 
-type othersSample struct{ attempts, tokens float64 }
+type loadSample struct{ attempts, tokens float64 }
 
-// Observe takes in a load report.
+// Observe adds a load report that arrived at now.
 func (o *RemoteLoad) Observe(now Instant, attempts, tokens int) {
-	sample := othersSample{attempts: float64(attempts), tokens: float64(tokens)}
-	if o.at == 0 {
+	sample := loadSample{attempts: float64(attempts), tokens: float64(tokens)}
+	if o.reportedAt == 0 {
 		o.mean = sample
 	} else {
-		keep := decay(now-o.at, othersMean)
+		keep := decay(now-o.reportedAt, meanTimeConstant)
 		o.mean = blend(o.mean, sample, keep)
 	}
 	o.reported = sample
-	o.at = now
+	o.reportedAt = now
 	o.Advance(now)
 }
 
-// Advance moves the estimate on to now.
+// Advance recomputes the estimate for the instant now.
 func (o *RemoteLoad) Advance(now Instant) {
-	estimate := blend(o.reported, o.mean, decay(now-o.at, othersKeep))
+	estimate := blend(o.reported, o.mean, decay(now-o.reportedAt, reportTimeConstant))
 	o.Attempts = estimate.attempts
 	o.Tokens = estimate.tokens
 }
 
-func decay(age, constant time.Duration) float64 {
-	return math.Exp(-float64(age) / float64(constant))
+func decay(age, timeConstant time.Duration) float64 {
+	return math.Exp(-float64(age) / float64(timeConstant))
 }
 
-// blend keeps a part of old and fills up with new.
-func blend(old, new othersSample, keep float64) othersSample {
-	return othersSample{
+// blend returns the weighted average of old and new, with the weight keep for
+// old.
+func blend(old, new loadSample, keep float64) loadSample {
+	return loadSample{
 		attempts: old.attempts*keep + new.attempts*(1-keep),
 		tokens:   old.tokens*keep + new.tokens*(1-keep),
 	}
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -1,6 +1,8 @@
-// Package tables holds the rows that every decision of carawaystile is made
-// over: plain values without I/O, clocks or goroutines. Systems read and write
-// these rows; shells translate between them and the network.
+// Package tables holds the state that the routing decisions read and write, in
+// the data-oriented style of an entity-component system: plain rows without
+// I/O, clocks or goroutines. The packages below systems implement the decisions
+// as functions over these rows. The daemon's I/O layers translate between the
+// rows and the network.
 package tables
 
 import (
@@ -8,12 +10,12 @@
 	"time"
 )
 
-// Instant is a reading of one process's monotonic clock, as time passed since
-// an origin that the process chose at start. Instants of two processes cannot
-// be compared.
+// Instant is a reading of one process's monotonic clock: the time since an
+// origin that the process chose at its start. Instants of two processes are not
+// comparable.
 type Instant = time.Duration
 
-// The identities below are distinct types so that one cannot be passed where
+// Each identifier has its own type, so that the compiler rejects one where
 // another is expected.
 type (
 	// InstanceID names one instance of the system, as in its settings.
@@ -22,55 +24,57 @@
 	Zone string
 	// OrganisationID names the customer on whose behalf a request runs.
 	OrganisationID string
-	// ProfileName names a profile in the configuration.
+	// ProfileName names a profile of the configuration.
 	ProfileName string
-	// ModelName names a model, and AdapterName an adapter on top of it; the
-	// empty adapter means the model alone.
+	// ModelName names a model. AdapterName names an adapter on top of a model;
+	// an empty name means the base model.
 	ModelName   string
 	AdapterName string
 	// ServiceName names a group of plain services that answer the same calls.
 	ServiceName string
-	// EndpointID names a back end: a model engine or a plain service.
+	// EndpointID names an endpoint: a model engine or a plain service.
 	EndpointID string
-	// BootID identifies one life of an endpoint's process. An engine that
-	// restarts under the same address comes back with a new one and an empty
-	// cache.
+	// BootID identifies one run of an endpoint's process. An engine that
+	// restarts at the same address has a new boot ID and an empty cache.
 	BootID string
-	// WeightsVersion identifies the weights a model is served with.
+	// WeightsVersion identifies the weights that a model is served with.
 	WeightsVersion string
-	// RequestID and AttemptID identify a caller's request and one try at
-	// running it. Both are unique over all instances.
+	// RequestID identifies a caller's request. AttemptID identifies one attempt
+	// to run it. Both are unique over all instances.
 	RequestID string
 	AttemptID string
-	// Fingerprint identifies equal work: organisation and body hashed.
+	// Fingerprint identifies equal work: a hash over organisation and body.
 	Fingerprint uint64
-	// BlockHash identifies one piece of a prompt together with all pieces
-	// before it and the cache scope (see package prefix).
+	// BlockHash identifies a block of a prompt together with all blocks before
+	// it and the cache scope (see package prefix).
 	BlockHash uint64
-	// Revision numbers accepted configurations; it only ever grows.
+	// Revision numbers accepted configurations and never decreases.
 	Revision uint64
-	// FencingToken is a fencing number: of two orders the one with the lower number
-	// is the older and must be refused.
+	// FencingToken is a monotonic fencing token. Of two orders, the one with
+	// the lower token is stale and must be refused.
 	FencingToken uint64
 )
 
-// Outcome says whether the work of a request that got no answer has run.
+// Outcome says whether the work of a request that failed without an answer has
+// run.
 type Outcome string
 
-// The outcomes a caller can be told.
+// The outcomes that a caller can receive.
 const (
-	// OutcomeNotRun means that no endpoint began the work, and none will.
+	// OutcomeNotRun means that no endpoint started the work and none will.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeRan means that the work was completed, although its answer is lost.
+	// OutcomeRan means that the work completed, but its answer is lost.
 	OutcomeRan Outcome = "ran"
-	// OutcomeUnknown means that the work was handed to an endpoint and may have run.
+	// OutcomeUnknown means that an endpoint received the work and may have run
+	// it.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Priority orders requests of different profiles; a lower value is more urgent.
+// Priority is the scheduling priority of a request; a lower value is more
+// urgent.
 type Priority uint8
 
-// The priorities a profile can have.
+// The priorities of a profile.
 const (
 	Urgent Priority = iota
 	Normal
@@ -79,20 +83,22 @@
 	PriorityCount = 3
 )
 
-// Preference says what a profile wants placement to favour.
+// Preference says whether placement optimises a profile for latency or for
+// cache reuse.
 type Preference uint8
 
-// The preferences a profile can state.
+// The preferences of a profile.
 const (
-	// PreferBalanced weighs first token and reuse equally.
+	// PreferBalanced gives time to first token and cache reuse equal weight.
 	PreferBalanced Preference = iota
 	// PreferFirstToken favours a short time to first token.
 	PreferFirstToken
-	// PreferReuse favours reusing cached prefixes over a short wait.
+	// PreferReuse favours endpoints that hold the prompt's prefix in their
+	// cache over endpoints with a shorter queue.
 	PreferReuse
 )
 
-// EndpointKind tells model engines from plain services.
+// EndpointKind distinguishes model engines from plain services.
 type EndpointKind uint8
 
 // The kinds of endpoint.
@@ -111,101 +117,110 @@
 	Organisations []Organisation
 	Models        []Model
 	Endpoints     []Endpoint
-	// WeightLoads bounds the weight loads that may run at once over the whole
-	// fleet, for the sake of the weight store. At least 1.
+	// WeightLoads limits the concurrent weight loads over the whole fleet, to
+	// protect the store that the weights are read from. At least 1.
 	WeightLoads int
 }
 
-// Profile says how one kind of traffic is treated.
+// Profile is a traffic class: it says how requests of one kind are scheduled,
+// retried and timed out.
 type Profile struct {
 	Name ProfileName
 	Kind EndpointKind
-	// Model and Adapter apply to Engine profiles, Service to PlainService ones.
+	// Model and Adapter apply to profiles of kind Engine, Service to profiles
+	// of kind PlainService.
 	Model   ModelName
 	Adapter AdapterName
 	Service ServiceName
-	// MaxWait is how long a request may be held back before it starts; zero
-	// means that it cannot wait.
+	// MaxWait is how long a request may be deferred before it starts; zero
+	// means that the request is not deferrable.
 	MaxWait time.Duration
-	// Timeout bounds the whole request from arrival to its last byte.
+	// Timeout limits the whole request, from its arrival to the last byte of
+	// the answer.
 	Timeout time.Duration
-	// Idempotent work may be run more than once; other work needs an
-	// idempotency key and runs at most once.
+	// Idempotent work may run more than once. Other work needs an idempotency
+	// key and runs at most once.
 	Idempotent bool
 	Priority   Priority
 	Prefer     Preference
-	// Hedge allows a second attempt beside a slow first one; idempotent only.
+	// Hedge allows a second, parallel attempt if the first one is slow. It
+	// requires Idempotent.
 	Hedge bool
 }
 
 // Organisation is a customer with its credentials and limits.
 type Organisation struct {
 	ID OrganisationID
-	// TokenHashes are hex SHA-256 hashes of accepted bearer tokens; two allow
-	// rotation.
+	// TokenHashes are the SHA-256 hashes, in hex, of the accepted bearer
+	// tokens. Two tokens at a time allow rotation.
 	TokenHashes []string
-	// Share is the organisation's weight against others in a class; at least 1.
+	// Share is the organisation's weight in weighted fair queueing within a
+	// priority; at least 1.
 	Share int
 	// RequestsPerSecond and Concurrent limit the organisation over all
 	// instances; zero means no limit.
 	RequestsPerSecond float64
 	Concurrent        int
-	// Profiles lists what the organisation may use; empty means all.
+	// Profiles lists the profiles that the organisation may use; empty means
+	// all.
 	Profiles []ProfileName
 }
 
-// Model is a model with the weights version now wanted for it.
+// Model is a model with the weights version that its endpoints are to serve.
 type Model struct {
 	Name     ModelName
 	Weights  WeightsVersion
 	Adapters []AdapterName
 }
 
-// Endpoint is the declaration of one back end.
+// Endpoint is the declaration of one endpoint.
 type Endpoint struct {
 	ID      EndpointID
 	Kind    EndpointKind
 	Zone    Zone
 	Address netip.AddrPort
-	// Life grows by one each time an operator lets the endpoint join again.
-	// Leaving holds for this life and every earlier one.
+	// Life is the endpoint's generation: it grows by one each time an operator
+	// lets the endpoint join again. Leaving drains this generation and every
+	// earlier one.
 	Life    uint64
 	Leaving bool
-	// Models lists what an engine may serve; Service is what a plain service
-	// answers.
+	// Models lists the models that an engine may serve. Service names the calls
+	// that a plain service answers.
 	Models  []ModelName
 	Service ServiceName
-	// ChecksFence says whether the endpoint refuses orders with an old fencing
-	// number.
+	// ChecksFence says whether the endpoint refuses orders with a stale fencing
+	// token.
 	ChecksFence bool
-	// Slots is how many requests it runs at once; CacheBlocks how many pieces
-	// of prompt its cache can hold. Both are first guesses until it reports.
+	// Slots is the number of requests that the endpoint runs at once.
+	// CacheBlocks is the capacity of its prefix cache in blocks. Both are
+	// initial values until the endpoint reports its own.
 	Slots       int
 	CacheBlocks int
-	// PrefillRate and DecodeRate are declared speeds in tokens per second,
-	// used until the real speed is learned; zero means not known.
+	// PrefillRate and DecodeRate are declared speeds in tokens per second. They
+	// apply until measurements replace them; zero means unknown.
 	PrefillRate float64
 	DecodeRate  float64
 }
 
-// Request is what placement knows of a caller's request. The prompt itself
-// stays in the entry shell.
+// Request holds the attributes of a caller's request that placement needs. The
+// prompt itself stays with the entry, which reads it from the caller.
 type Request struct {
 	ID           RequestID
 	Organisation OrganisationID
 	Profile      ProfileName
 	Fingerprint  Fingerprint
-	// Blocks are the hashes of the prompt's full pieces, outermost first.
+	// Blocks are the chained hashes of the prompt's full blocks, from the start
+	// of the prompt.
 	Blocks []BlockHash
-	// PromptTokens and MaxTokens are estimates of work before and after the
-	// first token.
+	// PromptTokens and MaxTokens estimate the prefill work and the decode work.
 	PromptTokens int
 	MaxTokens    int
 	Arrived      Instant
-	// Deadline is when the caller's timeout passes.
+	// Deadline is when the caller's timeout expires.
 	Deadline Instant
-	// DeliveredTokens counts tokens already passed to the caller. It is above zero
-	// only while a stream is being resumed, and then Weights must match.
+	// DeliveredTokens counts the tokens that the caller already has. It is
+	// above zero only while a broken stream is resumed. The resumed attempt
+	// must then run on Weights.
 	DeliveredTokens int
 	Weights         WeightsVersion
 }
