--- a/router/pools.go
+++ b/router/pools.go
@@ -16,7 +16,7 @@
 }
 
 // pool is a back-end pool: the endpoints that serve one model or service, with
-// the hash table that maps a prefix to its home endpoint.
+// the rendezvous-hashing table that maps a prefix to its home endpoint.
 type pool struct {
 	members []tables.EndpointIndex
 	homes   *homes.Table
@@ -101,7 +101,7 @@
 	return p
 }
 
-// hashWeight is the endpoint's weight in the hash table of homes, proportional
+// hashWeight returns the endpoint's weight in rendezvous hashing, proportional
 // to its declared prefill rate.
 func hashWeight(e *tables.Endpoint) float64 {
 	if e.PrefillRate > 0 {
--- a/router/router.go
+++ b/router/router.go
@@ -223,7 +223,7 @@
 }
 
 // Tick makes all decisions that are due and returns the resulting actions. The
-// router reuses the returned slice in the second call of Tick after this one.
+// returned slice is valid until the next call of Tick returns.
 func (r *Router) Tick(now tables.Instant) []Action {
 	r.placeNewRequests(now)
 	if now >= r.nextTimers {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -145,7 +145,7 @@
 }
 
 // The platform withdraws the only endpoint. A request must not be dispatched to
-// it, and must wait until its deadline.
+// it; it must wait until its deadline and then be refused as not run.
 func TestWithdrawnEndpointGetsNoWork(t *testing.T) {
 	r := newRouter(1)
 	r.Observe(0, router.EndpointWithdrawn{Endpoint: "e0", Life: 1})
