--- a/router/completion.go
+++ b/router/completion.go
@@ -48,9 +48,9 @@
 }
 
 // updateHealth applies the result of an attempt to the health of its endpoint.
-func (r *Router) updateHealth(now tables.Instant, a *tables.AttemptRow, end AttemptResult) {
+func (r *Router) updateHealth(now tables.Instant, a *tables.AttemptRow, result AttemptResult) {
 	row := r.endpoints.Row(a.Endpoint)
-	switch end {
+	switch result {
 	case Completed:
 		row.LastProgress = now
 		health.Succeeded(&row.Health)
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -33,8 +33,8 @@
 )
 
 // recordFirstToken updates the cache and speed estimates of an endpoint from an
-// attempt's first token. found is the number of prompt tokens that the endpoint
-// had cached.
+// attempt's first token. cachedTokens is the number of prompt tokens that the
+// endpoint had cached.
 func (r *Router) recordFirstToken(now tables.Instant, a *tables.AttemptRow, cachedTokens int) {
 	row := r.endpoints.Row(a.Endpoint)
 	if a.Boot == row.Boot {
@@ -79,7 +79,9 @@
 	return max(prefillRateAlpha, 1/float64(row.Throughput.PrefillSamples+1))
 }
 
-// recordAttemptEnd updates the estimates from the end of an attempt.
+// recordAttemptEnd updates the estimates from the end of an attempt. After an
+// attempt without a first token, it removes the blocks that the cache index
+// gained when the attempt was placed.
 func (r *Router) recordAttemptEnd(now tables.Instant, a *tables.AttemptRow, in AttemptEnded) {
 	row := r.endpoints.Row(a.Endpoint)
 	if in.Result == Completed {
--- a/router/gossip.go
+++ b/router/gossip.go
@@ -21,29 +21,29 @@
 
 // add queues the blocks of a prompt that the chosen endpoint was not known to
 // hold.
-func (n *placementQueue) add(endpoint *tables.EndpointRow, blocks []tables.BlockHash, c *placement.Candidate) {
-	if n.queued == nil {
-		n.queued = make(map[PeerPlacement]bool)
+func (q *placementQueue) add(endpoint *tables.EndpointRow, blocks []tables.BlockHash, c *placement.Candidate) {
+	if q.queued == nil {
+		q.queued = make(map[PeerPlacement]bool)
 	}
 	known := min(len(blocks), int(c.KnownTokens+0.5)/prefix.BlockTokens)
 	for _, hash := range blocks[known:] {
 		row := PeerPlacement{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot, Block: hash}
-		if n.queued[row] {
+		if q.queued[row] {
 			continue
 		}
-		n.queued[row] = true
-		n.pending = append(n.pending, row)
+		q.queued[row] = true
+		q.pending = append(q.pending, row)
 	}
-	if excess := len(n.pending) - maxPendingPlacements; excess > 0 {
-		n.dropOldest(excess)
+	if excess := len(q.pending) - maxPendingPlacements; excess > 0 {
+		q.dropOldest(excess)
 	}
 }
 
-func (n *placementQueue) dropOldest(count int) {
-	for _, row := range n.pending[:count] {
-		delete(n.queued, row)
+func (q *placementQueue) dropOldest(count int) {
+	for _, row := range q.pending[:count] {
+		delete(q.queued, row)
 	}
-	n.pending = append(n.pending[:0], n.pending[count:]...)
+	q.pending = append(q.pending[:0], q.pending[count:]...)
 }
 
 // DrainPlacements moves at most limit placements from the gossip queue to dst,
--- a/router/overload.go
+++ b/router/overload.go
@@ -35,23 +35,23 @@
 
 // trigger records a sign of overload: a long queue of urgent work, or a
 // refusal.
-func (p *overloadState) trigger(now tables.Instant) { p.until = now + overloadHold }
+func (o *overloadState) trigger(now tables.Instant) { o.until = now + overloadHold }
 
-func (p *overloadState) active(now tables.Instant) bool { return now < p.until }
+func (o *overloadState) active(now tables.Instant) bool { return now < o.until }
 
 // recordWork adds dispatched work, in tokens, to the exponentially decayed
 // totals.
-func (p *overloadState) recordWork(now tables.Instant, tokens float64, held bool) {
-	decay := math.Exp(-float64(now-p.updatedAt) / float64(workTimeConstant))
-	p.updatedAt = now
-	p.totalTokens = p.totalTokens*decay + tokens
-	p.deferrableTokens *= decay
-	if held {
-		p.deferrableTokens += tokens
+func (o *overloadState) recordWork(now tables.Instant, tokens float64, deferrable bool) {
+	decay := math.Exp(-float64(now-o.updatedAt) / float64(workTimeConstant))
+	o.updatedAt = now
+	o.totalTokens = o.totalTokens*decay + tokens
+	o.deferrableTokens *= decay
+	if deferrable {
+		o.deferrableTokens += tokens
 	}
 }
 
 // admitsDeferrable reports whether deferrable work may start during overload.
-func (p *overloadState) admitsDeferrable() bool {
-	return p.deferrableTokens < minDeferrableShare*p.totalTokens
+func (o *overloadState) admitsDeferrable() bool {
+	return o.deferrableTokens < minDeferrableShare*o.totalTokens
 }
--- a/router/placement.go
+++ b/router/placement.go
@@ -237,8 +237,8 @@
 	load.LocalPrefilling++
 	load.LocalPrefillTokens[attempt.Priority] += uncached
 	r.updatePriorityMix(row.Priority, uncached)
-	life := quarantine.Incarnation{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot}
-	r.suspects.Started(q.Now, attempt.ID, life, row.Request.Fingerprint)
+	incarnation := quarantine.Incarnation{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot}
+	r.suspects.Started(q.Now, attempt.ID, incarnation, row.Request.Fingerprint)
 	r.gossip.add(endpoint, row.Request.Blocks, &choice.Candidate)
 	r.cacheIndex.Placed(q.Now, choice.Endpoint, row.Request.Blocks)
 	r.actions = append(r.actions, Dispatch{
--- a/router/prefixdepth.go
+++ b/router/prefixdepth.go
@@ -32,7 +32,7 @@
 
 // updateDepthStats adds the number of times that other requests used the
 // prefixes of this request. The instance sees only its share of the traffic, so
-// the count is scaled up by that share.
+// the count is divided by that share.
 func (r *Router) updateDepthStats(request *tables.Request) {
 	if len(request.Blocks) == 0 {
 		return
@@ -63,14 +63,14 @@
 // typicalDepth returns the depth, at most depth, at which prompts of the
 // profile are usually shared, by the same weighting as in sharedDepth. It
 // returns depth if there are no statistics.
-func (l *depthStats) typicalDepth(depth int) int {
-	if l == nil {
+func (s *depthStats) typicalDepth(depth int) int {
+	if s == nil {
 		return depth
 	}
 	bestDepth, maxWeight := depth, 0.0
 	for i := range min(depth, maxTrackedDepth) {
 		length := float64(i + 1)
-		if weight := l[i] * length * length; weight > 0 && weight >= maxWeight {
+		if weight := s[i] * length * length; weight > 0 && weight >= maxWeight {
 			bestDepth, maxWeight = i+1, weight
 		}
 	}
@@ -79,8 +79,8 @@
 
 // isUninformed reports whether other instances place requests of which this
 // instance receives no information, from endpoints or from peers. It is false
-// for the first cacheInfoTTL of the clock, in which there is nothing to learn
-// from.
+// for the first cacheInfoTTL of the clock, because nothing can have been
+// learned by then.
 func (r *Router) isUninformed(now tables.Instant) bool {
 	return r.trafficShare < 1 && now-r.cacheInfoAt > cacheInfoTTL
 }
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -50,21 +50,21 @@
 // observeCrashDetected handles a crash that was detected only after the attempt
 // had ended.
 func (r *Router) observeCrashDetected(now tables.Instant, in CrashDetected) {
-	life, known := r.suspects.IncarnationOf(in.Attempt)
+	incarnation, known := r.suspects.IncarnationOf(in.Attempt)
 	if !known {
 		return
 	}
-	if row := r.endpointRow(life.Endpoint); row != nil {
-		r.handleCrash(now, row, life.Boot)
+	if row := r.endpointRow(incarnation.Endpoint); row != nil {
+		r.handleCrash(now, row, incarnation.Boot)
 	}
-	r.recordCrash(now, life)
+	r.recordCrash(now, incarnation)
 }
 
 // recordCrash reports the crash of an endpoint's boot to the quarantine, which
 // then suspects the requests that were running there. The resulting suspects
 // are broadcast to the other instances.
-func (r *Router) recordCrash(now tables.Instant, life quarantine.Incarnation) {
-	if suspects := r.suspects.Crashed(now, life); len(suspects) > 0 {
+func (r *Router) recordCrash(now tables.Instant, incarnation quarantine.Incarnation) {
+	if suspects := r.suspects.Crashed(now, incarnation); len(suspects) > 0 {
 		r.actions = append(r.actions, BroadcastSuspects{Suspects: suspects})
 	}
 }
--- a/router/queues.go
+++ b/router/queues.go
@@ -172,8 +172,8 @@
 	return false
 }
 
-// recordStart charges a dispatched attempt to its flow and to the
-// organisation's concurrency limit.
+// recordStart charges a dispatched attempt to its flow. The request counts once
+// against the organisation's concurrency limit, however often it is retried.
 func (r *Router) recordStart(now tables.Instant, row *tables.RequestRow) {
 	c := &r.classes[row.Priority]
 	c.backlog[row.Organisation].Started(now)
--- a/router/router.go
+++ b/router/router.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	defaultExplanations = 256
+	defaultExplanationLimit = 256
 	// timerPeriod is the interval at which the router checks deadlines, hung
 	// attempts and ejected endpoints.
 	timerPeriod = 50 * time.Millisecond
@@ -95,7 +95,7 @@
 // Configure is called.
 func New(options Options) *Router {
 	if options.ExplanationLimit <= 0 {
-		options.ExplanationLimit = defaultExplanations
+		options.ExplanationLimit = defaultExplanationLimit
 	}
 	suspects := quarantine.New(quarantine.Options{})
 	r := &Router{
--- a/tables/remoteload.go
+++ b/tables/remoteload.go
@@ -34,24 +34,24 @@
 type loadSample struct{ attempts, tokens float64 }
 
 // Observe adds a load report that arrived at now.
-func (o *RemoteLoad) Observe(now Instant, attempts, tokens int) {
+func (l *RemoteLoad) Observe(now Instant, attempts, tokens int) {
 	sample := loadSample{attempts: float64(attempts), tokens: float64(tokens)}
-	if o.reportedAt == 0 {
-		o.mean = sample
+	if l.reportedAt == 0 {
+		l.mean = sample
 	} else {
-		keep := decay(now-o.reportedAt, meanTimeConstant)
-		o.mean = blend(o.mean, sample, keep)
+		keep := decay(now-l.reportedAt, meanTimeConstant)
+		l.mean = blend(l.mean, sample, keep)
 	}
-	o.reported = sample
-	o.reportedAt = now
-	o.Advance(now)
+	l.reported = sample
+	l.reportedAt = now
+	l.Advance(now)
 }
 
 // Advance recomputes the estimate for the instant now.
-func (o *RemoteLoad) Advance(now Instant) {
-	estimate := blend(o.reported, o.mean, decay(now-o.reportedAt, reportTimeConstant))
-	o.Attempts = estimate.attempts
-	o.Tokens = estimate.tokens
+func (l *RemoteLoad) Advance(now Instant) {
+	estimate := blend(l.reported, l.mean, decay(now-l.reportedAt, reportTimeConstant))
+	l.Attempts = estimate.attempts
+	l.Tokens = estimate.tokens
 }
 
 func decay(age, timeConstant time.Duration) float64 {
