--- a/entry/loop.go
+++ b/entry/loop.go
@@ -265,7 +265,7 @@
 
 // newsSource is a Decider that has placements to pass on; *router.Router is one.
 type newsSource interface {
-	News(dst []router.PeerPlacement, limit int) []router.PeerPlacement
+	DrainPlacements(dst []router.PeerPlacement, limit int) []router.PeerPlacement
 }
 
 // newsAtOnce bounds the placements that are passed on after one tick.
@@ -277,7 +277,7 @@
 	if !ok || l.passOn == nil {
 		return
 	}
-	l.news = source.News(l.news[:0], newsAtOnce)
+	l.news = source.DrainPlacements(l.news[:0], newsAtOnce)
 	if len(l.news) > 0 {
 		l.passOn(l.news)
 	}
--- a/measure/cluster.go
+++ b/measure/cluster.go
@@ -327,7 +327,7 @@
 
 // newsSource is a policy that has something to tell the other instances.
 type newsSource interface {
-	News(dst []router.PeerPlacement, limit int) []router.PeerPlacement
+	DrainPlacements(dst []router.PeerPlacement, limit int) []router.PeerPlacement
 }
 
 // passOn tells the other instances of placements, as far as the budget goes.
@@ -338,7 +338,7 @@
 	}
 	cost := float64(peerBytes * (len(c.instances) - 1))
 	left := c.knowledge.peerBytes*max(1, c.time.now.Seconds()) - from.peers.spent
-	rows := source.News(nil, int(left/max(1, cost)))
+	rows := source.DrainPlacements(nil, int(left/max(1, cost)))
 	from.peers.spent += cost * float64(len(rows))
 	for _, row := range rows {
 		for _, other := range c.instances {
