--- a/cli/backup.go
+++ b/cli/backup.go
@@ -85,7 +85,7 @@
 		return nil, trace.Wrap(err)
 	}
 	defer func() { _ = folder.Close() }()
-	backup, err := server.BackupOf(server.FolderDisk{Folder: folder}, state.DefaultLimits())
+	backup, err := server.BackupFromLog(server.FolderLogStore{Folder: folder}, state.DefaultLimits())
 	return backup, trace.Wrap(err)
 }
 
@@ -145,9 +145,9 @@
 		return trace.Wrap(err)
 	}
 	defer func() { _ = folder.Close() }()
-	return trace.Wrap(server.Restore(server.FolderDisk{Folder: folder}, backup, server.RestoreOptions{
-		Self:            server.Instance{Name: tables.InstanceID(c.instance), Address: c.address},
-		RevisionAtLeast: c.revisionAtLeast,
-		HoldClaims:      c.holdClaims,
+	return trace.Wrap(server.Restore(server.FolderLogStore{Folder: folder}, backup, server.RestoreOptions{
+		Self:           server.Instance{Name: tables.InstanceID(c.instance), Address: c.address},
+		MinRevision:    c.revisionAtLeast,
+		UnknownKeyHold: c.holdClaims,
 	}))
 }
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -138,9 +138,9 @@
 func (c *cluster) startControl(i int) {
 	in := c.instances[i]
 	options := server.Options{
-		Self:   server.Instance{Name: in.name, Address: in.address},
-		Dialer: in.dialer,
-		Disk:   server.FolderDisk{Folder: in.folder},
+		Self:     server.Instance{Name: in.name, Address: in.address},
+		Dialer:   in.dialer,
+		LogStore: server.FolderLogStore{Folder: in.folder},
 	}
 	// Tests start a group each, and most of their time would be its first
 	// election. Measures use the default.
@@ -150,7 +150,7 @@
 	for j := range c.controls {
 		if j != i {
 			other := c.instances[j]
-			options.Others = append(options.Others, server.Instance{Name: other.name, Address: other.address})
+			options.Peers = append(options.Peers, server.Instance{Name: other.name, Address: other.address})
 		}
 	}
 	var err error
--- a/control/deployment/service.go
+++ b/control/deployment/service.go
@@ -165,7 +165,7 @@
 func (s *Service) Follow(ctx context.Context, request *rpc.FollowRequest) (*rpc.FollowAnswer, error) {
 	if request.GetProbe() {
 		status := s.replica.Status()
-		return &rpc.FollowAnswer{Behind: !status.Current, LagNanos: int64(status.Lag)}, nil
+		return &rpc.FollowAnswer{Behind: !status.IsCurrent, LagNanos: int64(status.Lag)}, nil
 	}
 	timer := time.NewTimer(min(max(0, time.Duration(request.GetWaitNanos())), maxWait))
 	defer timer.Stop()
@@ -231,7 +231,7 @@
 		// A replica that knows its leader may still lag: its disk may hang, or it
 		// was sent nothing for a while. Those that stay with it would treat callers
 		// by a configuration that operators have replaced.
-		Behind:      !status.Current,
+		Behind:      !status.IsCurrent,
 		OrdersGiven: s.givesOrders(),
 		LagNanos:    int64(status.Lag),
 	}
--- a/control/deployment/service_test.go
+++ b/control/deployment/service_test.go
@@ -25,7 +25,7 @@
 	assert.NilError(t, err)
 	replica, err := server.Start(server.Options{
 		Self: server.Instance{Name: "c", Address: "127.0.0.1:1"}, Dialer: nowhere{},
-		Disk: server.FolderDisk{Folder: folder}, TickInterval: 20 * time.Millisecond,
+		LogStore: server.FolderLogStore{Folder: folder}, TickInterval: 20 * time.Millisecond,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() {
--- a/control/measure_test.go
+++ b/control/measure_test.go
@@ -130,7 +130,7 @@
 
 func (c *cluster) leader() int {
 	for i, in := range c.instances {
-		if in.server != nil && in.server.Status().Leads {
+		if in.server != nil && in.server.Status().IsLeader {
 			return i
 		}
 	}
@@ -197,7 +197,7 @@
 			b.ResetTimer()
 			for b.Loop() {
 				replica, folder := openServer(b, dir)
-				for !replica.Status().Formed {
+				for !replica.Status().Joined {
 					runtime.Gosched()
 				}
 				b.StopTimer()
@@ -218,9 +218,9 @@
 	folder, err := store.OpenFolder(dir)
 	assert.NilError(b, err)
 	replica, err := server.Start(server.Options{
-		Self:   server.Instance{Name: "i", Address: "127.0.0.1:1"},
-		Dialer: nowhere{},
-		Disk:   server.FolderDisk{Folder: folder},
+		Self:     server.Instance{Name: "i", Address: "127.0.0.1:1"},
+		Dialer:   nowhere{},
+		LogStore: server.FolderLogStore{Folder: folder},
 	})
 	assert.NilError(b, err)
 	return replica, folder
--- a/control/operator/operator.go
+++ b/control/operator/operator.go
@@ -38,7 +38,7 @@
 		Instance: string(s.options.Instance),
 		Zone:     string(s.options.Zone),
 		Revision: uint64(s.options.Server.Revision()),
-		Leader:   s.options.Server.Status().Leader,
+		Leader:   s.options.Server.Status().LeaderAddress,
 	}
 	if s.options.Instances != nil {
 		answer.Instances = s.options.Instances()
--- a/control/server/backup.go
+++ b/control/server/backup.go
@@ -32,17 +32,17 @@
 	return &rpc.Backup{Index: s.applied, Snapshot: snapshot}, nil
 }
 
-// BackupOf returns the state on the disk of one replica, for when a majority
+// BackupFromLog returns the state on the disk of one replica, for when a majority
 // was lost and the group cannot decide any more. It takes in all entries of the
 // log: each that was accepted is among them if this replica has it, and one that
 // was not accepted does less harm than one that is missing.
-func BackupOf(disk Disk, limits state.Limits) (*rpc.Backup, error) {
+func BackupFromLog(disk LogStore, limits state.Limits) (*rpc.Backup, error) {
 	log, err := disk.Open()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if log == nil {
-		return nil, trace.Wrap(&Unavailable{Reason: NotFormed})
+		return nil, trace.Wrap(&UnavailableError{Reason: NotJoined})
 	}
 	defer func() { _ = log.Close() }()
 	saved, err := log.Load()
@@ -69,17 +69,17 @@
 // RestoreOptions says how a backup is restored.
 type RestoreOptions struct {
 	Self Instance
-	// RevisionAtLeast is the highest revision that any instance has in force.
-	RevisionAtLeast uint64
-	// HoldClaims is how long keys that the backup does not know are refused.
-	HoldClaims time.Duration
+	// MinRevision is the highest revision that any instance has in force.
+	MinRevision uint64
+	// UnknownKeyHold is how long keys that the backup does not know are refused.
+	UnknownKeyHold time.Duration
 }
 
 // Restore founds a new group on an empty disk, with the state of a backup and
 // this instance as its only voter. The other control instances join it with
 // empty disks. It must be done on one instance only.
-func Restore(disk Disk, backup *rpc.Backup, options RestoreOptions) error {
-	replica, err := disk.NewReplica()
+func Restore(disk LogStore, backup *rpc.Backup, options RestoreOptions) error {
+	replica, err := disk.NewReplicaID()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -92,8 +92,8 @@
 	recovered, err := state.Recover(backup.GetSnapshot(), state.RecoveryOptions{
 		Group:          group,
 		Founders:       []*rpc.Founder{founder},
-		MinRevision:    options.RevisionAtLeast,
-		UnknownKeyHold: options.HoldClaims,
+		MinRevision:    options.MinRevision,
+		UnknownKeyHold: options.UnknownKeyHold,
 		Wall:           time.Now().UnixNano(),
 	})
 	if err != nil {
--- a/control/server/backup_test.go
+++ b/control/server/backup_test.go
@@ -25,7 +25,7 @@
 	for i := range g.servers {
 		g.stop(i)
 	}
-	backup, err := BackupOf(g.disks[2], state.DefaultLimits())
+	backup, err := BackupFromLog(g.disks[2], state.DefaultLimits())
 	assert.NilError(t, err)
 	encoded, err := EncodeBackup(backup)
 	assert.NilError(t, err)
@@ -35,9 +35,9 @@
 		g.disks[i] = &memoryDisk{}
 	}
 	assert.NilError(t, Restore(g.disks[2], backup, RestoreOptions{
-		Self:            Instance{Name: tables.InstanceID(address(2)), Address: address(2)},
-		RevisionAtLeast: 7,
-		HoldClaims:      time.Hour,
+		Self:           Instance{Name: tables.InstanceID(address(2)), Address: address(2)},
+		MinRevision:    7,
+		UnknownKeyHold: time.Hour,
 	}))
 	for i := range g.servers {
 		g.start(i)
--- a/control/server/form.go
+++ b/control/server/bootstrap.go
@@ -67,9 +67,9 @@
 // askToJoin asks all other control instances, and says whether all answered.
 // The answers are in the order of the settings, nil where there is none.
 func (s *Server) askToJoin(ctx context.Context, self *rpc.Founder) ([]*rpc.JoinAnswer, bool) {
-	answers := make([]*rpc.JoinAnswer, len(s.options.Others))
+	answers := make([]*rpc.JoinAnswer, len(s.options.Peers))
 	all := true
-	for i, other := range s.options.Others {
+	for i, other := range s.options.Peers {
 		asking, cancel := context.WithTimeout(ctx, joinTimeout)
 		answer, err := s.options.Dialer.Control(other.Address).Join(asking, &rpc.JoinRequest{Replica: self})
 		cancel()
@@ -85,7 +85,7 @@
 // first says whether this instance is the one that founds the group: there must
 // be only one.
 func (s *Server) first() bool {
-	for _, other := range s.options.Others {
+	for _, other := range s.options.Peers {
 		if other.Name < s.options.Self.Name {
 			return false
 		}
@@ -95,7 +95,7 @@
 
 func (s *Server) asFounders(answers []*rpc.JoinAnswer) []*rpc.Founder {
 	var founders []*rpc.Founder
-	for i, other := range s.options.Others {
+	for i, other := range s.options.Peers {
 		founders = append(founders, &rpc.Founder{
 			Replica:  answers[i].GetReplica(),
 			Instance: string(other.Name),
@@ -112,7 +112,7 @@
 			return s.create(answer.GetGroup(), answer.GetFounders())
 		}
 	}
-	log, err := s.options.Disk.Create(answer.GetGroup(), s.replica, replog.Saved{})
+	log, err := s.options.LogStore.Create(answer.GetGroup(), s.replica, replog.Saved{})
 	return log, trace.Wrap(err)
 }
 
@@ -141,7 +141,7 @@
 		})
 	}
 	saved := replog.BootstrapGroup(members, foundingIndex, data)
-	log, err := s.options.Disk.Create(group, s.replica, saved)
+	log, err := s.options.LogStore.Create(group, s.replica, saved)
 	return log, trace.Wrap(err)
 }
 
@@ -165,7 +165,7 @@
 	}
 	knows := seen.formed && len(seen.founders) > 0
 	if seen.hasLog && !knows {
-		return nil, twirp.NewError(twirp.Unavailable, string(NotFormed))
+		return nil, twirp.NewError(twirp.Unavailable, string(NotJoined))
 	}
 	return &rpc.JoinAnswer{
 		Replica:  uint64(s.replica),
@@ -212,7 +212,7 @@
 	}
 	if !status.Members.IsVoter(status.ID) || !s.soft.Current {
 		self := s.founder()
-		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout*time.Duration(len(s.options.Others)+1))
+		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout*time.Duration(len(s.options.Peers)+1))
 		s.running.Go(func() {
 			defer cancel()
 			s.askToJoin(ctx, self)
@@ -251,7 +251,7 @@
 	if old, ok := replaced(status.Members, id, address); ok {
 		return replog.Change{Kind: replog.Remove, Replica: old}, true
 	}
-	if s.options.Voters == 0 || len(status.Members.Voters()) < s.options.Voters {
+	if s.options.MaxVoters == 0 || len(status.Members.Voters()) < s.options.MaxVoters {
 		return replog.Change{Kind: replog.Promote, Replica: id}, true
 	}
 	old, ok := s.longGone(status)
@@ -264,7 +264,7 @@
 // longGone finds a voter that has been silent for so long that its machine must
 // be taken for lost.
 func (s *Server) longGone(status replog.Status) (replog.ReplicaID, bool) {
-	ticks := int(s.options.GoneAfter / s.options.TickInterval)
+	ticks := int(s.options.VoterTimeout / s.options.TickInterval)
 	for _, voter := range status.Members.Voters() {
 		progress, known := status.Progress[voter]
 		if known && voter != status.ID && progress.IdleTicks > ticks {
@@ -288,7 +288,7 @@
 
 // known says whether a replica at the address may join.
 func (s *Server) known(address string) bool {
-	return s.options.Open || address == s.options.Self.Address || slices.ContainsFunc(s.options.Others, func(other Instance) bool {
+	return s.options.AcceptUnknownPeers || address == s.options.Self.Address || slices.ContainsFunc(s.options.Peers, func(other Instance) bool {
 		return other.Address == address
 	})
 }
--- a/control/server/full_test.go
+++ b/control/server/disk_full_test.go
@@ -55,9 +55,9 @@
 	g := newGroup(t, 1)
 	g.stop(0)
 	server, err := Start(Options{
-		Self:   Instance{Name: "control-0", Address: address(0)},
-		Dialer: dialer{g.network, address(0)},
-		Disk:   fullDisk{memoryDisk: g.disks[0], full: &full},
+		Self:     Instance{Name: "control-0", Address: address(0)},
+		Dialer:   dialer{g.network, address(0)},
+		LogStore: fullDisk{memoryDisk: g.disks[0], full: &full},
 	})
 	assert.NilError(t, err)
 	defer server.Close()
@@ -83,5 +83,5 @@
 	result, err = server.Execute(g.long(), put(3))
 	assert.NilError(t, err)
 	assert.Equal(t, result.GetDocument().GetNumber(), uint64(3))
-	assert.NilError(t, server.Failure())
+	assert.NilError(t, server.Err())
 }
--- a/control/server/errors.go
+++ b/control/server/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Unavailable means that the command was not decided here and now. It may still
+// UnavailableError means that the command was not decided here and now. It may still
 // be decided later, so it is only sent again as it was.
-type Unavailable struct {
+type UnavailableError struct {
 	Reason UnavailableReason
 	Cause  error
 }
@@ -14,7 +14,7 @@
 
 // The reasons.
 const (
-	NotFormed       UnavailableReason = "this replica does not belong to a group yet"
+	NotJoined       UnavailableReason = "this replica does not belong to a group yet"
 	NoLeader        UnavailableReason = "this replica knows no leader"
 	LeadershipLost  UnavailableReason = "leadership was lost before the command was decided"
 	ForwardFailed   UnavailableReason = "the leader did not answer"
@@ -23,7 +23,7 @@
 )
 
 // Error gives the reason.
-func (e *Unavailable) Error() string {
+func (e *UnavailableError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("%s: %v", e.Reason, e.Cause)
 	}
@@ -31,16 +31,16 @@
 }
 
 // Unwrap gives the cause.
-func (e *Unavailable) Unwrap() error { return e.Cause }
+func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// BadFormation means that what another instance says of the group cannot be
+// FormationError means that what another instance says of the group cannot be
 // followed.
-type BadFormation struct {
+type FormationError struct {
 	Instance Instance
 	Reason   string
 }
 
 // Error names the instance.
-func (e *BadFormation) Error() string {
+func (e *FormationError) Error() string {
 	return fmt.Sprintf("control instance %s at %s: %s", e.Instance.Name, e.Instance.Address, e.Reason)
 }
--- a/control/server/loop.go
+++ b/control/server/event_loop.go
@@ -144,12 +144,12 @@
 	p.command.Wall = s.options.Clock.Wall().UnixNano()
 	data, err := proto.Marshal(p.command)
 	if err != nil {
-		p.decided <- outcome{err: &Unavailable{Reason: ProposalRefused, Cause: err}}
+		p.decided <- outcome{err: &UnavailableError{Reason: ProposalRefused, Cause: err}}
 		return
 	}
 	at, err := s.node.Propose(data)
 	if err != nil {
-		p.decided <- outcome{err: &Unavailable{Reason: ProposalRefused, Cause: err}}
+		p.decided <- outcome{err: &UnavailableError{Reason: ProposalRefused, Cause: err}}
 		return
 	}
 	p.term = at.Term
@@ -159,7 +159,7 @@
 // loseProposals tells all who wait that their command may or may not be decided.
 func (s *Server) loseProposals(reason UnavailableReason) {
 	for index, p := range s.waiting {
-		p.decided <- outcome{err: &Unavailable{Reason: reason}}
+		p.decided <- outcome{err: &UnavailableError{Reason: reason}}
 		delete(s.waiting, index)
 	}
 }
@@ -265,7 +265,7 @@
 	}
 	delete(s.waiting, entry.Index)
 	if p.term != entry.Term || result == nil {
-		p.decided <- outcome{err: &Unavailable{Reason: LeadershipLost}}
+		p.decided <- outcome{err: &UnavailableError{Reason: LeadershipLost}}
 		return
 	}
 	p.decided <- outcome{result: result}
--- a/control/server/execute.go
+++ b/control/server/execute.go
@@ -29,7 +29,7 @@
 	}
 	start := s.options.Clock.Now()
 	result, err := s.execute(ctx, command)
-	s.options.Observe(commandName(command), err == nil, s.options.Clock.Now()-start)
+	s.options.ObserveCommand(commandName(command), err == nil, s.options.Clock.Now()-start)
 	return result, err
 }
 
@@ -71,19 +71,19 @@
 	s.mu.RUnlock()
 	switch {
 	case !seen.formed:
-		return nil, &Unavailable{Reason: NotFormed}
+		return nil, &UnavailableError{Reason: NotJoined}
 	case seen.leads:
 		return s.decideHere(ctx, command)
 	case command.GetHops() >= maxHops:
-		return nil, &Unavailable{Reason: NoLeader}
+		return nil, &UnavailableError{Reason: NoLeader}
 	}
-	var last error = &Unavailable{Reason: NoLeader}
+	var last error = &UnavailableError{Reason: NoLeader}
 	for _, address := range s.ways(seen) {
 		result, err := s.forward(ctx, address, command)
 		if err == nil {
 			return result, nil
 		}
-		last = &Unavailable{Reason: ForwardFailed, Cause: err}
+		last = &UnavailableError{Reason: ForwardFailed, Cause: err}
 	}
 	return nil, last
 }
@@ -122,7 +122,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-s.stopped:
-		return nil, &Unavailable{Reason: Stopped}
+		return nil, &UnavailableError{Reason: Stopped}
 	}
 	select {
 	case o := <-p.decided:
@@ -130,7 +130,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-s.stopped:
-		return nil, &Unavailable{Reason: Stopped}
+		return nil, &UnavailableError{Reason: Stopped}
 	}
 }
 
--- a/control/server/disk.go
+++ b/control/server/log_store.go
@@ -13,13 +13,13 @@
 // identityFile holds the identity of a replica whose log is not created yet.
 const identityFile = "replica"
 
-// FolderDisk is the Disk in a data folder.
-type FolderDisk struct {
+// FolderLogStore is the Disk in a data folder.
+type FolderLogStore struct {
 	Folder *store.Folder
 }
 
 // Open opens the log of the folder.
-func (d FolderDisk) Open() (Log, error) {
+func (d FolderLogStore) Open() (Log, error) {
 	log, err := d.Folder.OpenLog(store.Identity{})
 	var missing *store.NotInitialised
 	if errors.As(err, &missing) {
@@ -32,16 +32,16 @@
 }
 
 // Create creates and opens the log of the folder.
-func (d FolderDisk) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
+func (d FolderLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
 	if err := d.Folder.CreateLog(store.Identity{Group: group, Replica: replica}, saved); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return d.Open()
 }
 
-// NewReplica returns the identity noted in the folder, and notes a random one
+// NewReplicaID returns the identity noted in the folder, and notes a random one
 // there first if it has none.
-func (d FolderDisk) NewReplica() (replog.ReplicaID, error) {
+func (d FolderLogStore) NewReplicaID() (replog.ReplicaID, error) {
 	noted, err := d.Folder.ReadAtomic(identityFile)
 	if err == nil && len(noted) == 8 {
 		return replog.ReplicaID(binary.LittleEndian.Uint64(noted)), nil
--- a/control/server/nemesis_test.go
+++ b/control/server/nemesis_test.go
@@ -49,14 +49,14 @@
 	g.stop(0)
 	read := make(chan struct{})
 	server, err := Start(Options{
-		Self:   Instance{Name: "control-0", Address: address(0)},
-		Dialer: dialer{g.network, address(0)},
-		Disk:   slowDisk{g.disks[0], read},
+		Self:     Instance{Name: "control-0", Address: address(0)},
+		Dialer:   dialer{g.network, address(0)},
+		LogStore: slowDisk{g.disks[0], read},
 	})
 	assert.NilError(t, err)
 	defer server.Close()
 	_, err = server.Join(g.long(), &rpc.JoinRequest{})
-	assert.ErrorContains(t, err, string(NotFormed))
+	assert.ErrorContains(t, err, string(NotJoined))
 	close(read)
 	assert.NilError(t, server.until(g.long(), func() bool { return server.view.formed }))
 	answer, err := server.Join(g.long(), &rpc.JoinRequest{})
--- a/control/server/network_test.go
+++ b/control/server/network_test.go
@@ -132,7 +132,7 @@
 
 var lastReplica replog.ReplicaID
 
-func (d *memoryDisk) NewReplica() (replog.ReplicaID, error) {
+func (d *memoryDisk) NewReplicaID() (replog.ReplicaID, error) {
 	if d.replica == replog.None {
 		lastReplica++
 		d.replica = lastReplica
@@ -200,14 +200,14 @@
 	options := Options{
 		Self:          Instance{Name: tables.InstanceID(address(i)), Address: address(i)},
 		Dialer:        dialer{g.network, address(i)},
-		Disk:          g.disks[i],
+		LogStore:      g.disks[i],
 		TickInterval:  4 * time.Millisecond,
 		ElectionTicks: 20,
 		SnapshotBytes: g.snapshotBytes,
 	}
 	for j := range g.disks {
 		if j != i {
-			options.Others = append(options.Others, Instance{Name: tables.InstanceID(address(j)), Address: address(j)})
+			options.Peers = append(options.Peers, Instance{Name: tables.InstanceID(address(j)), Address: address(j)})
 		}
 	}
 	if g.change != nil {
@@ -258,7 +258,7 @@
 func (g *group) leader() int {
 	for {
 		for i, server := range g.servers {
-			if server != nil && server.Status().Leads && server.Barrier(g.long()) == nil && server.Status().Leads {
+			if server != nil && server.Status().IsLeader && server.Barrier(g.long()) == nil && server.Status().IsLeader {
 				return i
 			}
 		}
--- a/control/server/open_test.go
+++ b/control/server/open_membership_test.go
@@ -13,7 +13,7 @@
 func openGroup(t *testing.T) *group {
 	g := newGroup(t, 3)
 	g.change = func(i int, o *Options) {
-		o.Open, o.Voters, o.GoneAfter = true, 3, 300*time.Millisecond
+		o.AcceptUnknownPeers, o.MaxVoters, o.VoterTimeout = true, 3, 300*time.Millisecond
 		o.JoinOnly = i >= 3
 	}
 	for i := range 3 {
@@ -32,7 +32,7 @@
 	g := openGroup(t)
 	newcomer := g.servers[3]
 	assert.NilError(t, newcomer.until(g.long(), func() bool { return newcomer.state.Revision() == 1 }))
-	assert.Assert(t, !newcomer.Status().Voter)
+	assert.Assert(t, !newcomer.Status().IsVoter)
 	leader := g.leader()
 	g.stop((leader + 1) % 3)
 	assert.NilError(t, newcomer.until(g.long(), func() bool { return newcomer.view.voter }))
@@ -57,7 +57,7 @@
 	short, cancel := context.WithTimeout(context.Background(), 10*formPause)
 	defer cancel()
 	assert.Assert(t, g.execute(0, short, claimCommand("i1", "t1")) == nil)
-	assert.Assert(t, !g.servers[0].Status().Formed)
+	assert.Assert(t, !g.servers[0].Status().Joined)
 }
 
 // A control instance with an empty disk knows the seeds and no others, and the leader is
@@ -73,7 +73,7 @@
 	g.change = func(i int, o *Options) {
 		change(i, o)
 		if i == 3 {
-			o.Others = []Instance{{Name: o.Others[seed].Name, Address: o.Others[seed].Address}}
+			o.Peers = []Instance{{Name: o.Peers[seed].Name, Address: o.Peers[seed].Address}}
 		}
 	}
 	g.start(3)
@@ -99,7 +99,7 @@
 	assert.NilError(t, returned.until(g.short(), func() bool { return returned.view.current }))
 	g.barrier(cut)
 	assert.Equal(t, returned.Revision(), newcomer.Revision())
-	assert.Assert(t, !returned.Status().Voter)
+	assert.Assert(t, !returned.Status().IsVoter)
 
 	// It is the standby now: it takes the place of the next voter that is gone.
 	g.stop((leader + 2) % 3)
--- a/control/server/options.go
+++ b/control/server/options.go
@@ -22,8 +22,8 @@
 	Control(address string) rpc.Control
 }
 
-// Disk holds the replica's log.
-type Disk interface {
+// LogStore holds the replica's log.
+type LogStore interface {
 	// Open returns the log, or nil and no error if none was created yet. Damage
 	// is an error: going on without what was acknowledged could lose it for the
 	// whole group.
@@ -31,9 +31,9 @@
 	// Create makes the log of a replica that was never used before, and returns
 	// once it is durable.
 	Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error)
-	// NewReplica returns an identity for a replica whose log is not created
+	// NewReplicaID returns an identity for a replica whose log is not created
 	// yet; the same one until then where it can be kept.
-	NewReplica() (replog.ReplicaID, error)
+	NewReplicaID() (replog.ReplicaID, error)
 }
 
 // Log is an open log of one replica.
@@ -71,28 +71,28 @@
 // Options sets a Server up. Self, Dialer and Disk are needed.
 type Options struct {
 	Self Instance
-	// Others are the other control instances of the settings. They are asked
+	// Peers are the other control instances of the settings. They are asked
 	// when the group is formed or this replica has to join it.
-	Others []Instance
+	Peers []Instance
 	// JoinOnly is set for an instance that must not found a group: its disk is
 	// empty though the deployment is not new, or others are to found it.
 	JoinOnly bool
-	// Open lets instances join that the settings do not name. Voters is then how
+	// AcceptUnknownPeers lets instances join that the settings do not name. Voters is then how
 	// many replicas vote; further ones stand by as learners and take the place
 	// of a voter that is gone. Zero means that all vote.
-	Open   bool
-	Voters int
-	// GoneAfter is how long a voter must be silent before a learner takes its
+	AcceptUnknownPeers bool
+	MaxVoters          int
+	// VoterTimeout is how long a voter must be silent before a learner takes its
 	// place. Default 8 s: longer than a restart or a short partition takes,
 	// because a voter that is only away comes back with its log.
-	GoneAfter time.Duration
-	Dialer    Dialer
-	Disk      Disk
-	Clock     Clock
-	Log       *zap.Logger
-	// Observe is told how long each command took that this replica was asked
+	VoterTimeout time.Duration
+	Dialer       Dialer
+	LogStore     LogStore
+	Clock        Clock
+	Log          *zap.Logger
+	// ObserveCommand is told how long each command took that this replica was asked
 	// for, from when it came until it was decided or given up; nil for nobody.
-	Observe func(command string, decided bool, took time.Duration)
+	ObserveCommand func(command string, decided bool, took time.Duration)
 	// Limits of the replicated state, equal at all replicas.
 	Limits state.Limits
 	// SnapshotBytes is how many bytes of entries are applied between two
@@ -153,8 +153,8 @@
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	if o.Observe == nil {
-		o.Observe = func(string, bool, time.Duration) {}
+	if o.ObserveCommand == nil {
+		o.ObserveCommand = func(string, bool, time.Duration) {}
 	}
 	if o.Limits == (state.Limits{}) {
 		o.Limits = state.DefaultLimits()
@@ -162,8 +162,8 @@
 	if o.SnapshotBytes == 0 {
 		o.SnapshotBytes = defaultSnapshotBytes
 	}
-	if o.GoneAfter == 0 {
-		o.GoneAfter = defaultGoneAfter
+	if o.VoterTimeout == 0 {
+		o.VoterTimeout = defaultGoneAfter
 	}
 	if o.TickInterval == 0 {
 		o.TickInterval = defaultTickInterval
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -103,7 +103,7 @@
 		inbox:     make(chan delivery, inboxLength),
 		lost:      make(chan replog.ReplicaID, inboxLength),
 		proposals: make(chan *proposal, proposalBatch),
-		joins:     make(chan *rpc.Founder, len(options.Others)+1),
+		joins:     make(chan *rpc.Founder, len(options.Peers)+1),
 		closing:   make(chan chan<- struct{}, 1),
 		jobs:      make(chan job, 2),
 		saved:     make(chan replog.Ready, 1),
@@ -117,7 +117,7 @@
 		joiners:   map[replog.ReplicaID]*rpc.Founder{},
 	}
 	s.peers = newPeers(ctx, options, s.lost, &s.running)
-	log, err := options.Disk.Open()
+	log, err := options.LogStore.Open()
 	if err != nil {
 		cancel()
 		return nil, trace.Wrap(err)
@@ -125,7 +125,7 @@
 	if log != nil {
 		s.view.hasLog = true
 		_, s.replica = log.Identity()
-	} else if s.replica, err = options.Disk.NewReplica(); err != nil {
+	} else if s.replica, err = options.LogStore.NewReplicaID(); err != nil {
 		cancel()
 		return nil, trace.Wrap(err)
 	}
@@ -142,7 +142,7 @@
 func (s *Server) Close() {
 	timer := time.NewTimer(handOverTimeout)
 	defer timer.Stop()
-	if s.Status().Leads {
+	if s.Status().IsLeader {
 		handedOver := make(chan struct{})
 		select {
 		case s.closing <- handedOver:
@@ -161,8 +161,8 @@
 // Stopped is closed when the replica has stopped, by Close or by a failure.
 func (s *Server) Stopped() <-chan struct{} { return s.stopped }
 
-// Failure returns why the replica stopped by itself, nil if it did not.
-func (s *Server) Failure() error {
+// Err returns why the replica stopped by itself, nil if it did not.
+func (s *Server) Err() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.failure
@@ -239,7 +239,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		log, err := s.options.Disk.Open()
+		log, err := s.options.LogStore.Open()
 		if err == nil && log != nil {
 			s.forgetLife()
 			return log
@@ -327,21 +327,21 @@
 
 // Status is a replica's view of its group.
 type Status struct {
-	Formed  bool
-	Leads   bool
-	Leader  string
-	Voter   bool
-	Applied uint64
-	// Current is set while the state was the newest that the group had decided
+	Joined        bool
+	IsLeader      bool
+	LeaderAddress string
+	IsVoter       bool
+	AppliedIndex  uint64
+	// IsCurrent is set while the state was the newest that the group had decided
 	// within the last ElectionTicks: others may rely on it. A replica that knows a
 	// leader may still lag.
-	Current bool
+	IsCurrent bool
 	// Lag is how long ago the state is known to have been the newest; negative if
 	// it never was in this life.
 	Lag time.Duration
-	// Claims is the number of claims kept.
-	Claims  int
-	Members replog.Members
+	// ClaimCount is the number of claims kept.
+	ClaimCount int
+	Members    replog.Members
 }
 
 // Status returns the replica's view of its group.
@@ -349,15 +349,15 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return Status{
-		Formed:  s.view.formed,
-		Leads:   s.view.leads,
-		Leader:  s.view.leaderAddress,
-		Voter:   s.view.voter,
-		Applied: s.applied,
-		Current: s.view.current,
-		Lag:     s.lag(),
-		Claims:  s.state.ClaimCount(),
-		Members: s.view.members,
+		Joined:        s.view.formed,
+		IsLeader:      s.view.leads,
+		LeaderAddress: s.view.leaderAddress,
+		IsVoter:       s.view.voter,
+		AppliedIndex:  s.applied,
+		IsCurrent:     s.view.current,
+		Lag:           s.lag(),
+		ClaimCount:    s.state.ClaimCount(),
+		Members:       s.view.members,
 	}
 }
 
@@ -375,7 +375,7 @@
 		case <-ctx.Done():
 			return trace.Wrap(ctx.Err())
 		case <-s.stopped:
-			return trace.Wrap(&Unavailable{Reason: Stopped})
+			return trace.Wrap(&UnavailableError{Reason: Stopped})
 		}
 	}
 }
--- a/control/server/server_test.go
+++ b/control/server/server_test.go
@@ -198,7 +198,7 @@
 	short, cancel := context.WithTimeout(context.Background(), 10*formPause)
 	defer cancel()
 	assert.Assert(t, g.execute(0, short, claimCommand("i1", "t1")) == nil)
-	assert.Assert(t, !g.servers[0].Status().Formed)
+	assert.Assert(t, !g.servers[0].Status().Joined)
 	g.start(1)
 	g.start(2)
 	g.barrier(0)
@@ -235,6 +235,6 @@
 	leader := g.leader()
 	closing := g.servers[leader]
 	closing.Close()
-	assert.Assert(t, !closing.Status().Leads)
+	assert.Assert(t, !closing.Status().IsLeader)
 	g.barrier((leader + 1) % 3)
 }
--- a/control/stale_source_test.go
+++ b/control/stale_source_test.go
@@ -56,7 +56,7 @@
 		g.replicas = append(g.replicas, &documentReplica{
 			address: listener.Addr().String(),
 			cut:     &cutter{base: http.DefaultTransport, cut: map[string]bool{}},
-			disk:    &hangingDisk{Disk: server.FolderDisk{Folder: folder}, free: make(chan struct{})},
+			disk:    &hangingDisk{LogStore: server.FolderLogStore{Folder: folder}, free: make(chan struct{})},
 		})
 	}
 	for i := range g.replicas {
@@ -70,18 +70,18 @@
 func (g *documentGroup) start(i int, listener net.Listener) {
 	r := g.replicas[i]
 	options := server.Options{
-		Self:         server.Instance{Name: tables.InstanceID(r.address), Address: r.address},
-		Open:         true,
-		Voters:       documentVoters,
-		JoinOnly:     i == standby,
-		GoneAfter:    time.Hour,
-		Dialer:       transport.NewDialer(&http.Client{Transport: r.cut}),
-		Disk:         r.disk,
-		TickInterval: 10 * time.Millisecond,
+		Self:               server.Instance{Name: tables.InstanceID(r.address), Address: r.address},
+		AcceptUnknownPeers: true,
+		MaxVoters:          documentVoters,
+		JoinOnly:           i == standby,
+		VoterTimeout:       time.Hour,
+		Dialer:             transport.NewDialer(&http.Client{Transport: r.cut}),
+		LogStore:           r.disk,
+		TickInterval:       10 * time.Millisecond,
 	}
 	for j, other := range g.replicas[:documentVoters] {
 		if j != i {
-			options.Others = append(options.Others, server.Instance{Name: tables.InstanceID(other.address), Address: other.address})
+			options.Peers = append(options.Peers, server.Instance{Name: tables.InstanceID(other.address), Address: other.address})
 		}
 	}
 	var err error
@@ -174,7 +174,7 @@
 
 // hangingDisk is a disk whose writes hang from hang to resume.
 type hangingDisk struct {
-	server.Disk
+	server.LogStore
 	mu    sync.Mutex
 	hangs bool
 	free  chan struct{}
@@ -190,7 +190,7 @@
 func (d *hangingDisk) resume() { d.once.Do(func() { close(d.free) }) }
 
 func (d *hangingDisk) Open() (server.Log, error) {
-	log, err := d.Disk.Open()
+	log, err := d.LogStore.Open()
 	if log == nil || err != nil {
 		return nil, err
 	}
@@ -198,7 +198,7 @@
 }
 
 func (d *hangingDisk) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (server.Log, error) {
-	log, err := d.Disk.Create(group, replica, saved)
+	log, err := d.LogStore.Create(group, replica, saved)
 	if err != nil {
 		return nil, err
 	}
@@ -252,7 +252,7 @@
 func TestAReplicaWhoseDiskHangsIsLeft(t *testing.T) {
 	g := newDocumentGroup(t)
 	follower := 0
-	for g.replicas[follower].server.Status().Leads {
+	for g.replicas[follower].server.Status().IsLeader {
 		follower++
 	}
 	other := (follower + 1) % documentVoters
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -71,11 +71,11 @@
 func (d *Daemon) startReplica() error {
 	p := d.options.Process
 	options := server.Options{
-		Self:   server.Instance{Name: p.Instance, Address: p.Listen.Instances.String()},
-		Dialer: d.dialer,
-		Disk:   server.FolderDisk{Folder: d.folder},
-		Log:    d.options.Log,
-		Observe: func(command string, decided bool, took time.Duration) {
+		Self:     server.Instance{Name: p.Instance, Address: p.Listen.Instances.String()},
+		Dialer:   d.dialer,
+		LogStore: server.FolderLogStore{Folder: d.folder},
+		Log:      d.options.Log,
+		ObserveCommand: func(command string, decided bool, took time.Duration) {
 			d.registry.Histogram("carawaystile_control_decision_seconds",
 				"Time until the control group has decided a command, or it was given up.", metrics.Seconds,
 				metrics.Label{Name: "command", Value: command},
@@ -84,7 +84,7 @@
 	}
 	for _, c := range p.ControlInstances {
 		if c.Name != p.Instance {
-			options.Others = append(options.Others, server.Instance{Name: c.Name, Address: c.Address.String()})
+			options.Peers = append(options.Peers, server.Instance{Name: c.Name, Address: c.Address.String()})
 		}
 	}
 	replica, err := server.Start(options)
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -26,9 +26,9 @@
 	d.refreshMembershipGauges(gauge)
 	if d.replica != nil {
 		status := d.replica.Status()
-		gauge("carawaystile_control_claims", "Claims that the control state keeps.", float64(status.Claims))
-		gauge("carawaystile_control_leader", "1 if this instance leads the control group.", indicator(status.Leads))
-		gauge("carawaystile_control_voter", "1 if this instance votes in the control group; 0 during a repair.", indicator(status.Voter))
+		gauge("carawaystile_control_claims", "Claims that the control state keeps.", float64(status.ClaimCount))
+		gauge("carawaystile_control_leader", "1 if this instance leads the control group.", indicator(status.IsLeader))
+		gauge("carawaystile_control_voter", "1 if this instance votes in the control group; 0 during a repair.", indicator(status.IsVoter))
 	}
 }
 
--- a/node/control.go
+++ b/node/control.go
@@ -47,21 +47,21 @@
 	n.folder = folder
 	self := s.Advertise.Instances.String()
 	options := server.Options{
-		Self:          server.Instance{Name: tables.InstanceID(self), Address: self},
-		JoinOnly:      true,
-		Open:          true,
-		Voters:        2*s.Tolerate + 1,
-		Dialer:        n.dialer,
-		Disk:          server.FolderDisk{Folder: folder},
-		Log:           n.log,
-		SnapshotBytes: snapshotBytes,
+		Self:               server.Instance{Name: tables.InstanceID(self), Address: self},
+		JoinOnly:           true,
+		AcceptUnknownPeers: true,
+		MaxVoters:          2*s.Tolerate + 1,
+		Dialer:             n.dialer,
+		LogStore:           server.FolderLogStore{Folder: folder},
+		Log:                n.log,
+		SnapshotBytes:      snapshotBytes,
 	}
 	for _, seed := range n.seedInstances() {
 		if seed == s.Advertise.Instances {
 			options.JoinOnly = !s.New
 			continue
 		}
-		options.Others = append(options.Others, server.Instance{Name: tables.InstanceID(seed.String()), Address: seed.String()})
+		options.Peers = append(options.Peers, server.Instance{Name: tables.InstanceID(seed.String()), Address: seed.String()})
 	}
 	if n.replica, err = server.Start(options); err != nil {
 		return trace.Wrap(err)
@@ -70,7 +70,7 @@
 	n.runner = rollout.NewController(rollout.Options{
 		Engines:           n.options.Platform.Engines,
 		Executor:          n.replica,
-		IsLeader:          func() bool { return n.replica.Status().Leads },
+		IsLeader:          func() bool { return n.replica.Status().IsLeader },
 		Fleet:             n.fleet,
 		TargetVersions:    func() map[string]uint64 { return n.deployment.Wanted() },
 		Instance:          s.Instance,
@@ -144,7 +144,7 @@
 }
 
 func (n *Node) readsList() bool {
-	if n.replica.Status().Leads {
+	if n.replica.Status().IsLeader {
 		return true
 	}
 	heard := n.followed.Load()
@@ -171,8 +171,8 @@
 // leaderSource is the leader, unless that is this instance.
 func (n *Node) leaderSource() []deployment.Source {
 	status := n.replica.Status()
-	if status.Leads || status.Leader == "" {
+	if status.IsLeader || status.LeaderAddress == "" {
 		return nil
 	}
-	return []deployment.Source{n.sources.source(status.Leader, n.client)}
+	return []deployment.Source{n.sources.source(status.LeaderAddress, n.client)}
 }
--- a/node/measure.go
+++ b/node/measure.go
@@ -17,8 +17,8 @@
 	listed := n.registry.Gauge("carawaystile_list_age_seconds", "Time since this instance last read the platform's list, or heard it from the leader.")
 	n.registry.BeforeWrite(func() {
 		status := n.replica.Status()
-		leads.Update(flag(status.Leads))
-		voter.Update(flag(status.Voter))
+		leads.Update(flag(status.IsLeader))
+		voter.Update(flag(status.IsVoter))
 		lag.Update(lagSeconds(status.Lag))
 		orders.Update(flag(n.runner.HoldsLease()))
 		latest := max(n.listRead.Load(), n.followed.Load())
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -236,7 +236,7 @@
 
 	lost := 0
 	for i, n := range w.controls {
-		if n.replica.Status().Leads {
+		if n.replica.Status().IsLeader {
 			lost = i
 		}
 	}
@@ -263,7 +263,7 @@
 	w.controls[1] = w.start(&again)
 	w.put(0, deployment.ConfigurationName, 5, "/bcd/")
 	deadline := time.Now().Add(30 * time.Second)
-	for !w.controls[1].replica.Status().Voter {
+	for !w.controls[1].replica.Status().IsVoter {
 		assert.Assert(t, time.Now().Before(deadline), "it does not vote")
 		time.Sleep(10 * time.Millisecond)
 	}
