--- a/control/deployment/client.go
+++ b/control/deployment/client.go
@@ -37,7 +37,7 @@
 	// called before Document is with the newest of them.
 	Weights func(*rpc.WeightsNamed)
 	// Fleet takes the endpoints whenever they have changed.
-	Fleet func(*fleet.Copy)
+	Fleet func(*fleet.Replica)
 	// Answered is told of each answer; nil for nobody.
 	Answered func(from Source, answer *rpc.FollowAnswer)
 	// Now is a monotonic clock; nil for that of the process.
@@ -49,7 +49,7 @@
 type Client struct {
 	options ClientOptions
 	have    map[string]uint64
-	fleet   *fleet.Copy
+	fleet   *fleet.Replica
 	// fleetFrom is the source that the endpoints are from.
 	fleetFrom string
 	choice    choice
@@ -66,7 +66,7 @@
 		options.Now = func() time.Duration { return time.Since(started) }
 	}
 	return &Client{
-		options: options, have: map[string]uint64{}, lost: map[string]bool{}, fleet: fleet.NewCopy(),
+		options: options, have: map[string]uint64{}, lost: map[string]bool{}, fleet: fleet.NewReplica(),
 		choice: choice{failed: map[string]time.Duration{}},
 	}
 }
@@ -112,7 +112,7 @@
 	defer cancel()
 	if c.fleetFrom != source.Name {
 		c.fleetFrom = source.Name
-		c.fleet.Restart()
+		c.fleet.RequestFullUpdate()
 	}
 	request := &rpc.FollowRequest{
 		Instance:  c.options.Instance,
@@ -174,7 +174,7 @@
 		c.options.Document(document)
 	}
 	if answer.GetFleet() != nil {
-		if err := c.fleet.Take(answer.GetFleet()); err != nil {
+		if err := c.fleet.Apply(answer.GetFleet()); err != nil {
 			events.EndpointUnreadable.Log(c.options.Log, zap.String("source", source.Name), zap.Error(err))
 		}
 		c.options.Fleet(c.fleet)
--- a/control/deployment/client_test.go
+++ b/control/deployment/client_test.go
@@ -68,7 +68,7 @@
 			return all
 		},
 		Document: func(d *rpc.Document) { *taken = append(*taken, d.GetNumber()) },
-		Fleet:    func(*fleet.Copy) {},
+		Fleet:    func(*fleet.Replica) {},
 		Log:      zap.NewNop(),
 	}), taken
 }
@@ -119,15 +119,15 @@
 // out for good.
 func TestAChangeOfSourceAsksForAllEndpoints(t *testing.T) {
 	table := fleet.NewTable(9)
-	table.List([]fleet.Endpoint{{ID: "e", Address: netip.MustParseAddrPort("127.0.0.1:1"), Weights: map[string]uint64{}}})
+	table.ApplyList([]fleet.Endpoint{{ID: "e", Address: netip.MustParseAddrPort("127.0.0.1:1"), Weights: map[string]uint64{}}})
 	serve := func(request *rpc.FollowRequest) (*rpc.FollowAnswer, error) {
-		told, _ := table.Since(request.GetFleetSource(), request.GetFleetVersion())
+		told, _ := table.UpdateSince(request.GetFleetSource(), request.GetFleetVersion())
 		return &rpc.FollowAnswer{Fleet: told}, nil
 	}
 	failing := &scriptedSource{answer: func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &gone{} }}
 	c, _ := follower(failing, &scriptedSource{answer: serve})
 	var known map[tables.EndpointID]fleet.Endpoint
-	c.options.Fleet = func(copied *fleet.Copy) { known = copied.Endpoints() }
+	c.options.Fleet = func(copied *fleet.Replica) { known = copied.Endpoints() }
 	c.step(t.Context())
 	c.step(t.Context())
 	assert.Equal(t, len(known), 1)
--- a/control/deployment/service.go
+++ b/control/deployment/service.go
@@ -224,7 +224,7 @@
 // news looks up what the caller does not have.
 func (s *Service) news(request *rpc.FollowRequest) news {
 	changed := s.replica.Changed()
-	update, listed := s.fleet.Since(request.GetFleetSource(), request.GetFleetVersion())
+	update, listed := s.fleet.UpdateSince(request.GetFleetSource(), request.GetFleetVersion())
 	status := s.replica.Status()
 	answer := &rpc.FollowAnswer{
 		Fleet: update,
--- a/control/deployment/service_test.go
+++ b/control/deployment/service_test.go
@@ -76,21 +76,21 @@
 	for i := range gatherFrom {
 		listed = append(listed, fleet.Endpoint{ID: tables.EndpointID(fmt.Sprint("e", i)), Weights: map[string]uint64{}})
 	}
-	table.List(listed)
+	table.ApplyList(listed)
 	_, version := position(table)
 	waits := 0
 	s := NewService(Options{Fleet: table, After: func(time.Duration) <-chan time.Time {
 		waits++
-		table.Weights("e2", "m", 2)
+		table.RecordWeights("e2", "m", 2)
 		passed := make(chan time.Time)
 		close(passed)
 		return passed
 	}})
 	look := func() news {
-		told, listed := table.Since(1, version)
+		told, listed := table.UpdateSince(1, version)
 		return news{answer: &rpc.FollowAnswer{Fleet: told}, listed: listed}
 	}
-	table.Weights("e1", "m", 2)
+	table.RecordWeights("e1", "m", 2)
 	answer, _ := s.awaitNews(t.Context(), nil, look)
 	assert.Equal(t, waits, 1)
 	assert.Equal(t, len(answer.GetFleet().GetEndpoints()), 2)
@@ -114,6 +114,6 @@
 }
 
 func position(table *fleet.Table) (source, version uint64) {
-	told, _ := table.Since(0, 0)
+	told, _ := table.UpdateSince(0, 0)
 	return told.GetSource(), told.GetVersion()
 }
--- a/control/rollout/bench_test.go
+++ b/control/rollout/bench_test.go
@@ -19,7 +19,7 @@
 			for i := range engines {
 				all = append(all, fleet.Endpoint{
 					ID: tables.EndpointID(fmt.Sprintf("i-%08x", uint32(i)*2654435761)), Zone: tables.Zone([]string{"a", "b", "c"}[i%3]),
-					Born: 1, Weights: map[string]uint64{"m": 2},
+					StartUnixMilli: 1, Weights: map[string]uint64{"m": 2},
 				})
 			}
 			p.UpdateEndpoints(all)
--- a/control/rollout/controller.go
+++ b/control/rollout/controller.go
@@ -151,7 +151,7 @@
 		if held {
 			r.delayAnnouncedEngines()
 		} else {
-			r.options.Fleet.NoOrders()
+			r.options.Fleet.ClearLoading()
 		}
 	}
 	if left < minLeaseLeft {
@@ -168,7 +168,7 @@
 		r.start(ctx, action)
 	}
 	for _, id := range r.planner.Cordoned() {
-		r.options.Fleet.Loading(id, true)
+		r.options.Fleet.SetLoading(id, true)
 	}
 }
 
@@ -225,7 +225,7 @@
 		Model: action.Model, Version: action.Version, Strategy: r.options.Strategy,
 		Holder: string(r.options.Instance), Fence: fence, Sequence: action.Sequence,
 	}
-	r.options.Fleet.Loading(action.Endpoint.ID, true)
+	r.options.Fleet.SetLoading(action.Endpoint.ID, true)
 	events.RolloutOrdered.Log(r.options.Log, zap.String("endpoint", string(action.Endpoint.ID)),
 		zap.String("model", order.Model), zap.Uint64("weights", order.Version),
 		zap.Uint64("fence", uint64(fence)), zap.Uint64("sequence", order.Sequence))
@@ -246,12 +246,12 @@
 		}
 		done := planner.HandleReport(now, id, &report)
 		for model, version := range report.Weights {
-			r.options.Fleet.Weights(id, model, version)
+			r.options.Fleet.RecordWeights(id, model, version)
 		}
 		if done {
 			events.RolloutDone.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Any("weights", report.Weights))
 		}
-		r.options.Fleet.Loading(id, planner.Updating(id))
+		r.options.Fleet.SetLoading(id, planner.Updating(id))
 	})
 }
 
@@ -290,7 +290,7 @@
 		case result == 0:
 			events.RolloutUnanswered.Log(r.options.Log, zap.String("endpoint", string(id)), zap.Error(err))
 		}
-		r.options.Fleet.Loading(id, planner.Updating(id))
+		r.options.Fleet.SetLoading(id, planner.Updating(id))
 	})
 }
 
--- a/control/rollout/controller_test.go
+++ b/control/rollout/controller_test.go
@@ -89,7 +89,7 @@
 	engine.now = func() tables.Instant { return time.Since(started) }
 	engine.report.Weights = map[string]uint64{"m": 1}
 	table := fleet.NewTable(1)
-	table.List([]fleet.Endpoint{{ID: "e", Zone: "z", Born: 1, Weights: map[string]uint64{"m": 1}}})
+	table.ApplyList([]fleet.Endpoint{{ID: "e", Zone: "z", StartUnixMilli: 1, Weights: map[string]uint64{"m": 1}}})
 	r := NewController(Options{
 		Engines: engine, Executor: group, IsLeader: func() bool { return true }, Fleet: table,
 		TargetVersions: func() map[string]uint64 { return map[string]uint64{"m": 2} },
--- a/control/rollout/planner.go
+++ b/control/rollout/planner.go
@@ -167,7 +167,7 @@
 		}
 		present[e.ID] = true
 		known := p.engineStates[e.ID]
-		if known == nil || known.Born != e.Born && e.Born != 0 {
+		if known == nil || known.StartUnixMilli != e.StartUnixMilli && e.StartUnixMilli != 0 {
 			p.engineStates[e.ID] = &engineState{Endpoint: e.Clone()}
 			continue
 		}
--- a/control/rollout/planner_test.go
+++ b/control/rollout/planner_test.go
@@ -40,7 +40,7 @@
 		id := tables.EndpointID(fmt.Sprintf("e%02d", i))
 		s.engines[id] = &simulatedEngine{version: 1}
 		all = append(all, fleet.Endpoint{
-			ID: id, Zone: tables.Zone([]string{"a", "b", "c"}[i%3]), Born: 1, Weights: map[string]uint64{"m": 1},
+			ID: id, Zone: tables.Zone([]string{"a", "b", "c"}[i%3]), StartUnixMilli: 1, Weights: map[string]uint64{"m": 1},
 		})
 	}
 	s.planner.UpdateEndpoints(all)
@@ -171,7 +171,7 @@
 	s.planner.SetTarget("m", 2)
 	s.runUntilVersion(t, 2)
 	s.engines["e00"] = &simulatedEngine{version: 2}
-	s.planner.UpdateEndpoints([]fleet.Endpoint{{ID: "e00", Zone: "a", Born: 2, Weights: map[string]uint64{"m": 2}}})
+	s.planner.UpdateEndpoints([]fleet.Endpoint{{ID: "e00", Zone: "a", StartUnixMilli: 2, Weights: map[string]uint64{"m": 2}}})
 	s.planner.SetTarget("m", 3)
 	s.runUntilVersion(t, 3)
 }
--- a/control/stale_source_test.go
+++ b/control/stale_source_test.go
@@ -141,7 +141,7 @@
 	client := deployment.NewClient(deployment.ClientOptions{
 		Sources:  func() []deployment.Source { return sources },
 		Document: func(d *rpc.Document) { told <- d.GetNumber() },
-		Fleet:    func(*fleet.Copy) {},
+		Fleet:    func(*fleet.Replica) {},
 		Log:      zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(g.t.Context())
--- a/dispatch/absence_test.go
+++ b/dispatch/absence_test.go
@@ -178,6 +178,6 @@
 	change(func(e *fleet.Endpoint) { e.Loading = true })
 	change(func(e *fleet.Endpoint) { e.Loading = false })
 	expectProbe()
-	change(func(e *fleet.Endpoint) { e.Born++ })
+	change(func(e *fleet.Endpoint) { e.StartUnixMilli++ })
 	expectProbe()
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -29,7 +29,7 @@
 	for i := range engines {
 		id := tables.EndpointID(fmt.Sprintf("e%d", i))
 		all[id] = fleet.Endpoint{
-			ID: id, Service: "models", Zone: tables.Zone([]string{"a", "b"}[i%2]), Slots: 8, Born: 1,
+			ID: id, Service: "models", Zone: tables.Zone([]string{"a", "b"}[i%2]), Slots: 8, StartUnixMilli: 1,
 			Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+i)),
 			Weights: map[string]uint64{"m": 1},
 		}
@@ -234,7 +234,7 @@
 	a := mustPlace(t, d, time.Second, newTestRequest(7))
 	d.RecordResponseStart(time.Second, a)
 	restarted := all["e0"]
-	restarted.Born = 2
+	restarted.StartUnixMilli = 2
 	all["e0"] = restarted
 	d.SetEndpoints(all)
 	d.RecordOutcome(2*time.Second, a, Broken) // an attempt at the previous process
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -121,12 +121,12 @@
 // upsert inserts or updates an endpoint, and reports whether that made a new row.
 func (d *Dispatcher) upsert(id tables.EndpointID, e fleet.Endpoint) bool {
 	known := d.endpoints[id]
-	if known == nil || known.Born != e.Born || known.Address != e.Address || known.Service != e.Service {
+	if known == nil || known.StartUnixMilli != e.StartUnixMilli || known.Address != e.Address || known.Service != e.Service {
 		if known != nil {
 			known.removed = true
 		}
 		d.endpoints[id] = &endpointRow{
-			Endpoint: e, listed: e, isStore: e.Store, hash: xxhash.Sum64String(string(id)), serviceTime: defaultServiceTime,
+			Endpoint: e, listed: e, isStore: e.IsKVStore, hash: xxhash.Sum64String(string(id)), serviceTime: defaultServiceTime,
 			averages: d.averagesOf(e.Service), prefillRate: d.averagesOf(e.Service).prefillRate(),
 			availability: availability{halfOpen: d.populated},
 		}
--- a/dispatch/links_test.go
+++ b/dispatch/links_test.go
@@ -60,7 +60,7 @@
 func TestCopyToAStoreOccupiesTheLink(t *testing.T) {
 	d, all := newTestDispatcher(1)
 	store := all["e0"]
-	store.ID, store.Store, store.Weights = "s", true, map[string]uint64{}
+	store.ID, store.IsKVStore, store.Weights = "s", true, map[string]uint64{}
 	all["s"] = store
 	d.SetEndpoints(all)
 	a := mustPlace(t, d, time.Second, slowLinkRequest(7))
--- a/dispatch/load_reports_test.go
+++ b/dispatch/load_reports_test.go
@@ -150,7 +150,7 @@
 	for i, zone := range []tables.Zone{"a", "b", "c"} {
 		id := tables.EndpointID("store-" + string(zone))
 		all[id] = fleet.Endpoint{
-			ID: id, Service: string(id), Zone: zone, Store: true, Weights: map[string]uint64{},
+			ID: id, Service: string(id), Zone: zone, IsKVStore: true, Weights: map[string]uint64{},
 			Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(2000+i)),
 		}
 	}
--- a/dispatch/rate_limits_test.go
+++ b/dispatch/rate_limits_test.go
@@ -116,7 +116,7 @@
 	now := time.Second
 	d.RecordRateLimit(now, mustPlace(t, d, now, requestWithoutParts()), perSecond(1))
 	e := all["e0"].Clone()
-	e.Born++
+	e.StartUnixMilli++
 	all["e0"] = e
 	d.SetEndpoints(all)
 	assert.Equal(t, d.RateLimit(mustPlace(t, d, now, requestWithoutParts()).Endpoint.ID), RateLimit{})
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -15,15 +15,15 @@
 		for i := range endpoints {
 			all = append(all, engine(fmt.Sprintf("i-%08x", uint32(i)*2654435761), 1))
 		}
-		table.List(all)
+		table.ApplyList(all)
 		weights := uint64(1)
 		b.Run(fmt.Sprintf("change/endpoints=%d", endpoints), func(b *testing.B) {
 			for i := range b.N {
 				_, before := position(table)
 				weights++
-				table.Weights(all[i%endpoints].ID, "m", weights)
+				table.RecordWeights(all[i%endpoints].ID, "m", weights)
 				for range followers {
-					update, _ := table.Since(1, before)
+					update, _ := table.UpdateSince(1, before)
 					if len(update.GetEndpoints()) != 1 {
 						b.Fatal(len(update.GetEndpoints()))
 					}
@@ -33,7 +33,7 @@
 		b.Run(fmt.Sprintf("all/endpoints=%d", endpoints), func(b *testing.B) {
 			for range b.N {
 				for range followers {
-					update, _ := table.Since(0, 0)
+					update, _ := table.UpdateSince(0, 0)
 					if len(update.GetEndpoints()) != endpoints {
 						b.Fatal(len(update.GetEndpoints()))
 					}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -28,13 +28,13 @@
 	Loading bool
 	// Weights is the version of each model, as last heard.
 	Weights map[string]uint64
-	// Born is when the process started, in Unix milliseconds by its own clock.
+	// StartUnixMilli is when the process started, in Unix milliseconds by its own clock.
 	// An endpoint may start again under its identity, and has forgotten
 	// everything then.
-	Born int64
-	// Store is set for a store of cached prompts, which is not on the list: it
+	StartUnixMilli int64
+	// IsKVStore is set for a store of cached prompts, which is not on the list: it
 	// is there while it takes connections.
-	Store bool
+	IsKVStore bool
 }
 
 // Clone returns a copy that shares nothing.
@@ -46,7 +46,7 @@
 // Equal says whether nothing of an endpoint has changed.
 func (e *Endpoint) Equal(other *Endpoint) bool {
 	return e.ID == other.ID && e.Service == other.Service && e.Address == other.Address && e.Zone == other.Zone &&
-		e.Slots == other.Slots && e.Draining == other.Draining && e.Loading == other.Loading && e.Born == other.Born && e.Store == other.Store &&
+		e.Slots == other.Slots && e.Draining == other.Draining && e.Loading == other.Loading && e.StartUnixMilli == other.StartUnixMilli && e.IsKVStore == other.IsKVStore &&
 		maps.Equal(e.Weights, other.Weights)
 }
 
@@ -59,8 +59,8 @@
 		Slots:    uint32(e.Slots),
 		Draining: e.Draining,
 		Loading:  e.Loading,
-		Born:     e.Born,
-		Store:    e.Store,
+		Born:     e.StartUnixMilli,
+		Store:    e.IsKVStore,
 	}
 	for _, model := range slices.Sorted(maps.Keys(e.Weights)) {
 		out.Weights = append(out.Weights, &rpc.ModelWeights{Model: model, Version: e.Weights[model]})
@@ -72,19 +72,19 @@
 func decode(in *rpc.FleetEndpoint) (Endpoint, error) {
 	address, err := netip.ParseAddrPort(in.GetAddress())
 	if err != nil {
-		return Endpoint{}, &BadEndpoint{ID: in.GetId(), Cause: err}
+		return Endpoint{}, &DecodeError{ID: in.GetId(), Cause: err}
 	}
 	e := Endpoint{
-		ID:       tables.EndpointID(in.GetId()),
-		Service:  in.GetService(),
-		Address:  address,
-		Zone:     tables.Zone(in.GetZone()),
-		Slots:    int(in.GetSlots()),
-		Draining: in.GetDraining(),
-		Loading:  in.GetLoading(),
-		Born:     in.GetBorn(),
-		Store:    in.GetStore(),
-		Weights:  map[string]uint64{},
+		ID:             tables.EndpointID(in.GetId()),
+		Service:        in.GetService(),
+		Address:        address,
+		Zone:           tables.Zone(in.GetZone()),
+		Slots:          int(in.GetSlots()),
+		Draining:       in.GetDraining(),
+		Loading:        in.GetLoading(),
+		StartUnixMilli: in.GetBorn(),
+		IsKVStore:      in.GetStore(),
+		Weights:        map[string]uint64{},
 	}
 	for _, weights := range in.GetWeights() {
 		e.Weights[weights.GetModel()] = weights.GetVersion()
@@ -92,17 +92,17 @@
 	return e, nil
 }
 
-// BadEndpoint means that another instance told of an endpoint that cannot be
+// DecodeError means that another instance told of an endpoint that cannot be
 // read.
-type BadEndpoint struct {
+type DecodeError struct {
 	ID    string
 	Cause error
 }
 
 // Error names the endpoint.
-func (e *BadEndpoint) Error() string {
+func (e *DecodeError) Error() string {
 	return "endpoint " + e.ID + " cannot be read: " + e.Cause.Error()
 }
 
 // Unwrap gives the cause.
-func (e *BadEndpoint) Unwrap() error { return e.Cause }
+func (e *DecodeError) Unwrap() error { return e.Cause }
--- a/fleet/copy.go
+++ b/fleet/replica.go
@@ -8,28 +8,28 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Copy is an instance's copy of a Table. It is not safe for concurrent use.
-type Copy struct {
+// Replica is an instance's copy of a Table. It is not safe for concurrent use.
+type Replica struct {
 	source, version uint64
 	rows            map[tables.EndpointID]Endpoint
 }
 
-// NewCopy returns a copy that has nothing yet.
-func NewCopy() *Copy { return &Copy{rows: map[tables.EndpointID]Endpoint{}} }
+// NewReplica returns a copy that has nothing yet.
+func NewReplica() *Replica { return &Replica{rows: map[tables.EndpointID]Endpoint{}} }
 
 // Position is what the source needs to know to send the next difference.
-func (c *Copy) Position() (source, version uint64) { return c.source, c.version }
+func (c *Replica) Position() (source, version uint64) { return c.source, c.version }
 
-// Restart asks the next source for all endpoints.
-func (c *Copy) Restart() { c.source = 0 }
+// RequestFullUpdate asks the next source for all endpoints.
+func (c *Replica) RequestFullUpdate() { c.source = 0 }
 
-// Take brings the copy up to date. Endpoints that cannot be read are left out
+// Apply brings the copy up to date. Endpoints that cannot be read are left out
 // and reported; the others hold.
 //
 // A full answer may come from another control instance whose list is older.
 // What was known of an endpoint's draining and weights stays, so that a change
 // of source sends no work to an endpoint that is already known to leave.
-func (c *Copy) Take(update *rpc.Fleet) error {
+func (c *Replica) Apply(update *rpc.Fleet) error {
 	if update == nil {
 		return nil
 	}
@@ -44,7 +44,7 @@
 			bad = append(bad, err)
 			continue
 		}
-		if before, ok := known[e.ID]; ok && before.Born == e.Born {
+		if before, ok := known[e.ID]; ok && before.StartUnixMilli == e.StartUnixMilli {
 			e.Draining = e.Draining || before.Draining
 			for model, version := range before.Weights {
 				e.Weights[model] = max(e.Weights[model], version)
@@ -61,4 +61,4 @@
 
 // Endpoints returns the endpoints; the caller may keep the map but not change
 // the endpoints' weights.
-func (c *Copy) Endpoints() map[tables.EndpointID]Endpoint { return maps.Clone(c.rows) }
+func (c *Replica) Endpoints() map[tables.EndpointID]Endpoint { return maps.Clone(c.rows) }
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// List takes over what the platform's list says, which lags behind. An endpoint
+// ApplyList takes over what the platform's list says, which lags behind. An endpoint
 // that was seen to drain stays so for its life, and weights only grow: an older
 // page of the list must not bring back what is over.
-func (t *Table) List(listed []Endpoint) {
+func (t *Table) ApplyList(listed []Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := t.fill()
@@ -93,7 +93,7 @@
 func (t *Table) merged(listed Endpoint) Endpoint {
 	e := listed.Clone()
 	known := t.rows[e.ID]
-	if known == nil || known.Born != e.Born && e.Born != 0 {
+	if known == nil || known.StartUnixMilli != e.StartUnixMilli && e.StartUnixMilli != 0 {
 		return e
 	}
 	e.Draining = e.Draining || known.Draining
@@ -104,13 +104,13 @@
 	return e
 }
 
-// Weights notes which version of a model an endpoint has said it serves.
-func (t *Table) Weights(id tables.EndpointID, model string, version uint64) {
+// RecordWeights notes which version of a model an endpoint has said it serves.
+func (t *Table) RecordWeights(id tables.EndpointID, model string, version uint64) {
 	t.change(id, func(e *Endpoint) { e.Weights[model] = max(e.Weights[model], version) })
 }
 
-// Loading notes whether an order is being carried out at an endpoint.
-func (t *Table) Loading(id tables.EndpointID, loading bool) {
+// SetLoading notes whether an order is being carried out at an endpoint.
+func (t *Table) SetLoading(id tables.EndpointID, loading bool) {
 	t.change(id, func(e *Endpoint) { e.Loading = loading })
 }
 
@@ -134,8 +134,8 @@
 	t.announce(changed)
 }
 
-// NoOrders notes that nobody is known to give orders now.
-func (t *Table) NoOrders() {
+// ClearLoading notes that nobody is known to give orders now.
+func (t *Table) ClearLoading() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
@@ -237,11 +237,11 @@
 	return all
 }
 
-// Since returns what brings a copy at the given version of the given source up to date, nil
+// UpdateSince returns what brings a copy at the given version of the given source up to date, nil
 // if it is, and a channel that is closed at the next change. Callers share the update and must
 // not change it. A table that was not filled yet returns none: a copy that took it over would
 // lose all endpoints.
-func (t *Table) Since(source, version uint64) (*rpc.Fleet, <-chan struct{}) {
+func (t *Table) UpdateSince(source, version uint64) (*rpc.Fleet, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.filled {
--- a/node/caches.go
+++ b/node/caches.go
@@ -102,14 +102,14 @@
 	var mine tables.Configuration
 	remote := c.node.now() > remoteCache
 	for id, e := range c.node.entry.Endpoints() {
-		if len(e.Weights) == 0 && !e.Store {
+		if len(e.Weights) == 0 && !e.IsKVStore {
 			continue // a plain service
 		}
 		if e.Zone != own.Zone && (!remote || readers.in(e.Zone)) {
 			continue
 		}
 		if readers.of(id, e.Zone) == own.Instance {
-			mine.Endpoints = append(mine.Endpoints, tables.Endpoint{ID: id, Address: e.Address, Life: uint64(e.Born), Kind: tables.Engine})
+			mine.Endpoints = append(mine.Endpoints, tables.Endpoint{ID: id, Address: e.Address, Life: uint64(e.StartUnixMilli), Kind: tables.Engine})
 		}
 	}
 	c.readers.Configure(&mine)
--- a/node/control.go
+++ b/node/control.go
@@ -119,7 +119,7 @@
 		if n.readsList() {
 			endpoints, err := list.Endpoints(ctx)
 			if err == nil {
-				n.fleet.List(append(endpoints, n.stores.reachable()...))
+				n.fleet.ApplyList(append(endpoints, n.stores.reachable()...))
 				n.listRead.Store(int64(n.now()))
 			}
 			n.noteList(ctx, unread, err)
@@ -157,7 +157,7 @@
 		Instance: string(n.options.Settings.Instance),
 		Sources:  n.leaderSource,
 		Document: func(*rpc.Document) {}, // the replica has them
-		Fleet:    func(c *fleet.Copy) { n.fleet.Mirror(c.Endpoints()) },
+		Fleet:    func(c *fleet.Replica) { n.fleet.Mirror(c.Endpoints()) },
 		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.followed.Store(int64(n.now()))
--- a/node/entry.go
+++ b/node/entry.go
@@ -61,7 +61,7 @@
 		Weights: func(named *rpc.WeightsNamed) {
 			n.entry.WeightsNamed(named.GetModel(), named.GetVersion(), time.Duration(named.GetAgeNanos()))
 		},
-		Fleet: func(c *fleet.Copy) { n.entry.Fleet(c.Endpoints()) },
+		Fleet: func(c *fleet.Replica) { n.entry.Fleet(c.Endpoints()) },
 		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.entry.ControlCurrent(time.Duration(answer.GetLagNanos()))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -54,7 +54,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return []fleet.Endpoint{{
-		ID: "e", Service: "models", Address: p.at, Zone: "z", Slots: 4, Born: 1, Draining: p.draining,
+		ID: "e", Service: "models", Address: p.at, Zone: "z", Slots: 4, StartUnixMilli: 1, Draining: p.draining,
 		Weights: map[string]uint64{"m": p.version},
 	}}, nil
 }
--- a/node/store.go
+++ b/node/store.go
@@ -109,6 +109,6 @@
 	_ = conn.Close()
 	return []fleet.Endpoint{{
 		ID: tables.EndpointID(store.Name + "@" + store.Store.String()), Service: store.Name,
-		Address: store.Store, Zone: store.StoreZone, Weights: map[string]uint64{}, Store: true,
+		Address: store.Store, Zone: store.StoreZone, Weights: map[string]uint64{}, IsKVStore: true,
 	}}
 }
