--- a/cli/validate.go
+++ b/cli/validate.go
@@ -117,7 +117,7 @@
 		return "", &settings.Invalid{Problems: []settings.Problem{{File: path, Wrong: err.Error(), Right: "a document that an operator can send"}}}
 	}
 	return fmt.Sprintf("number %d with %d routes, %d services, %d organisations",
-		table.Number, len(table.Routes), len(table.Services), len(table.Organisations)), nil
+		table.Revision, len(table.Routes), len(table.Services), len(table.Organisations)), nil
 }
 
 func checkDeclarations(path string) (string, error) {
--- a/dispatch/demand_test.go
+++ b/dispatch/demand_test.go
@@ -19,7 +19,7 @@
 	fresh.SetInstanceCount(9)
 	fresh.ApplyLoadReport(time.Second, "other", LoadReport{Endpoint: home, Running: 1, MemoryTokens: 20_000, PrefillTokens: 20_000})
 	r := newTestRequest(7)
-	r.Route.Target = 600 * time.Millisecond
+	r.Route.TargetLatency = 600 * time.Millisecond
 	assert.Assert(t, mustPlace(t, fresh, time.Second, r).Endpoint.ID != home)
 }
 
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -16,7 +16,7 @@
 	"github.com/carawaystile/carawaystile/weights"
 )
 
-var models = &routes.Service{Name: "models", Slots: 8, CacheTokens: 100_000, Models: []string{"m"}}
+var models = &routes.Service{Name: "models", Slots: 8, KVCapacityTokens: 100_000, Models: []string{"m"}}
 
 // newTestDispatcher returns a dispatcher for the given number of engines, which alternate
 // between two zones.
@@ -222,7 +222,7 @@
 func TestTooLargeRequestIsRejectedAtOnce(t *testing.T) {
 	d, _ := newTestDispatcher(2)
 	r := newTestRequest(7)
-	r.PromptTokens = models.CacheTokens + 1
+	r.PromptTokens = models.KVCapacityTokens + 1
 	_, reason := d.Place(time.Second, r)
 	assert.Equal(t, reason, TooLarge)
 }
--- a/dispatch/lateness_test.go
+++ b/dispatch/lateness_test.go
@@ -20,7 +20,7 @@
 	}{{10_000, true}, {30_000, false}} {
 		d, _ := newTestDispatcher(2)
 		r := newTestRequest(7)
-		r.Route.Target = 600 * time.Millisecond
+		r.Route.TargetLatency = 600 * time.Millisecond
 		first := mustPlace(t, d, time.Second, r)
 		d.RecordResponseStart(2*time.Second, first)
 		d.RecordOutcome(2*time.Second, first, Broken)
@@ -36,7 +36,7 @@
 func TestRequestThatIsLateAnywhereStaysWithItsCachedPrompt(t *testing.T) {
 	d, _ := newTestDispatcher(2)
 	r := newTestRequest(7)
-	r.Route.Target = 600 * time.Millisecond
+	r.Route.TargetLatency = 600 * time.Millisecond
 	first := mustPlace(t, d, time.Second, r)
 	latency := first.ExpectedLatency // as fast as expected, so that the speed estimate does not change
 	d.RecordResponseStart(time.Second+latency, first)
@@ -55,7 +55,7 @@
 // answer that keeps growing with each second.
 func TestLatenessCostIsBounded(t *testing.T) {
 	r := newTestRequest(7)
-	r.Route.Target = 600 * time.Millisecond
+	r.Route.TargetLatency = 600 * time.Millisecond
 	r.ArrivedAt = time.Second
 	late := lateCost * 600
 	assert.Assert(t, r.latenessCost(time.Second, 150) < late/20)
@@ -77,7 +77,7 @@
 		d, all := newTestDispatcher(4)
 		request := func() *Request {
 			r := newTestRequest(7)
-			r.Route = &routes.Route{Target: 400 * time.Millisecond}
+			r.Route = &routes.Route{TargetLatency: 400 * time.Millisecond}
 			r.SharedParts = r.SharedParts[1:]
 			r.SharedParts[0].EndTokens, r.PromptTokens = c.tokens, c.tokens+300
 			r.ArrivedAt = time.Second
--- a/dispatch/links.go
+++ b/dispatch/links.go
@@ -26,8 +26,8 @@
 // milliseconds.
 func (r *Request) transferTime(from, to *endpointRow) float64 {
 	perToken := defaultTransferTime
-	if r.Service.TransferTime > 0 {
-		perToken = milliseconds(r.Service.TransferTime)
+	if r.Service.TransferTimePerToken > 0 {
+		perToken = milliseconds(r.Service.TransferTimePerToken)
 	}
 	if from.Zone != to.Zone {
 		perToken *= crossZoneTransferFactor
--- a/dispatch/links_test.go
+++ b/dispatch/links_test.go
@@ -15,9 +15,9 @@
 func slowLinkRequest(part uint64) *Request {
 	r := newTestRequest(part)
 	service := *models
-	service.TransferTime = 100 * time.Microsecond
+	service.TransferTimePerToken = 100 * time.Microsecond
 	r.Service = &service
-	r.Route = &routes.Route{Target: 600 * time.Millisecond}
+	r.Route = &routes.Route{TargetLatency: 600 * time.Millisecond}
 	return r
 }
 
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -78,7 +78,7 @@
 // If the request cannot be placed now it returns nil and the reason.
 func (d *Dispatcher) Place(now tables.Instant, r *Request) (*Attempt, RejectReason) {
 	rows := d.services[r.Service.Name]
-	if r.Service.CacheTokens > 0 && r.memoryTokens() > r.Service.CacheTokens {
+	if r.Service.KVCapacityTokens > 0 && r.memoryTokens() > r.Service.KVCapacityTokens {
 		return nil, TooLarge
 	}
 	d.decisions++
@@ -174,7 +174,7 @@
 		return false
 	}
 	used := float64(row.memoryTokens+row.reported.memoryTokens) + row.unreportedAttempts(now)*row.averages.memoryTokens + float64(r.memoryTokens())
-	return row.attempts == 0 || used <= maxMemoryFraction*float64(r.Service.CacheTokens)
+	return row.attempts == 0 || used <= maxMemoryFraction*float64(r.Service.KVCapacityTokens)
 }
 
 // evaluate estimates the cost of running the request on an endpoint.
@@ -243,7 +243,7 @@
 // send requests that are late anyway to endpoints where they evict parts that other
 // requests need.
 func (r *Request) latenessCost(now tables.Instant, wait float64) float64 {
-	target := milliseconds(r.Route.Target)
+	target := milliseconds(r.Route.TargetLatency)
 	if target <= 0 {
 		return wait
 	}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -123,7 +123,7 @@
 		Host:    j.r.Host,
 		Header:  header,
 		Body:    j.body,
-		Once:    !j.route.Repeatable(),
+		Once:    !j.route.SafeToRetry(),
 	}
 }
 
--- a/forward/failure.go
+++ b/forward/failure.go
@@ -128,7 +128,7 @@
 		zap.String("last_event", j.lastEvent),
 	}
 	if j.table != nil {
-		fields = append(fields, zap.Uint64("revision", j.table.Number))
+		fields = append(fields, zap.Uint64("revision", j.table.Revision))
 	}
 	if j.route != nil {
 		fields = append(fields, zap.String("route", j.route.Name))
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -162,7 +162,7 @@
 	r.configure(t, configured+1, func(c *routes.Configuration) {
 		for i := range c.Routes {
 			c.Routes[i].MaxAttempts = 1
-			c.Routes[i].TargetGap = 10 * time.Millisecond
+			c.Routes[i].TargetEventGap = 10 * time.Millisecond
 		}
 	})
 	resp := r.ask(t, "POST", "/resume/x", "", "X-Model", "m", "X-Tokens", "100,10")
--- a/forward/job.go
+++ b/forward/job.go
@@ -94,7 +94,7 @@
 	if !j.readBody() {
 		return false
 	}
-	j.service = j.table.ServiceOf(j.route, j.id)
+	j.service = j.table.SelectService(j.route, j.id)
 	j.header = s.headers.ToEndpoint(j.r.Header)
 	j.bound()
 	j.describe()
@@ -130,9 +130,9 @@
 func (j *job) authenticate() bool {
 	scheme, key, _ := strings.Cut(j.r.Header.Get("Authorization"), " ")
 	if strings.EqualFold(scheme, j.server.headers.KeyScheme) {
-		j.org = j.table.Organisation(strings.TrimSpace(key))
+		j.org = j.table.OrganisationByKey(strings.TrimSpace(key))
 	}
-	return j.org != nil || j.route.Public || !j.table.HasOrganisations()
+	return j.org != nil || j.route.Public || !j.table.RequiresKey()
 }
 
 // readBody holds the whole body: an attempt that provably did not run is made
@@ -271,8 +271,8 @@
 func (j *job) now() tables.Instant { return j.server.options.Now() }
 
 func (j *job) target() time.Duration {
-	if j.route.Target > 0 {
-		return j.route.Target
+	if j.route.TargetLatency > 0 {
+		return j.route.TargetLatency
 	}
 	return defaultTarget
 }
--- a/forward/measure.go
+++ b/forward/measure.go
@@ -129,7 +129,7 @@
 		dropped.Update(float64(corrected.Evicted))
 		heard.Update(s.sinceControl().Seconds())
 		if table := s.Configuration(); table != nil {
-			number.Update(float64(table.Number))
+			number.Update(float64(table.Revision))
 		}
 		ready.Update(0)
 		if s.Ready() {
--- a/forward/place.go
+++ b/forward/place.go
@@ -99,7 +99,7 @@
 // reason why not.
 func (j *job) mayTryAgain(how dispatch.Outcome) tables.ErrorCode {
 	_, unrun := j.state.(*outcome.Undispatched)
-	if !unrun && !j.route.Repeatable() {
+	if !unrun && !j.route.SafeToRetry() {
 		return tables.CodeOutcomeUnknown
 	}
 	if how == dispatch.ConnectionRefused || how == dispatch.ConnectTimeout {
--- a/forward/reach.go
+++ b/forward/reach.go
@@ -159,7 +159,7 @@
 	}
 	r.mu.Unlock()
 	for _, t := range moving {
-		if t.job.route.Repeatable() && t.job.hasAttempts() && t.job.canMove() {
+		if t.job.route.SafeToRetry() && t.job.hasAttempts() && t.job.canMove() {
 			t.hung.Store(true)
 			t.cancel()
 		}
--- a/forward/reach_test.go
+++ b/forward/reach_test.go
@@ -45,7 +45,7 @@
 	// No request is taken away for its silence alone.
 	r.configure(t, configured+1, func(c *routes.Configuration) {
 		for i := range c.Routes {
-			c.Routes[i].Target, c.Routes[i].Timeout = time.Hour, time.Hour
+			c.Routes[i].TargetLatency, c.Routes[i].Timeout = time.Hour, time.Hour
 		}
 	})
 	return r, dark, met
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -81,7 +81,7 @@
 // gives one, the caller gets it and not a failure of this instance in its place.
 func (t *try) failedAtEndpoint(got *whole) bool {
 	j := t.job
-	if !j.route.Repeatable() || j.ctx.Err() != nil || j.started {
+	if !j.route.SafeToRetry() || j.ctx.Err() != nil || j.started {
 		return false
 	}
 	if j.mayTryAgain(dispatch.Completed) != 0 {
@@ -136,7 +136,7 @@
 	if !t.job.route.Resumable {
 		return 0
 	}
-	gap := t.job.route.TargetGap
+	gap := t.job.route.TargetEventGap
 	if gap <= 0 {
 		gap = defaultGap
 	}
--- a/forward/scheduled.go
+++ b/forward/scheduled.go
@@ -66,7 +66,7 @@
 // that name.
 func (s *Server) Service(name string) *routes.Service {
 	if table := s.routes.Load(); table != nil {
-		return table.Service(name)
+		return table.ServiceByName(name)
 	}
 	return nil
 }
--- a/forward/server.go
+++ b/forward/server.go
@@ -130,11 +130,11 @@
 func (s *Server) Configure(t *routes.Table) {
 	for {
 		current := s.routes.Load()
-		if current != nil && current.Number >= t.Number {
+		if current != nil && current.Revision >= t.Revision {
 			return
 		}
 		if s.routes.CompareAndSwap(current, t) {
-			events.ConfigurationServed.Log(s.log, zap.Uint64("revision", t.Number))
+			events.ConfigurationServed.Log(s.log, zap.Uint64("revision", t.Revision))
 			s.noteKnown()
 			return
 		}
--- a/forward/standin_test.go
+++ b/forward/standin_test.go
@@ -158,7 +158,7 @@
 	route := func(prefix string, kind routes.Kind, service string) routes.Route {
 		return routes.Route{
 			Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, Timeout: 5 * time.Second,
-			Target: 500 * time.Millisecond, MaxAttempts: 2, Splits: []routes.Split{{Service: service, Weight: 1}},
+			TargetLatency: 500 * time.Millisecond, MaxAttempts: 2, TrafficSplit: []routes.WeightedService{{Service: service, Weight: 1}},
 		}
 	}
 	resumable := route("/resume/", routes.Stream, "models")
@@ -166,18 +166,18 @@
 	public := route("/public/", routes.Idempotent, "desk")
 	public.Public = true
 	c := routes.Configuration{
-		Number: number,
+		Revision: number,
 		Routes: []routes.Route{
-			route("/once/", routes.Once, "desk"), route("/read/", routes.Idempotent, "desk"),
+			route("/once/", routes.AtMostOnce, "desk"), route("/read/", routes.Idempotent, "desk"),
 			route("/stream/", routes.Stream, "models"), resumable, public,
 		},
 		Services: []routes.Service{
-			{Name: "desk"}, {Name: "models", Slots: 8, CacheTokens: 100_000, Models: []string{"m"}},
+			{Name: "desk"}, {Name: "models", Slots: 8, KVCapacityTokens: 100_000, Models: []string{"m"}},
 		},
 		Organisations: []routes.Organisation{
 			{ID: "org", Keys: []string{"key"}}, {ID: "walled", Keys: []string{"secret"}, Isolated: true},
 		},
-		Limits: routes.Limits{BodyBytes: 1000},
+		Limits: routes.ClientLimits{BodyBytes: 1000},
 	}
 	if change != nil {
 		change(&c)
--- a/forward/usage.go
+++ b/forward/usage.go
@@ -36,7 +36,7 @@
 // within it. It answers the caller if it is not.
 func (j *job) admitUsage() bool {
 	limiter := j.server.options.Usage
-	if limiter == nil || j.org == nil || !j.org.Usage.Limited() {
+	if limiter == nil || j.org == nil || !j.org.UsageLimit.Limited() {
 		return true
 	}
 	limit := UsageLimit(j.org, j.server.options.UsageTolerance)
@@ -53,17 +53,17 @@
 
 // UsageLimit is what is enforced of an organisation's limit.
 func UsageLimit(o *routes.Organisation, t usage.Tolerance) usage.Limit {
-	return t.Relax(usage.Limit{Rate: o.Usage.Rate, Burst: o.Usage.Burst})
+	return t.Relax(usage.Limit{Rate: o.UsageLimit.Rate, Burst: o.UsageLimit.Burst})
 }
 
 // usageCost is what the request costs in the unit of its organisation's limit.
 func (j *job) usageCost() int64 {
-	if j.org.Usage.Unit == routes.UsageInRequests {
+	if j.org.UsageLimit.Unit == routes.UsageInRequests {
 		return 1
 	}
 	tokens, named := j.usageTokens()
 	if !named {
-		return j.org.Usage.PlainTokens
+		return j.org.UsageLimit.DefaultTokens
 	}
 	return tokens
 }
--- a/forward/usage_test.go
+++ b/forward/usage_test.go
@@ -61,7 +61,7 @@
 	l := &ledger{left: left}
 	r.server.options.Usage = l
 	r.configure(t, configured+1, func(c *routes.Configuration) {
-		c.Organisations[0].Usage = routes.RateLimit{Rate: 1000, Burst: 1000, Unit: routes.UsageInTokens, PlainTokens: 200}
+		c.Organisations[0].UsageLimit = routes.RateLimit{Rate: 1000, Burst: 1000, Unit: routes.UsageInTokens, DefaultTokens: 200}
 	})
 	return l
 }
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -28,7 +28,7 @@
 // firstWait is how long the endpoint may say nothing; zero means any time. Only
 // repeatable requests are taken away: of others nobody knows whether they run.
 func (t *try) firstWait() time.Duration {
-	if !t.job.route.Repeatable() {
+	if !t.job.route.SafeToRetry() {
 		return 0
 	}
 	return max(minHang, t.job.target()/hangTargets, hangFactor*t.chosen.ExpectedLatency)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -81,12 +81,12 @@
 // tests need no format of documents.
 func configuration(document []byte) (*routes.Table, error) {
 	return routes.NewTable(routes.Configuration{
-		Number: uint64(len(document)),
+		Revision: uint64(len(document)),
 		Routes: []routes.Route{{
 			Name: "r", Host: "h.example", Prefix: string(document), Kind: routes.Idempotent, Timeout: 5 * time.Second,
-			MaxAttempts: 1, Splits: []routes.Split{{Service: "models", Weight: 1}},
+			MaxAttempts: 1, TrafficSplit: []routes.WeightedService{{Service: "models", Weight: 1}},
 		}},
-		Services: []routes.Service{{Name: "models", Slots: 4, CacheTokens: 10_000, Models: []string{"m"}}},
+		Services: []routes.Service{{Name: "models", Slots: 4, KVCapacityTokens: 10_000, Models: []string{"m"}}},
 	})
 }
 
--- a/node/store.go
+++ b/node/store.go
@@ -62,7 +62,7 @@
 			n.stores.set(nil)
 			continue
 		}
-		n.stores.set(lookAtAll(ctx, n.dial, table.Stores()))
+		n.stores.set(lookAtAll(ctx, n.dial, table.KVStores()))
 	}
 }
 
@@ -76,7 +76,7 @@
 			number, content = document.GetNumber(), document.GetContent()
 		}
 	})
-	if content == nil || known != nil && known.Number == number {
+	if content == nil || known != nil && known.Revision == number {
 		return known
 	}
 	table, err := n.options.Platform.Configuration(content)
@@ -102,13 +102,13 @@
 func lookAt(ctx context.Context, dial engine.Dial, store *routes.Service) []fleet.Endpoint {
 	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	conn, err := dial(bounded, store.Store)
+	conn, err := dial(bounded, store.KVStoreAddress)
 	if err != nil {
 		return nil
 	}
 	_ = conn.Close()
 	return []fleet.Endpoint{{
-		ID: tables.EndpointID(store.Name + "@" + store.Store.String()), Service: store.Name,
-		Address: store.Store, Zone: store.StoreZone, Weights: map[string]uint64{}, IsKVStore: true,
+		ID: tables.EndpointID(store.Name + "@" + store.KVStoreAddress.String()), Service: store.Name,
+		Address: store.KVStoreAddress, Zone: store.KVStoreZone, Weights: map[string]uint64{}, IsKVStore: true,
 	}}
 }
--- a/node/usage.go
+++ b/node/usage.go
@@ -33,7 +33,7 @@
 func (n *Node) usageLimits(table *routes.Table) map[usage.Subject]usage.Limit {
 	limits := map[usage.Subject]usage.Limit{}
 	for i := range table.Organisations {
-		if o := &table.Organisations[i]; o.Usage.Limited() {
+		if o := &table.Organisations[i]; o.UsageLimit.Limited() {
 			limits[usage.OrganisationSubject(o.ID)] = forward.UsageLimit(o, n.usageTolerance())
 		}
 	}
--- a/routes/errors.go
+++ b/routes/errors.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// Reason says why a configuration cannot be put in force.
-type Reason string
+// ErrorReason says why a configuration cannot be put in force.
+type ErrorReason string
 
 // The reasons.
 const (
-	Unreadable     Reason = "it cannot be read"
-	UnknownService Reason = "a route names a service that is not declared"
-	SamePlace      Reason = "two routes have the same host and prefix"
-	NoWeight       Reason = "the weights of a route add up to nothing"
-	NoTimeout      Reason = "a route has no timeout"
-	BadPrefix      Reason = "a route's prefix does not begin and end with a slash"
-	SharedKey      Reason = "two organisations share a key"
-	BadKind        Reason = "a route has no known kind"
-	NoNumber       Reason = "it has no number"
+	Malformed       ErrorReason = "it cannot be read"
+	UnknownService  ErrorReason = "a route names a service that is not declared"
+	DuplicateRoute  ErrorReason = "two routes have the same host and prefix"
+	InvalidWeights  ErrorReason = "the weights of a route add up to nothing"
+	MissingTimeout  ErrorReason = "a route has no timeout"
+	InvalidPrefix   ErrorReason = "a route's prefix does not begin and end with a slash"
+	DuplicateKey    ErrorReason = "two organisations share a key"
+	UnknownKind     ErrorReason = "a route has no known kind"
+	MissingRevision ErrorReason = "it has no number"
 )
 
-// Invalid means that a configuration cannot be put in force.
-type Invalid struct {
-	Reason Reason
+// ConfigurationError means that a configuration cannot be put in force.
+type ConfigurationError struct {
+	Reason ErrorReason
 	// Name is the route or organisation that it is about; may be empty.
 	Name  string
 	Cause error
 }
 
 // Error gives the reason.
-func (e *Invalid) Error() string {
+func (e *ConfigurationError) Error() string {
 	text := "configuration refused: " + string(e.Reason)
 	if e.Name != "" {
 		text += " (" + e.Name + ")"
@@ -39,4 +39,4 @@
 }
 
 // Unwrap gives the cause.
-func (e *Invalid) Unwrap() error { return e.Cause }
+func (e *ConfigurationError) Unwrap() error { return e.Cause }
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -20,8 +20,8 @@
 
 // The kinds of routes.
 const (
-	// Once is work that runs at most once.
-	Once Kind = iota
+	// AtMostOnce is work that runs at most once.
+	AtMostOnce Kind = iota
 	// Idempotent work may be run again after any failure.
 	Idempotent
 	// Stream is an answer in events. It runs at most once unless the route is
@@ -45,26 +45,26 @@
 	// Timeout bounds the whole request from arrival. Target is the time to the
 	// answer, or to a stream's first event, that callers are content with, and
 	// TargetGap the longest pause between events.
-	Timeout   time.Duration
-	Target    time.Duration
-	TargetGap time.Duration
+	Timeout        time.Duration
+	TargetLatency  time.Duration
+	TargetEventGap time.Duration
 	// Priority is the route's rank; 0 comes first.
 	Priority int
 	// MaxAttempts is how many endpoints one request may be sent to.
 	MaxAttempts int
 	// Public routes take requests without a key.
 	Public bool
-	// Generates is set where requests name a model and the parts of their prompt.
-	Generates bool
-	// Splits divide the requests by weight; there is at least one.
-	Splits []Split
+	// Inference is set where requests name a model and the parts of their prompt.
+	Inference bool
+	// TrafficSplit divide the requests by weight; there is at least one.
+	TrafficSplit []WeightedService
 }
 
-// Repeatable says whether a request that may have run may be sent again.
-func (r *Route) Repeatable() bool { return r.Kind == Idempotent || r.Kind == Stream && r.Resumable }
+// SafeToRetry says whether a request that may have run may be sent again.
+func (r *Route) SafeToRetry() bool { return r.Kind == Idempotent || r.Kind == Stream && r.Resumable }
 
-// Split is a service with its part of a route's requests.
-type Split struct {
+// WeightedService is a service with its part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -77,17 +77,17 @@
 	// Slots is how many requests a model engine runs at once, and CacheTokens
 	// the memory that running requests and cached prompts share; both are zero
 	// for a plain service.
-	Slots       int
-	CacheTokens int
-	// TransferTime is how long an engine's link is busy with one cached token that
+	Slots            int
+	KVCapacityTokens int
+	// TransferTimePerToken is how long an engine's link is busy with one cached token that
 	// another endpoint of its zone sends, as declared; 0 where it is not.
-	TransferTime time.Duration
+	TransferTimePerToken time.Duration
 	// Models are those that the engines serve.
 	Models []string
-	// Store is the address of a store of cached prompts, and StoreZone where it
+	// KVStoreAddress is the address of a store of cached prompts, and StoreZone where it
 	// stands. A service that is a store takes no requests.
-	Store     netip.AddrPort
-	StoreZone tables.Zone
+	KVStoreAddress netip.AddrPort
+	KVStoreZone    tables.Zone
 }
 
 // Organisation is a customer with the keys of its callers.
@@ -99,8 +99,8 @@
 	HasPriority bool
 	// Isolated organisations share no cached prompt with any other.
 	Isolated bool
-	// Usage limits what the organisation uses over all instances.
-	Usage RateLimit
+	// UsageLimit limits what the organisation uses over all instances.
+	UsageLimit RateLimit
 }
 
 // UsageUnit is what a rate limit counts.
@@ -119,15 +119,15 @@
 	// A Rate of 0 means no limit.
 	Rate, Burst float64
 	Unit        UsageUnit
-	// PlainTokens is what a request that names no tokens counts as.
-	PlainTokens int64
+	// DefaultTokens is what a request that names no tokens counts as.
+	DefaultTokens int64
 }
 
 // Limited says whether there is a limit.
 func (c RateLimit) Limited() bool { return c.Rate > 0 }
 
-// Limits bound what one caller may send.
-type Limits struct {
+// ClientLimits bound what one caller may send.
+type ClientLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
 	// HeaderTimeout bounds the time for a header, IdleTimeout that between two
@@ -138,11 +138,11 @@
 
 // Configuration is what an operator declares under one number.
 type Configuration struct {
-	Number        uint64
+	Revision      uint64
 	Routes        []Route
 	Services      []Service
 	Organisations []Organisation
-	Limits        Limits
+	Limits        ClientLimits
 }
 
 // Table finds the route and the organisation of a request. It is immutable.
@@ -182,28 +182,28 @@
 
 func (t *Table) addRoute(r *Route) error {
 	if r.Timeout <= 0 {
-		return &Invalid{Reason: NoTimeout, Name: r.Name}
+		return &ConfigurationError{Reason: MissingTimeout, Name: r.Name}
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return &Invalid{Reason: BadPrefix, Name: r.Name}
+		return &ConfigurationError{Reason: InvalidPrefix, Name: r.Name}
 	}
 	total := 0
-	for _, split := range r.Splits {
+	for _, split := range r.TrafficSplit {
 		if t.services[split.Service] == nil {
-			return &Invalid{Reason: UnknownService, Name: r.Name}
+			return &ConfigurationError{Reason: UnknownService, Name: r.Name}
 		}
 		if split.Weight < 0 {
-			return &Invalid{Reason: NoWeight, Name: r.Name}
+			return &ConfigurationError{Reason: InvalidWeights, Name: r.Name}
 		}
 		total += split.Weight
 	}
 	if total == 0 {
-		return &Invalid{Reason: NoWeight, Name: r.Name}
+		return &ConfigurationError{Reason: InvalidWeights, Name: r.Name}
 	}
 	host := strings.ToLower(r.Host)
 	for _, other := range t.byHost[host] {
 		if other.Prefix == r.Prefix {
-			return &Invalid{Reason: SamePlace, Name: r.Name}
+			return &ConfigurationError{Reason: DuplicateRoute, Name: r.Name}
 		}
 	}
 	t.byHost[host] = append(t.byHost[host], r)
@@ -213,7 +213,7 @@
 func (t *Table) addOrganisation(o *Organisation) error {
 	for _, key := range o.Keys {
 		if owner := t.byKey[key]; owner != nil && owner != o {
-			return &Invalid{Reason: SharedKey, Name: string(o.ID)}
+			return &ConfigurationError{Reason: DuplicateKey, Name: string(o.ID)}
 		}
 		t.byKey[key] = o
 	}
@@ -232,35 +232,35 @@
 	return nil
 }
 
-// Organisation returns whose key it is, nil if it is nobody's.
-func (t *Table) Organisation(key string) *Organisation { return t.byKey[key] }
+// OrganisationByKey returns whose key it is, nil if it is nobody's.
+func (t *Table) OrganisationByKey(key string) *Organisation { return t.byKey[key] }
 
-// HasOrganisations says whether requests need a key at all.
-func (t *Table) HasOrganisations() bool { return len(t.Organisations) > 0 }
+// RequiresKey says whether requests need a key at all.
+func (t *Table) RequiresKey() bool { return len(t.Organisations) > 0 }
 
-// Service returns a service by name, nil if it is not declared.
-func (t *Table) Service(name string) *Service { return t.services[name] }
+// ServiceByName returns a service by name, nil if it is not declared.
+func (t *Table) ServiceByName(name string) *Service { return t.services[name] }
 
-// Stores lists the services that are stores of cached prompts.
-func (t *Table) Stores() []*Service {
+// KVStores lists the services that are stores of cached prompts.
+func (t *Table) KVStores() []*Service {
 	var stores []*Service
 	for i := range t.Services {
-		if t.Services[i].Store.IsValid() {
+		if t.Services[i].KVStoreAddress.IsValid() {
 			stores = append(stores, &t.Services[i])
 		}
 	}
 	return stores
 }
 
-// ServiceOf picks the service of one request by the weights of its route. The
+// SelectService picks the service of one request by the weights of its route. The
 // same request gets the same service at every instance.
-func (t *Table) ServiceOf(r *Route, request string) *Service {
+func (t *Table) SelectService(r *Route, request string) *Service {
 	total := 0
-	for _, split := range r.Splits {
+	for _, split := range r.TrafficSplit {
 		total += split.Weight
 	}
 	at := int(xxhash.Sum64String(request) % uint64(total))
-	for _, split := range r.Splits {
+	for _, split := range r.TrafficSplit {
 		if at < split.Weight {
 			return t.services[split.Service]
 		}
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -12,7 +12,7 @@
 func route(host, prefix string) Route {
 	return Route{
 		Name: host + prefix, Host: host, Prefix: prefix, Timeout: time.Second,
-		Splits: []Split{{Service: "desk", Weight: 1}},
+		TrafficSplit: []WeightedService{{Service: "desk", Weight: 1}},
 	}
 }
 
@@ -34,22 +34,22 @@
 // part of the callers would be sent nowhere or answered for somebody else.
 func TestInvalidConfigurationsAreRefused(t *testing.T) {
 	noService := route("a.example", "/")
-	noService.Splits[0].Service = "nobody"
+	noService.TrafficSplit[0].Service = "nobody"
 	noWeight := route("a.example", "/")
-	noWeight.Splits[0].Weight = 0
+	noWeight.TrafficSplit[0].Weight = 0
 	noTimeout := route("a.example", "/")
 	noTimeout.Timeout = 0
-	cases := map[Reason]Configuration{
+	cases := map[ErrorReason]Configuration{
 		UnknownService: {Services: services(), Routes: []Route{noService}},
-		NoWeight:       {Services: services(), Routes: []Route{noWeight}},
-		NoTimeout:      {Services: services(), Routes: []Route{noTimeout}},
-		SamePlace:      {Services: services(), Routes: []Route{route("a.example", "/x/"), route("A.example", "/x/")}},
-		BadPrefix:      {Services: services(), Routes: []Route{route("a.example", "/x")}},
-		SharedKey:      {Organisations: []Organisation{{ID: "a", Keys: []string{"k"}}, {ID: "b", Keys: []string{"k"}}}},
+		InvalidWeights: {Services: services(), Routes: []Route{noWeight}},
+		MissingTimeout: {Services: services(), Routes: []Route{noTimeout}},
+		DuplicateRoute: {Services: services(), Routes: []Route{route("a.example", "/x/"), route("A.example", "/x/")}},
+		InvalidPrefix:  {Services: services(), Routes: []Route{route("a.example", "/x")}},
+		DuplicateKey:   {Organisations: []Organisation{{ID: "a", Keys: []string{"k"}}, {ID: "b", Keys: []string{"k"}}}},
 	}
 	for reason, c := range cases {
 		_, err := NewTable(c)
-		var invalid *Invalid
+		var invalid *ConfigurationError
 		assert.Assert(t, errors.As(err, &invalid), "%s", reason)
 		assert.Equal(t, invalid.Reason, reason)
 	}
@@ -57,14 +57,14 @@
 
 func TestWeightsDivideRequestsAndEachRequestKeepsItsService(t *testing.T) {
 	split := route("a.example", "/")
-	split.Splits = []Split{{Service: "desk", Weight: 90}, {Service: "models", Weight: 10}}
+	split.TrafficSplit = []WeightedService{{Service: "desk", Weight: 90}, {Service: "models", Weight: 10}}
 	table, err := NewTable(Configuration{Services: services(), Routes: []Route{split}})
 	assert.NilError(t, err)
 	count := map[string]int{}
 	for i := range 10_000 {
 		id := strconv.Itoa(i)
-		service := table.ServiceOf(&table.Routes[0], id)
-		assert.Equal(t, service, table.ServiceOf(&table.Routes[0], id))
+		service := table.SelectService(&table.Routes[0], id)
+		assert.Equal(t, service, table.SelectService(&table.Routes[0], id))
 		count[service.Name]++
 	}
 	assert.Assert(t, count["models"] > 900 && count["models"] < 1100, "%v", count)
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -30,7 +30,7 @@
 		Service:       r.Service.Name,
 		Model:         r.Model,
 		Priority:      int32(r.Priority),
-		TargetMs:      toMilliseconds(r.Route.Target),
+		TargetMs:      toMilliseconds(r.Route.TargetLatency),
 		PromptTokens:  uint32(r.PromptTokens),
 		OutputTokens:  uint32(r.OutputTokens),
 		WaitedMs:      toMilliseconds(now - r.ArrivedAt),
@@ -54,7 +54,7 @@
 func decodeQuestion(now tables.Instant, q *rpc.ScheduleQuestion, service *routes.Service) *dispatch.Request {
 	r := &dispatch.Request{
 		Service:           service,
-		Route:             &routes.Route{Target: fromMilliseconds(q.GetTargetMs())},
+		Route:             &routes.Route{TargetLatency: fromMilliseconds(q.GetTargetMs())},
 		Priority:          int(q.GetPriority()),
 		Model:             q.GetModel(),
 		PromptTokens:      int(q.GetPromptTokens()),
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -32,7 +32,7 @@
 func newDispatcherPlacer(endpoints int) *dispatcherPlacer {
 	p := &dispatcherPlacer{
 		dispatch: dispatch.New(dispatch.Options{Zone: "a", RetryBudget: dispatch.RetryBudget{Window: time.Second}}),
-		service:  &routes.Service{Name: "s", Slots: 4, CacheTokens: 100_000},
+		service:  &routes.Service{Name: "s", Slots: 4, KVCapacityTokens: 100_000},
 		now:      time.Second,
 	}
 	known := map[tables.EndpointID]fleet.Endpoint{}
@@ -134,7 +134,7 @@
 // generationRequest returns a generation request with the given prompt prefix.
 func generationRequest(p *dispatcherPlacer, prompt parts.ID) *dispatch.Request {
 	return &dispatch.Request{
-		Service: p.service, Route: &routes.Route{Target: time.Second}, Model: model,
+		Service: p.service, Route: &routes.Route{TargetLatency: time.Second}, Model: model,
 		PromptTokens: 1000, OutputTokens: 10, ArrivedAt: p.now, Deadline: p.now + 5*time.Second, PrefillWaitUntil: p.now,
 		SharedParts: []dispatch.SharedPart{{ID: prompt, EndTokens: 800}},
 	}
@@ -269,7 +269,7 @@
 	assert.Equal(t, got.PromptTokens, r.PromptTokens)
 	assert.Equal(t, got.OutputTokens, r.OutputTokens)
 	assert.Equal(t, got.Model, r.Model)
-	assert.Equal(t, got.Route.Target, r.Route.Target)
+	assert.Equal(t, got.Route.TargetLatency, r.Route.TargetLatency)
 }
 
 func targetVersion() weights.TargetVersion { return weights.TargetVersion{Model: model, Version: 1} }
--- a/soak/check.go
+++ b/soak/check.go
@@ -48,7 +48,7 @@
 			l.breachLocked("proper requests are allowed", r.ID, "to %s was answered %d", r.entry.Name, r.result.Status)
 		}
 	}
-	once := r.kind.route.Kind == routes.Once || r.kind.route.Kind == routes.Stream && !r.kind.route.Resumable
+	once := r.kind.route.Kind == routes.AtMostOnce || r.kind.route.Kind == routes.Stream && !r.kind.route.Resumable
 	if once && len(r.runs) > 1 {
 		l.breachLocked("work runs at most once", r.ID, "ran at %s and at %s", r.runs[0].Endpoint, r.runs[1].Endpoint)
 	}
--- a/soak/load.go
+++ b/soak/load.go
@@ -42,13 +42,13 @@
 }
 
 var kinds = []*kind{
-	{name: "once", service: serviceDesk, route: routes.Route{Prefix: "/once/", Kind: routes.Once, MaxAttempts: 1}},
+	{name: "once", service: serviceDesk, route: routes.Route{Prefix: "/once/", Kind: routes.AtMostOnce, MaxAttempts: 1}},
 	{name: "safe", service: serviceDesk, route: routes.Route{Prefix: "/safe/", Kind: routes.Idempotent, MaxAttempts: 2}},
 	{name: "check", service: serviceModels, tokens: "9000,6", route: routes.Route{
-		Prefix: "/check/", Kind: routes.Stream, MaxAttempts: 1, Generates: true, Priority: 1,
+		Prefix: "/check/", Kind: routes.Stream, MaxAttempts: 1, Inference: true, Priority: 1,
 	}},
 	{name: "draft", service: serviceModels, tokens: "800,12", route: routes.Route{
-		Prefix: "/draft/", Kind: routes.Stream, MaxAttempts: 2, Generates: true, Resumable: true,
+		Prefix: "/draft/", Kind: routes.Stream, MaxAttempts: 2, Inference: true, Resumable: true,
 	}},
 }
 
@@ -183,7 +183,7 @@
 		Wait: callerWait, Tokens: k.tokens,
 	}}
 	r.Key = []string{keyProbe, keyProbe, keyAlone, keyCommon}[rng.IntN(4)]
-	if k.route.Generates {
+	if k.route.Inference {
 		r.Model = model
 		r.Prefix = fmt.Sprintf("b%d:2000,c%d:600,u%d:40", rng.IntN(2), rng.IntN(8), serial)
 	}
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -46,24 +46,24 @@
 // probe's organisation change, and how many further routes there are.
 func (o *operators) configuration(number uint64, more int) routes.Configuration {
 	c := routes.Configuration{
-		Number: number,
+		Revision: number,
 		Services: []routes.Service{
-			{Name: serviceModels, MaxConnections: 300, Slots: modelSlots, CacheTokens: 90_000, Models: []string{model}},
+			{Name: serviceModels, MaxConnections: 300, Slots: modelSlots, KVCapacityTokens: 90_000, Models: []string{model}},
 			{Name: serviceDesk, MaxConnections: 100},
-			{Name: serviceStore, CacheTokens: 400_000, Store: o.d.storeAddress(), StoreZone: zoneName(0)},
+			{Name: serviceStore, KVCapacityTokens: 400_000, KVStoreAddress: o.d.storeAddress(), KVStoreZone: zoneName(0)},
 		},
 		Organisations: []routes.Organisation{
 			{ID: tables.OrganisationID(organisationOf(number)), Keys: []string{keyProbe}},
 			{ID: alone, Keys: []string{keyAlone}, Isolated: true},
-			{ID: common, Keys: []string{keyCommon}, Usage: o.rateLimit()},
+			{ID: common, Keys: []string{keyCommon}, UsageLimit: o.rateLimit()},
 		},
-		Limits: routes.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
+		Limits: routes.ClientLimits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 	}
 	for _, k := range kinds {
 		r := k.route
 		r.Name, r.Host = "r-"+k.name, host
-		r.Timeout, r.Target, r.TargetGap = callerWait, 300*time.Millisecond, 300*time.Millisecond
-		r.Splits = []routes.Split{{Service: k.service, Weight: 1}}
+		r.Timeout, r.TargetLatency, r.TargetEventGap = callerWait, 300*time.Millisecond, 300*time.Millisecond
+		r.TrafficSplit = []routes.WeightedService{{Service: k.service, Weight: 1}}
 		c.Routes = append(c.Routes, r)
 	}
 	for n := range more {
@@ -138,7 +138,7 @@
 func (o *operators) configureWrongly() {
 	number := o.nextNumber()
 	c := o.configuration(number, 0)
-	c.Routes[0].Splits[0].Service = "nobody"
+	c.Routes[0].TrafficSplit[0].Service = "nobody"
 	d := &document{number: number, sent: time.Now(), content: platformtest.Document(c), invalid: true}
 	o.d.ledger.sendingDocument(d)
 	status := o.insist(func(ctx context.Context, to *instance) (int, error) {
--- a/soak/usage.go
+++ b/soak/usage.go
@@ -27,7 +27,7 @@
 	if !o.d.options.LimitUse {
 		return routes.RateLimit{}
 	}
-	return routes.RateLimit{Rate: usageRate, Burst: usageBurst, Unit: routes.UsageInTokens, PlainTokens: usagePlain}
+	return routes.RateLimit{Rate: usageRate, Burst: usageBurst, Unit: routes.UsageInTokens, DefaultTokens: usagePlain}
 }
 
 // usageRun is a run with what it costs.
