--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -100,7 +100,7 @@
 	}
 	mux := http.NewServeMux()
 	if d.entry != nil {
-		peer := rpc.NewPeerServer(suspectpeers.Service{Take: d.takeSuspect})
+		peer := rpc.NewPeerServer(suspectpeers.Service{Receive: d.takeSuspect})
 		mux.Handle(rpc.PeerPathPrefix, keys.Require(d.instanceKeys, peer))
 	}
 	mux.Handle("/", keys.Require(d.operatorKeys, operators))
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -59,7 +59,7 @@
 // were notified, or notifyTimeout has passed. It does not block: when crashes come faster
 // than reports go out, the newest are left out, which costs a further endpoint at most.
 func (p *peers) share(suspects []quarantine.Suspect) <-chan struct{} {
-	queued := suspectReport{report: suspectpeers.Report(suspects), notified: make(chan struct{})}
+	queued := suspectReport{report: suspectpeers.EncodeReport(suspects), notified: make(chan struct{})}
 	select {
 	case p.reports <- queued:
 	default:
@@ -93,7 +93,7 @@
 }
 
 func (p *peers) tell(ctx context.Context, at netip.AddrPort, report *rpc.SuspectReport) {
-	err := suspectpeers.Tell(ctx, rpc.NewPeerProtobufClient("http://"+at.String(), p.client), report)
+	err := suspectpeers.SendReport(ctx, rpc.NewPeerProtobufClient("http://"+at.String(), p.client), report)
 	if err != nil {
 		events.SuspectsNotTold.Log(p.log, zap.Stringer("instance_address", at), zap.Error(err))
 	}
--- a/daemon/peers_test.go
+++ b/daemon/peers_test.go
@@ -23,7 +23,7 @@
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	var members []membership.Member
 	for _, slow := range []bool{false, true} {
-		handler := rpc.NewPeerServer(suspectpeers.Service{Take: func(quarantine.Suspect) {
+		handler := rpc.NewPeerServer(suspectpeers.Service{Receive: func(quarantine.Suspect) {
 			arrived <- struct{}{}
 			if slow {
 				<-release
--- a/node/listen.go
+++ b/node/listen.go
@@ -55,7 +55,7 @@
 	}
 	if n.entry != nil {
 		mux.Handle(rpc.CacheKnowledgePathPrefix, rpc.NewCacheKnowledgeServer(cacheService{n}))
-		mux.Handle(rpc.PeerPathPrefix, rpc.NewPeerServer(peers.Service{Take: n.entry.Suspect}))
+		mux.Handle(rpc.PeerPathPrefix, rpc.NewPeerServer(peers.Service{Receive: n.entry.Suspect}))
 	}
 	if err := n.serve(&http.Server{Handler: mux}, s.Listen.Instances); err != nil {
 		return err
@@ -74,9 +74,9 @@
 // shareSuspects tells the other entry instances what was running when an
 // endpoint crashed.
 func (n *Node) shareSuspects(suspects []quarantine.Suspect) {
-	report := peers.Report(suspects)
+	report := peers.EncodeReport(suspects)
 	n.callPeers(func(ctx context.Context, at string) {
-		if err := peers.Tell(ctx, rpc.NewPeerProtobufClient(at, n.client), report); err != nil {
+		if err := peers.SendReport(ctx, rpc.NewPeerProtobufClient(at, n.client), report); err != nil {
 			events.SuspectsNotTold.Log(n.log, zap.String("instance_address", at), zap.Error(err))
 		}
 	})
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -14,8 +14,8 @@
 // maxSuspects bounds what one report may hold.
 const maxSuspects = 4096
 
-// Report encodes suspects.
-func Report(suspects []quarantine.Suspect) *rpc.SuspectReport {
+// EncodeReport encodes suspects.
+func EncodeReport(suspects []quarantine.Suspect) *rpc.SuspectReport {
 	report := &rpc.SuspectReport{}
 	for _, s := range suspects {
 		report.Suspects = append(report.Suspects, encodeSuspect(s))
@@ -25,7 +25,7 @@
 
 // Service takes the reports of other instances. It implements rpc.Peer.
 type Service struct {
-	Take func(quarantine.Suspect)
+	Receive func(quarantine.Suspect)
 }
 
 // Suspect takes what another instance found out about a crash.
@@ -34,7 +34,7 @@
 		if i == maxSuspects {
 			break
 		}
-		s.Take(decodeSuspect(suspect))
+		s.Receive(decodeSuspect(suspect))
 	}
 	return &rpc.SuspectAnswer{}, nil
 }
--- a/peers/tell.go
+++ b/peers/send.go
@@ -16,13 +16,13 @@
 	tellPause   = 50 * time.Millisecond
 )
 
-// Tell passes a report on to one instance.
+// SendReport passes a report on to one instance.
 //
 // A report that is lost is told again. The caller of a request that crashes
 // endpoints sends it again at once, most likely through another instance; one that
 // was never told runs it at two further endpoints and takes down what else runs
 // there. A kept connection that the other side has just closed is enough for a loss.
-func Tell(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
+func SendReport(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
 	var err error
 	for try := range tellTries {
 		if try > 0 && wait.For(ctx, tellPause) != nil {
--- a/peers/tell_test.go
+++ b/peers/send_test.go
@@ -33,14 +33,14 @@
 // the stream lost the endpoint that it went on at.
 func TestALostReportIsToldAgain(t *testing.T) {
 	to := &losing{lost: tellTries - 1}
-	assert.NilError(t, Tell(t.Context(), to, &rpc.SuspectReport{}))
+	assert.NilError(t, SendReport(t.Context(), to, &rpc.SuspectReport{}))
 	assert.Equal(t, to.told, 1)
 }
 
 // An instance is gone. It is not told for ever.
 func TestAnInstanceThatIsGoneIsNotToldForEver(t *testing.T) {
 	to := &losing{lost: 100}
-	err := Tell(t.Context(), to, &rpc.SuspectReport{})
+	err := SendReport(t.Context(), to, &rpc.SuspectReport{})
 	assert.ErrorContains(t, err, "connection lost")
 	assert.Equal(t, to.lost, 100-tellTries)
 }
