--- a/cmd/carawaystiled/forward.go
+++ b/cmd/carawaystiled/forward.go
@@ -78,7 +78,7 @@
 	defer n.Stop()
 	for {
 		select {
-		case <-n.Failed():
+		case <-n.ReplicaStopped():
 			return subcommands.ExitFailure
 		case s := <-signals:
 			if s == syscall.SIGHUP {
@@ -132,12 +132,12 @@
 func onPlatform(s *settings.Forwarding) node.Platform {
 	dial := engine.DialFrom(s.Source)
 	return node.Platform{
-		Headers:       platform.Headers(),
-		Configuration: platform.Configuration,
-		List:          func(at netip.AddrPort) node.Lister { return platform.NewList(at, dial) },
-		Engines:       platform.NewEngines(dial),
-		Caches:        platform.NewCaches(dial),
-		Operators: func(documents *deployment.Service, log *zap.Logger) http.Handler {
+		Headers:            platform.Headers(),
+		ParseConfiguration: platform.Configuration,
+		NewLister:          func(at netip.AddrPort) node.EndpointLister { return platform.NewList(at, dial) },
+		EngineClient:       platform.NewEngines(dial),
+		CacheReporter:      platform.NewCaches(dial),
+		OperatorHandler: func(documents *deployment.Service, log *zap.Logger) http.Handler {
 			return (&platform.Operator{Documents: documents, Log: log}).Handler()
 		},
 	}
--- a/node/caches.go
+++ b/node/cachesync.go
@@ -66,12 +66,12 @@
 
 // startCaches begins to read what engines keep.
 func (n *Node) startCaches() {
-	if n.options.Platform.Caches == nil {
+	if n.options.Platform.CacheReporter == nil {
 		return
 	}
 	c := &caches{node: n}
 	c.readers = feed.NewGroup(feed.Options{
-		Reporter:   n.options.Platform.Caches,
+		Reporter:   n.options.Platform.CacheReporter,
 		Batch:      c.take,
 		EventWait:  cacheWait,
 		EventPause: cachePause,
--- a/node/control.go
+++ b/node/control.go
@@ -68,7 +68,7 @@
 	}
 	n.fleet = fleet.NewTable(n.boot)
 	n.runner = rollout.NewController(rollout.Options{
-		Engines:           n.options.Platform.Engines,
+		Engines:           n.options.Platform.EngineClient,
 		Executor:          n.replica,
 		IsLeader:          func() bool { return n.replica.Status().Leads },
 		Fleet:             n.fleet,
@@ -93,7 +93,7 @@
 		n.background.Go(func() { n.readList(n.stopping) })
 		n.background.Go(func() { n.watchStores(n.stopping) })
 	}
-	operators := n.options.Platform.Operators(n.deployment, n.log)
+	operators := n.options.Platform.OperatorHandler(n.deployment, n.log)
 	return n.serve(&http.Server{Handler: operators}, s.Listen.Operators)
 }
 
@@ -111,7 +111,7 @@
 // instances together, so one instance reads it and the others follow it, unless
 // they cannot reach it.
 func (n *Node) readList(ctx context.Context) {
-	list := n.options.Platform.List(n.options.Settings.List)
+	list := n.options.Platform.NewLister(n.options.Settings.List)
 	ticker := time.NewTicker(listPeriod)
 	defer ticker.Stop()
 	unread := false
--- a/node/entry.go
+++ b/node/entry.go
@@ -95,7 +95,7 @@
 	if document.GetName() != deployment.ConfigurationName {
 		return
 	}
-	table, err := n.options.Platform.Configuration(document.GetContent())
+	table, err := n.options.Platform.ParseConfiguration(document.GetContent())
 	if err != nil {
 		// Control instances have read it before: the two differ in version.
 		events.ConfigurationUnreadable.Log(n.log, zap.Uint64("revision", document.GetNumber()), zap.Error(err))
--- a/node/store.go
+++ b/node/kvstores.go
@@ -79,7 +79,7 @@
 	if content == nil || known != nil && known.Revision == number {
 		return known
 	}
-	table, err := n.options.Platform.Configuration(content)
+	table, err := n.options.Platform.ParseConfiguration(content)
 	if err != nil {
 		return known // it was read before it was decided
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -40,21 +40,21 @@
 // Platform is what speaks to the outside in the platform's words.
 type Platform struct {
 	Headers *dialect.Headers
-	// Configuration reads an operator's document.
-	Configuration func(document []byte) (*routes.Table, error)
-	// List reads the platform's list of endpoints at an address.
-	List func(at netip.AddrPort) Lister
-	// Engines speaks with engines about their weights.
-	Engines rollout.EngineClient
-	// Caches asks engines and stores what they keep of prompts; nil where they do
+	// ParseConfiguration reads an operator's document.
+	ParseConfiguration func(document []byte) (*routes.Table, error)
+	// NewLister reads the platform's list of endpoints at an address.
+	NewLister func(at netip.AddrPort) EndpointLister
+	// EngineClient speaks with engines about their weights.
+	EngineClient rollout.EngineClient
+	// CacheReporter asks engines and stores what they keep of prompts; nil where they do
 	// not tell.
-	Caches engine.Reporter
-	// Operators serves operators' calls.
-	Operators func(documents *deployment.Service, log *zap.Logger) http.Handler
+	CacheReporter engine.Reporter
+	// OperatorHandler serves operators' calls.
+	OperatorHandler func(documents *deployment.Service, log *zap.Logger) http.Handler
 }
 
-// Lister reads the list of endpoints.
-type Lister interface {
+// EndpointLister reads the list of endpoints.
+type EndpointLister interface {
 	Endpoints(ctx context.Context) ([]fleet.Endpoint, error)
 }
 
@@ -217,9 +217,9 @@
 	shutdown.Flush(ctx, n.callers)
 }
 
-// Failed is closed when the control replica has stopped by itself; nil without
+// ReplicaStopped is closed when the control replica has stopped by itself; nil without
 // one.
-func (n *Node) Failed() <-chan struct{} {
+func (n *Node) ReplicaStopped() <-chan struct{} {
 	if n.replica == nil {
 		return nil
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -97,10 +97,10 @@
 			ExpectWeights: "X-Expect-Weights", Signature: "X-Signature", NotRun: "X-Not-Run", Model: "X-Model", Tokens: "X-Tokens",
 			Prefix: "X-Prefix", CacheSalt: "X-Salt", Priority: "X-Priority", LastEvent: "Last-Event-Id",
 		},
-		Configuration: configuration,
-		List:          func(netip.AddrPort) Lister { return p },
-		Engines:       p,
-		Operators: func(*deployment.Service, *zap.Logger) http.Handler {
+		ParseConfiguration: configuration,
+		NewLister:          func(netip.AddrPort) EndpointLister { return p },
+		EngineClient:       p,
+		OperatorHandler: func(*deployment.Service, *zap.Logger) http.Handler {
 			return http.NotFoundHandler()
 		},
 	}
