--- a/node/caches.go
+++ b/node/cachesync.go
@@ -66,12 +66,12 @@
 
 // startCaches begins to read what engines keep.
 func (n *Node) startCaches() {
-	if n.options.Platform.Caches == nil {
+	if n.options.Platform.CacheReporter == nil {
 		return
 	}
 	c := &caches{node: n}
 	c.readers = feed.NewGroup(feed.Options{
-		Reporter:   n.options.Platform.Caches,
+		Reporter:   n.options.Platform.CacheReporter,
 		Batch:      c.take,
 		EventWait:  cacheWait,
 		EventPause: cachePause,
@@ -102,14 +102,14 @@
 	var mine tables.Configuration
 	remote := c.node.now() > remoteCache
 	for id, e := range c.node.entry.Endpoints() {
-		if len(e.Weights) == 0 && !e.Store {
+		if len(e.Weights) == 0 && !e.IsKVStore {
 			continue // a plain service
 		}
 		if e.Zone != own.Zone && (!remote || readers.in(e.Zone)) {
 			continue
 		}
 		if readers.of(id, e.Zone) == own.Instance {
-			mine.Endpoints = append(mine.Endpoints, tables.Endpoint{ID: id, Address: e.Address, Life: uint64(e.Born), Kind: tables.Engine})
+			mine.Endpoints = append(mine.Endpoints, tables.Endpoint{ID: id, Address: e.Address, Life: uint64(e.StartUnixMilli), Kind: tables.Engine})
 		}
 	}
 	c.readers.Configure(&mine)
--- a/node/control.go
+++ b/node/control.go
@@ -68,7 +68,7 @@
 	}
 	n.fleet = fleet.NewTable(n.boot)
 	n.runner = rollout.NewController(rollout.Options{
-		Engines:           n.options.Platform.Engines,
+		Engines:           n.options.Platform.EngineClient,
 		Executor:          n.replica,
 		IsLeader:          func() bool { return n.replica.Status().IsLeader },
 		Fleet:             n.fleet,
@@ -93,7 +93,7 @@
 		n.background.Go(func() { n.readList(n.stopping) })
 		n.background.Go(func() { n.watchStores(n.stopping) })
 	}
-	operators := n.options.Platform.Operators(n.deployment, n.log)
+	operators := n.options.Platform.OperatorHandler(n.deployment, n.log)
 	return n.serve(&http.Server{Handler: operators}, s.Listen.Operators)
 }
 
@@ -111,7 +111,7 @@
 // instances together, so one instance reads it and the others follow it, unless
 // they cannot reach it.
 func (n *Node) readList(ctx context.Context) {
-	list := n.options.Platform.List(n.options.Settings.List)
+	list := n.options.Platform.NewLister(n.options.Settings.List)
 	ticker := time.NewTicker(listPeriod)
 	defer ticker.Stop()
 	unread := false
@@ -119,7 +119,7 @@
 		if n.readsList() {
 			endpoints, err := list.Endpoints(ctx)
 			if err == nil {
-				n.fleet.List(append(endpoints, n.stores.reachable()...))
+				n.fleet.ApplyList(append(endpoints, n.stores.reachable()...))
 				n.listRead.Store(int64(n.now()))
 			}
 			n.noteList(ctx, unread, err)
@@ -157,7 +157,7 @@
 		Instance: string(n.options.Settings.Instance),
 		Sources:  n.leaderSource,
 		Document: func(*rpc.Document) {}, // the replica has them
-		Fleet:    func(c *fleet.Copy) { n.fleet.Mirror(c.Endpoints()) },
+		Fleet:    func(c *fleet.Replica) { n.fleet.Mirror(c.Endpoints()) },
 		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.followed.Store(int64(n.now()))
--- a/node/entry.go
+++ b/node/entry.go
@@ -61,7 +61,7 @@
 		Weights: func(named *rpc.WeightsNamed) {
 			n.entry.WeightsNamed(named.GetModel(), named.GetVersion(), time.Duration(named.GetAgeNanos()))
 		},
-		Fleet: func(c *fleet.Copy) { n.entry.Fleet(c.Endpoints()) },
+		Fleet: func(c *fleet.Replica) { n.entry.Fleet(c.Endpoints()) },
 		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.entry.ControlCurrent(time.Duration(answer.GetLagNanos()))
@@ -95,7 +95,7 @@
 	if document.GetName() != deployment.ConfigurationName {
 		return
 	}
-	table, err := n.options.Platform.Configuration(document.GetContent())
+	table, err := n.options.Platform.ParseConfiguration(document.GetContent())
 	if err != nil {
 		// Control instances have read it before: the two differ in version.
 		events.ConfigurationUnreadable.Log(n.log, zap.Uint64("revision", document.GetNumber()), zap.Error(err))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -54,7 +54,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return []fleet.Endpoint{{
-		ID: "e", Service: "models", Address: p.at, Zone: "z", Slots: 4, Born: 1, Draining: p.draining,
+		ID: "e", Service: "models", Address: p.at, Zone: "z", Slots: 4, StartUnixMilli: 1, Draining: p.draining,
 		Weights: map[string]uint64{"m": p.version},
 	}}, nil
 }
@@ -81,12 +81,12 @@
 // tests need no format of documents.
 func configuration(document []byte) (*routes.Table, error) {
 	return routes.NewTable(routes.Configuration{
-		Number: uint64(len(document)),
+		Revision: uint64(len(document)),
 		Routes: []routes.Route{{
 			Name: "r", Host: "h.example", Prefix: string(document), Kind: routes.Idempotent, Timeout: 5 * time.Second,
-			MaxAttempts: 1, Splits: []routes.Split{{Service: "models", Weight: 1}},
+			MaxAttempts: 1, TrafficSplit: []routes.WeightedService{{Service: "models", Weight: 1}},
 		}},
-		Services: []routes.Service{{Name: "models", Slots: 4, CacheTokens: 10_000, Models: []string{"m"}}},
+		Services: []routes.Service{{Name: "models", Slots: 4, KVCapacityTokens: 10_000, Models: []string{"m"}}},
 	})
 }
 
@@ -97,10 +97,10 @@
 			ExpectWeights: "X-Expect-Weights", Signature: "X-Signature", NotRun: "X-Not-Run", Model: "X-Model", Tokens: "X-Tokens",
 			Prefix: "X-Prefix", CacheSalt: "X-Salt", Priority: "X-Priority", LastEvent: "Last-Event-Id",
 		},
-		Configuration: configuration,
-		List:          func(netip.AddrPort) Lister { return p },
-		Engines:       p,
-		Operators: func(*deployment.Service, *zap.Logger) http.Handler {
+		ParseConfiguration: configuration,
+		NewLister:          func(netip.AddrPort) EndpointLister { return p },
+		EngineClient:       p,
+		OperatorHandler: func(*deployment.Service, *zap.Logger) http.Handler {
 			return http.NotFoundHandler()
 		},
 	}
