--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -249,20 +249,20 @@
 
 // classifyError maps the error of an attempt to its outcome.
 func (a *attempt) classifyError(err error) dispatch.Outcome {
-	hung := a.stopResponseTimer()
+	timedOut := a.stopResponseTimer()
 	var declined *exchange.Declined
 	var notStarted *engine.NotStarted
 	switch {
 	case errors.As(err, &declined) && declined.Status == http.StatusMisdirectedRequest:
 		// The response comes from another process, or from one with other weights. Its header
-		// says nothing about the endpoint.
+		// does not describe the endpoint and is not recorded.
 		return dispatch.Misdirected
 	case errors.As(err, &declined):
 		a.recordResponseHeader(declined.Header)
 		return dispatch.Declined
 	case a.request.ctx.Err() != nil:
 		return dispatch.Cancelled
-	case hung:
+	case timedOut:
 		return dispatch.ResponseTimeout
 	case errors.As(err, &notStarted) && notStarted.Unreachable:
 		return dispatch.ConnectionRefused
--- a/forward/harness_test.go
+++ b/forward/harness_test.go
@@ -101,7 +101,7 @@
 	endpointServers []*httptest.Server
 }
 
-// initialRevision is the number of the configuration that a new harness has.
+// initialRevision is the revision of the configuration that a new harness has.
 const initialRevision = 1
 
 // newHarness returns a harness with a fake endpoint for each handler.
@@ -161,9 +161,9 @@
 	return h
 }
 
-// configure puts a configuration with the given number in force, after change has modified
-// it.
-func (h *harness) configure(t *testing.T, number uint64, change func(*routes.Configuration)) {
+// configure puts a configuration with the given revision in force, after change has
+// modified it.
+func (h *harness) configure(t *testing.T, revision uint64, change func(*routes.Configuration)) {
 	t.Helper()
 	route := func(prefix string, kind routes.Kind, service string) routes.Route {
 		return routes.Route{
@@ -176,7 +176,7 @@
 	public := route("/public/", routes.Idempotent, "desk")
 	public.Public = true
 	c := routes.Configuration{
-		Revision: number,
+		Revision: revision,
 		Routes: []routes.Route{
 			route("/once/", routes.AtMostOnce, "desk"), route("/read/", routes.Idempotent, "desk"),
 			route("/stream/", routes.Stream, "models"), resumable, public,
--- a/forward/healthcheck.go
+++ b/forward/healthcheck.go
@@ -93,7 +93,7 @@
 	h.lastResponseAt[id] = h.server.options.Now()
 }
 
-// prune removes the state of endpoints that are not in the given set.
+// prune removes the response times of endpoints that are not in the given set.
 func (h *healthChecker) prune(endpoints map[tables.EndpointID]fleet.Endpoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/forward/metrics.go
+++ b/forward/metrics.go
@@ -46,7 +46,7 @@
 }
 
 // countPlacement counts a placement by its rule, and by whether a scheduler or this
-// instance made it. For a request's first placement it also observes the queue wait.
+// instance made it. While the request has used no attempt, it also observes the queue wait.
 func (m *requestMetrics) countPlacement(c *clientRequest, rule dispatch.PlacementRule, scheduled bool) {
 	if m == nil {
 		return
@@ -121,7 +121,7 @@
 		return
 	}
 	staleness := registry.Gauge("carawaystile_control_heard_seconds", "Time since a control instance last answered this instance.")
-	number := registry.Gauge("carawaystile_configuration_number", "Number of the configuration in force on this instance.")
+	revision := registry.Gauge("carawaystile_configuration_number", "Number of the configuration in force on this instance.")
 	ready := registry.Gauge("carawaystile_ready", "1 if the balancer may send callers here.")
 	added := registry.Gauge("carawaystile_cache_parts_found", "Parts of prompts that engines were found to keep though no request was known to have brought them, since the start.")
 	evicted := registry.Gauge("carawaystile_cache_parts_gone", "Parts of prompts that were believed to be kept and were not, since the start.")
@@ -133,7 +133,7 @@
 		evicted.Update(float64(corrections.Evicted))
 		staleness.Update(s.controlStaleness().Seconds())
 		if table := s.Configuration(); table != nil {
-			number.Update(float64(table.Revision))
+			revision.Update(float64(table.Revision))
 		}
 		ready.Update(0)
 		if s.Ready() {
--- a/forward/server.go
+++ b/forward/server.go
@@ -5,10 +5,10 @@
 // A request passes these steps: the route lookup and authentication, a distributed rate
 // limit, placement at an endpoint, by a scheduler or locally, and attempts until one
 // succeeds. Retries are bounded by the route's number of attempts and by a retry budget. A
-// request that may have run is retried only if its route declares it repeatable. A
-// resumable stream of server-sent events that breaks is resumed at another endpoint after
-// the last event that the client has received. Clients are told that a request did not run
-// only if that is certain.
+// request that may have run is retried only if its route makes that safe. A resumable
+// stream of server-sent events that breaks is resumed at another endpoint after the last
+// event that the client has received. Clients are told that a request did not run only if
+// that is certain.
 //
 // Active health checks probe endpoints that stop responding, and a crash detector
 // quarantines requests that crash the endpoints where they run.
@@ -147,7 +147,7 @@
 	}
 }
 
-// Configure puts a configuration in force, unless one with the same or a higher number is
+// Configure puts a configuration in force, unless one with the same or a higher revision is
 // in force. Requests in progress continue under the configuration with which they began.
 func (s *Server) Configure(t *routes.Table) {
 	for {
--- a/forward/timeout.go
+++ b/forward/timeout.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// The timeout for the first response to a repeatable request is the longest of
+	// The timeout for the first response to a request that is safe to retry is the longest of
 	// minResponseTimeout, the latency target divided by responseTimeoutTargetDivisor, and the
 	// expected latency times responseTimeoutLatencyFactor. Half of the target leaves the other
 	// half for a retry at another endpoint.
@@ -26,8 +26,8 @@
 )
 
 // firstResponseTimeout returns the timeout until the endpoint's first response; zero for
-// none. Only repeatable requests have one: any other may already be running and must not
-// run twice.
+// none. Only requests that are safe to retry have one: any other may already be running and
+// must not run twice.
 func (a *attempt) firstResponseTimeout() time.Duration {
 	if !a.request.route.SafeToRetry() {
 		return 0
