--- a/systems/retry/retry.go
+++ b/systems/retry/retry.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// ratio is how many retries each request earns, and reserve how many may be
+	// retriesPerRequest is how many retries each request earns, and reserve how many may be
 	// made before any was earned.
-	ratio   = 0.2
-	reserve = 20
+	retriesPerRequest   = 0.2
+	maxBalance = 20
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts = 4
-	// firstDelay is the wait before the first retry; it doubles with each.
-	firstDelay = 5 * time.Millisecond
+	// baseDelay is the wait before the first retry; it doubles with each.
+	baseDelay = 5 * time.Millisecond
 )
 
 // Budget is earned by requests and spent by retries and hedges. It is not safe
@@ -26,11 +26,11 @@
 type Budget struct{ spent float64 }
 
 // Deposit counts a request.
-func (b *Budget) Deposit() { b.spent = max(0, b.spent-ratio) }
+func (b *Budget) Deposit() { b.spent = max(0, b.spent-retriesPerRequest) }
 
 // TryWithdraw takes one retry if there is budget for it.
 func (b *Budget) TryWithdraw() bool {
-	if b.spent+1 > reserve {
+	if b.spent+1 > maxBalance {
 		return false
 	}
 	b.spent++
@@ -38,7 +38,7 @@
 }
 
 // Balance is how many retries could be made at once.
-func (b *Budget) Balance() float64 { return reserve - b.spent }
+func (b *Budget) Balance() float64 { return maxBalance - b.spent }
 
 // SafeToRetry says whether the request may be tried again, the budget aside. Work
 // that must not run twice is only tried again while it is certain that no
@@ -49,4 +49,4 @@
 
 // Backoff is the wait before the retry of the given number, from 1 up. Retries of
 // attempts that were declined at once would otherwise spin.
-func Backoff(n int) time.Duration { return firstDelay << min(n-1, 8) }
+func Backoff(n int) time.Duration { return baseDelay << min(n-1, 8) }
