--- a/systems/waiting/waiting.go
+++ b/systems/waiting/waiting.go
@@ -20,8 +20,8 @@
 	GroupKey tables.BlockHash
 	// StartBy is when it must have started or be refused.
 	StartBy tables.Instant
-	// seq is the order of arrival.
-	seq uint64
+	// arrival is the order of arrival.
+	arrival uint64
 }
 
 // group holds items of one key by start-by time.
@@ -34,20 +34,20 @@
 // safe for concurrent use.
 type Queue struct {
 	groups map[tables.BlockHash]*group
-	// order holds the groups by their first item.
-	order []*group
+	// byStartBy holds the groups by their first item.
+	byStartBy []*group
 	size  int
-	next  uint64
+	lastArrival  uint64
 }
 
 // Len is the number of waiting requests.
 func (q *Queue) Len() int { return q.size }
 
-func before(a, b Item) bool {
+func startsBefore(a, b Item) bool {
 	if a.StartBy != b.StartBy {
 		return a.StartBy < b.StartBy
 	}
-	return a.seq < b.seq
+	return a.arrival < b.arrival
 }
 
 // Add enters a request.
@@ -55,43 +55,43 @@
 	if q.groups == nil {
 		q.groups = make(map[tables.BlockHash]*group)
 	}
-	q.next++
-	item.seq = q.next
+	q.lastArrival++
+	item.arrival = q.lastArrival
 	q.size++
 	g := q.groups[item.GroupKey]
 	if g == nil {
 		g = &group{key: item.GroupKey, items: []Item{item}}
 		q.groups[item.GroupKey] = g
-		q.insert(g)
+		q.insertGroup(g)
 		return
 	}
-	at := position(g.items, item)
+	at := insertionIndex(g.items, item)
 	g.items = slices.Insert(g.items, at, item)
 	if at == 0 {
-		q.take(g)
-		q.insert(g)
+		q.removeGroup(g)
+		q.insertGroup(g)
 	}
 }
 
-func position(items []Item, item Item) int {
+func insertionIndex(items []Item, item Item) int {
 	at := len(items)
-	for at > 0 && before(item, items[at-1]) {
+	for at > 0 && startsBefore(item, items[at-1]) {
 		at--
 	}
 	return at
 }
 
-func (q *Queue) insert(g *group) {
-	at := len(q.order)
-	for at > 0 && before(g.items[0], q.order[at-1].items[0]) {
+func (q *Queue) insertGroup(g *group) {
+	at := len(q.byStartBy)
+	for at > 0 && startsBefore(g.items[0], q.byStartBy[at-1].items[0]) {
 		at--
 	}
-	q.order = slices.Insert(q.order, at, g)
+	q.byStartBy = slices.Insert(q.byStartBy, at, g)
 }
 
-func (q *Queue) take(g *group) {
-	at := slices.Index(q.order, g)
-	q.order = slices.Delete(q.order, at, at+1)
+func (q *Queue) removeGroup(g *group) {
+	at := slices.Index(q.byStartBy, g)
+	q.byStartBy = slices.Delete(q.byStartBy, at, at+1)
 }
 
 // Candidates appends to dst the most pressing request of each group, at most limit
@@ -105,14 +105,14 @@
 		dst = append(dst, g.items[0])
 		limit--
 	}
-	pressing := min((limit+1)/2, len(q.order))
-	for _, g := range q.order[:pressing] {
+	urgent := min((limit+1)/2, len(q.byStartBy))
+	for _, g := range q.byStartBy[:urgent] {
 		if recent == 0 || g.key != recent {
 			dst = append(dst, g.items[0])
 			limit--
 		}
 	}
-	others := q.order[pressing:]
+	others := q.byStartBy[urgent:]
 	for i := range min(limit, len(others)) {
 		g := others[(cursor+i)%len(others)]
 		if recent == 0 || g.key != recent {
@@ -132,20 +132,20 @@
 	if at < 0 {
 		return false
 	}
-	q.take(g)
+	q.removeGroup(g)
 	g.items = slices.Delete(g.items, at, at+1)
 	q.size--
 	if len(g.items) == 0 {
 		delete(q.groups, key)
 		return true
 	}
-	q.insert(g)
+	q.insertGroup(g)
 	return true
 }
 
 // Expired appends to dst the requests that had to start by now.
 func (q *Queue) Expired(dst []Item, now tables.Instant) []Item {
-	for _, g := range q.order {
+	for _, g := range q.byStartBy {
 		if g.items[0].StartBy > now {
 			break
 		}
--- a/systems/waiting/waiting_test.go
+++ b/systems/waiting/waiting_test.go
@@ -15,12 +15,12 @@
 // The seed is fixed, so that a change is judged the same way every time.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// naive holds the items in order of arrival and searches them all.
-type naive []waiting.Item
+// referenceQueue holds the items in order of arrival and searches them all.
+type referenceQueue []waiting.Item
 
-// heads is the first item of each group, groups by start-by time: the recent
+// candidates is the first item of each group, groups by start-by time: the recent
 // one, then the pressing half, then those from the cursor on.
-func (n naive) heads(recent tables.BlockHash, cursor, limit int) []*tables.RequestRow {
+func (n referenceQueue) candidates(recent tables.BlockHash, cursor, limit int) []*tables.RequestRow {
 	sorted := slices.Clone(n)
 	slices.SortStableFunc(sorted, func(a, b waiting.Item) int { return int(a.StartBy - b.StartBy) })
 	var groups []waiting.Item
@@ -50,7 +50,7 @@
 	return rows
 }
 
-func rowsOf(items []waiting.Item) []*tables.RequestRow {
+func requestsOf(items []waiting.Item) []*tables.RequestRow {
 	var rows []*tables.RequestRow
 	for _, item := range items {
 		rows = append(rows, item.Row)
@@ -58,10 +58,10 @@
 	return rows
 }
 
-func TestQueueAgreesWithASearchOfEverything(t *testing.T) {
+func TestQueueMatchesReferenceImplementation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q waiting.Queue
-		var n naive
+		var n referenceQueue
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -91,7 +91,7 @@
 			recent := tables.BlockHash(rapid.IntRange(0, 4).Draw(t, "recent"))
 			limit := rapid.IntRange(0, 6).Draw(t, "limit")
 			cursor := rapid.IntRange(0, 9).Draw(t, "cursor")
-			assert.Assert(t, slices.Equal(rowsOf(q.Candidates(nil, recent, cursor, limit)), n.heads(recent, cursor, limit)))
+			assert.Assert(t, slices.Equal(requestsOf(q.Candidates(nil, recent, cursor, limit)), n.candidates(recent, cursor, limit)))
 			assert.Equal(t, q.Len(), len(n))
 		}
 	})
