--- a/systems/quarantine/incident.go
+++ b/systems/quarantine/incident.go
@@ -8,7 +8,7 @@
 
 // incident is the end of one life of an endpoint.
 type incident struct {
-	life       Incarnation
+	incarnation       Incarnation
 	at         tables.Instant
 	candidates []candidate
 }
@@ -16,7 +16,7 @@
 // candidate is a request that was running when the endpoint crashed.
 type candidate struct {
 	fingerprint tables.Fingerprint
-	mark        CrashPoint
+	crashPoint        CrashPoint
 	// cleared is set once the request has completed elsewhere. It stays listed
 	// so that a late message does not make it a candidate again.
 	cleared bool
@@ -31,70 +31,70 @@
 	return nil
 }
 
-// weight is how strongly incidents speak against a request.
-type weight struct {
+// evidence is how strongly incidents speak against a request.
+type evidence struct {
 	// incidents is how many it is a candidate of, likely how many of these
 	// crashed while it was young.
 	incidents, likely int
 }
 
-// note makes a request a candidate of an incident, and says whether that is
+// addCandidate makes a request a candidate of an incident, and says whether that is
 // new.
-func (s *Detector) note(at tables.Instant, life Incarnation, f tables.Fingerprint, mark CrashPoint) bool {
-	i := s.incident(at, life)
+func (s *Detector) addCandidate(at tables.Instant, incarnation Incarnation, f tables.Fingerprint, point CrashPoint) bool {
+	i := s.incidentFor(at, incarnation)
 	if i.find(f) != nil || len(i.candidates) >= s.options.MaxCandidates {
 		return false
 	}
-	i.candidates = append(i.candidates, candidate{fingerprint: f, mark: mark})
-	w := s.weights[f]
+	i.candidates = append(i.candidates, candidate{fingerprint: f, crashPoint: point})
+	w := s.evidence[f]
 	w.incidents++
-	if mark.Likely {
+	if point.Likely {
 		w.likely++
 	}
-	s.weights[f] = w
+	s.evidence[f] = w
 	return true
 }
 
-func (s *Detector) incident(at tables.Instant, life Incarnation) *incident {
+func (s *Detector) incidentFor(at tables.Instant, incarnation Incarnation) *incident {
 	for _, i := range s.incidents {
-		if i.life == life {
+		if i.incarnation == incarnation {
 			return i
 		}
 	}
 	if len(s.incidents) >= s.options.MaxIncidents {
-		s.drop(s.incidents[0])
+		s.removeEvidence(s.incidents[0])
 		s.incidents = s.incidents[1:]
 	}
-	i := &incident{life: life, at: at}
+	i := &incident{incarnation: incarnation, at: at}
 	s.incidents = append(s.incidents, i)
 	return i
 }
 
-// drop takes an incident out of the counts.
-func (s *Detector) drop(i *incident) {
+// removeEvidence takes an incident out of the counts.
+func (s *Detector) removeEvidence(i *incident) {
 	for _, c := range i.candidates {
 		if !c.cleared {
-			s.unweigh(c)
+			s.subtractEvidence(c)
 		}
 	}
 }
 
-func (s *Detector) unweigh(c candidate) {
-	w := s.weights[c.fingerprint]
+func (s *Detector) subtractEvidence(c candidate) {
+	w := s.evidence[c.fingerprint]
 	w.incidents--
-	if c.mark.Likely {
+	if c.crashPoint.Likely {
 		w.likely--
 	}
 	if w.incidents <= 0 {
-		delete(s.weights, c.fingerprint)
+		delete(s.evidence, c.fingerprint)
 		return
 	}
-	s.weights[c.fingerprint] = w
+	s.evidence[c.fingerprint] = w
 }
 
-// clear takes a request off all incidents.
-func (s *Detector) clear(f tables.Fingerprint) {
-	if s.weights[f].incidents == 0 {
+// exonerate takes a request off all incidents.
+func (s *Detector) exonerate(f tables.Fingerprint) {
+	if s.evidence[f].incidents == 0 {
 		return
 	}
 	for _, i := range s.incidents {
@@ -102,7 +102,7 @@
 			c.cleared = true
 		}
 	}
-	delete(s.weights, f)
+	delete(s.evidence, f)
 }
 
 // expire forgets what is old.
@@ -110,7 +110,7 @@
 	kept := s.incidents[:0]
 	for _, i := range s.incidents {
 		if now-i.at > s.options.Retention {
-			s.drop(i)
+			s.removeEvidence(i)
 			continue
 		}
 		kept = append(kept, i)
@@ -129,12 +129,12 @@
 		return
 	}
 	if len(s.convicted) >= s.options.MaxConvictions {
-		s.pardonOldest()
+		s.evictOldestConviction()
 	}
 	s.convicted[f] = at
 }
 
-func (s *Detector) pardonOldest() {
+func (s *Detector) evictOldestConviction() {
 	var oldest tables.Fingerprint
 	first := true
 	for f, at := range s.convicted {
@@ -154,7 +154,7 @@
 	if _, ok := s.convicted[f]; ok {
 		return Reject
 	}
-	count := s.weights[f].incidents
+	count := s.evidence[f].incidents
 	if count == 0 {
 		return Allow
 	}
@@ -164,22 +164,22 @@
 		if c == nil || c.cleared {
 			continue
 		}
-		if s.stands(i, f) {
+		if s.standsOut(i, f) {
 			standing++
 		}
 		latest = max(latest, i.at)
-		if !s.explained(i) {
-			verdict = max(verdict, s.severity(c, count, now-i.at))
+		if !s.hasConvictedCandidate(i) {
+			verdict = max(verdict, s.isolation(c, count, now-i.at))
 		}
 	}
-	if count >= convictAlwaysAt {
+	if count >= unconditionalThreshold {
 		s.convict(now, f)
 		return Reject
 	}
-	if standing < s.needed(f) {
+	if standing < s.requiredIncidents(f) {
 		return verdict
 	}
-	if now-latest < s.settle(f) {
+	if now-latest < s.settleDelay(f) {
 		return Defer
 	}
 	s.convict(now, f)
@@ -187,59 +187,59 @@
 }
 
 const (
-	// convictAt is the number of incidents that a convicted request was in. One
+	// convictionThreshold is the number of incidents that a convicted request was in. One
 	// crash convicts nobody: endpoints crash for reasons of their own, and then
 	// every request that they ran would be refused.
-	convictAt = 2
-	// convictDoubtfulAt is the number when the incidents point elsewhere.
-	convictDoubtfulAt = 3
-	// convictAlwaysAt is the number that convicts whatever else is known. Two
+	convictionThreshold = 2
+	// weakEvidenceThreshold is the number when the incidents point elsewhere.
+	weakEvidenceThreshold = 3
+	// unconditionalThreshold is the number that convicts whatever else is known. Two
 	// guilty requests that meet often enough would hide behind each other for
 	// ever; no innocent one is that unlucky.
-	convictAlwaysAt = 5
-	// burstSize is how many crashes beside those of a request, within
+	unconditionalThreshold = 5
+	// minBurstCrashes is how many crashes beside those of a request, within
 	// Options.Burst of one of them, cast doubt on it.
-	burstSize = 1
-	// besideSettles is by how much a conviction waits longer when there were
+	minBurstCrashes = 1
+	// unrelatedCrashDelayFactor is by how much a conviction waits longer when there were
 	// other crashes.
-	besideSettles = 6
+	unrelatedCrashDelayFactor = 6
 )
 
-// needed is the number of incidents that convicts f. It is higher when the
+// requiredIncidents is the number of incidents that convicts f. It is higher when the
 // crashes did not come at the same point of the request, and when they belong
 // to a burst: when several endpoints crash together, an innocent request can
 // meet two crashes in a row.
-func (s *Detector) needed(f tables.Fingerprint) int {
-	if !s.repeats(f) || s.inBurst(f) {
-		return convictDoubtfulAt
+func (s *Detector) requiredIncidents(f tables.Fingerprint) int {
+	if !s.crashesAtSamePoint(f) || s.inBurst(f) {
+		return weakEvidenceThreshold
 	}
-	return convictAt
+	return convictionThreshold
 }
 
-// repeats says whether two crashes came at the same point of f.
-func (s *Detector) repeats(f tables.Fingerprint) bool {
-	var marks []CrashPoint
+// crashesAtSamePoint says whether two crashes came at the same point of f.
+func (s *Detector) crashesAtSamePoint(f tables.Fingerprint) bool {
+	var points []CrashPoint
 	for _, i := range s.incidents {
 		c := i.find(f)
 		if c == nil || c.cleared {
 			continue
 		}
-		for _, m := range marks {
-			if m.matches(c.mark) {
+		for _, m := range points {
+			if m.matches(c.crashPoint) {
 				return true
 			}
 		}
-		marks = append(marks, c.mark)
+		points = append(points, c.crashPoint)
 	}
 	return false
 }
 
-// longest is how long f ran at most before a crash.
-func (s *Detector) longest(f tables.Fingerprint) time.Duration {
+// longestRun is how long f ran at most before a crash.
+func (s *Detector) longestRun(f tables.Fingerprint) time.Duration {
 	var longest time.Duration
 	for _, i := range s.incidents {
 		if c := i.find(f); c != nil && !c.cleared {
-			longest = max(longest, c.mark.SinceFirstToken)
+			longest = max(longest, c.crashPoint.SinceFirstToken)
 		}
 	}
 	return longest
@@ -247,32 +247,32 @@
 
 // inBurst says whether several endpoints that did not run f crashed at about
 // the time of one that did.
-func (s *Detector) inBurst(f tables.Fingerprint) bool { return s.beside(f) >= burstSize }
+func (s *Detector) inBurst(f tables.Fingerprint) bool { return s.unrelatedCrashes(f) >= minBurstCrashes }
 
-// beside counts the endpoints that crashed at about the time of one that ran f
+// unrelatedCrashes counts the endpoints that crashed at about the time of one that ran f
 // and did not run it themselves.
-func (s *Detector) beside(f tables.Fingerprint) int {
+func (s *Detector) unrelatedCrashes(f tables.Fingerprint) int {
 	beside := 0
 	for _, other := range s.incidents {
-		if other.find(f) == nil && s.near(other, f) {
+		if other.find(f) == nil && s.coincidesWith(other, f) {
 			beside++
 		}
 	}
 	return beside
 }
 
-// settle is how long a conviction of f waits. With other crashes about there
+// settleDelay is how long a conviction of f waits. With other crashes about there
 // may be a second request that crashes endpoints, and f merely have met both;
 // the other needs time to give itself away.
-func (s *Detector) settle(f tables.Fingerprint) time.Duration {
-	if s.beside(f) > 0 {
-		return besideSettles * s.options.SettleDelay
+func (s *Detector) settleDelay(f tables.Fingerprint) time.Duration {
+	if s.unrelatedCrashes(f) > 0 {
+		return unrelatedCrashDelayFactor * s.options.SettleDelay
 	}
 	return s.options.SettleDelay
 }
 
-// near says whether an incident happened at about the time of one of f's.
-func (s *Detector) near(other *incident, f tables.Fingerprint) bool {
+// coincidesWith says whether an incident happened at about the time of one of f's.
+func (s *Detector) coincidesWith(other *incident, f tables.Fingerprint) bool {
 	for _, i := range s.incidents {
 		c := i.find(f)
 		if c != nil && !c.cleared && (other.at-i.at).Abs() <= s.options.BurstWindow {
@@ -282,17 +282,17 @@
 	return false
 }
 
-// severity is how far an unconvicted candidate of an incident of the given age
+// isolation is how far an unconvicted candidate of an incident of the given age
 // is kept apart. Only one that met two crashes at the same point has to wait
 // for an endpoint to itself: others that met two are more likely unlucky, and
 // their callers' streams would end for want of such an endpoint.
-func (s *Detector) severity(c *candidate, count int, age time.Duration) Verdict {
+func (s *Detector) isolation(c *candidate, count int, age time.Duration) Verdict {
 	switch {
-	case count >= convictAt && s.repeats(c.fingerprint) && age < s.options.OwnershipWindow:
+	case count >= convictionThreshold && s.crashesAtSamePoint(c.fingerprint) && age < s.options.OwnershipWindow:
 		return ExclusiveOwned
-	case count >= convictAt && s.repeats(c.fingerprint):
+	case count >= convictionThreshold && s.crashesAtSamePoint(c.fingerprint):
 		return Exclusive
-	case !c.mark.Likely:
+	case !c.crashPoint.Likely:
 		return Allow
 	case age < s.options.OwnershipWindow:
 		return AvoidSuspectsOwned
@@ -301,33 +301,33 @@
 	}
 }
 
-// strength is how much speaks against f: its incidents, those in which it was
+// evidenceScore is how much speaks against f: its incidents, those in which it was
 // young once more, and once more if two came at the same point of it.
-func (s *Detector) strength(f tables.Fingerprint) int {
-	w := s.weights[f]
+func (s *Detector) evidenceScore(f tables.Fingerprint) int {
+	w := s.evidence[f]
 	strength := w.incidents + w.likely
-	if w.incidents >= convictAt && s.repeats(f) {
+	if w.incidents >= convictionThreshold && s.crashesAtSamePoint(f) {
 		strength++
 	}
 	return strength
 }
 
-// stands says whether f stands out among the candidates of an incident: more
+// standsOut says whether f standsOut out among the candidates of an incident: more
 // speaks against it than against any other that is not cleared. If more speaks
 // against none, the next run, alone, tells them apart.
-func (s *Detector) stands(i *incident, f tables.Fingerprint) bool {
-	own := s.strength(f)
+func (s *Detector) standsOut(i *incident, f tables.Fingerprint) bool {
+	own := s.evidenceScore(f)
 	for _, c := range i.candidates {
-		if c.fingerprint != f && !c.cleared && s.strength(c.fingerprint) >= own {
+		if c.fingerprint != f && !c.cleared && s.evidenceScore(c.fingerprint) >= own {
 			return false
 		}
 	}
 	return true
 }
 
-// explained says whether one of the candidates is convicted, so that the
+// hasConvictedCandidate says whether one of the candidates is convicted, so that the
 // others need not be kept apart on account of this incident.
-func (s *Detector) explained(i *incident) bool {
+func (s *Detector) hasConvictedCandidate(i *incident) bool {
 	for _, c := range i.candidates {
 		if _, ok := s.convicted[c.fingerprint]; ok {
 			return true
--- a/systems/quarantine/quarantine.go
+++ b/systems/quarantine/quarantine.go
@@ -155,56 +155,56 @@
 	SinceFirstToken time.Duration
 }
 
-// markSlack is how far two crashes at the same point may lie apart, in tokens:
+// crashPointTolerance is how far two crashes at the same point may lie apart, in tokens:
 // endpoints batch tokens, and the last ones are lost in a crash.
-const markSlack = 4
+const crashPointTolerance = 4
 
 // matches says whether two crashes happened at the same point.
 func (m CrashPoint) matches(other CrashPoint) bool {
 	return m.Likely && other.Likely &&
-		(distance(m.AttemptTokens, other.AttemptTokens) <= markSlack || distance(m.AnswerTokens, other.AnswerTokens) <= markSlack)
+		(distance(m.AttemptTokens, other.AttemptTokens) <= crashPointTolerance || distance(m.AnswerTokens, other.AnswerTokens) <= crashPointTolerance)
 }
 
 func distance(a, b int) int { return max(a-b, b-a) }
 
-// running is an attempt that has not ended, or that broke off just now.
-type running struct {
+// attempt is an attempt that has not ended, or that broke off just now.
+type attempt struct {
 	fingerprint tables.Fingerprint
-	life        Incarnation
+	incarnation Incarnation
 	verdict     Verdict
 	// firstToken is zero until there is one.
 	firstToken tables.Instant
-	// outlives is how long after its first token a suspect has outlived what
+	// safeAfter is how long after its first token a suspect has outlived what
 	// it crashed by, and need not be kept apart from others any more.
-	outlives time.Duration
-	// brokenAt is zero while the attempt runs.
-	brokenAt tables.Instant
-	tokens   int
-	position int
+	safeAfter time.Duration
+	// interruptedAt is zero while the attempt runs.
+	interruptedAt tables.Instant
+	attemptTokens int
+	answerTokens  int
 }
 
 // Detector is the state of one instance. Its methods take readings of one
 // monotonic clock that never go back.
 type Detector struct {
-	options   Options
-	running   map[tables.AttemptID]*running
-	broken    []tables.AttemptID
-	incidents []*incident
-	convicted map[tables.Fingerprint]tables.Instant
-	// weights is how strongly incidents speak against each fingerprint.
-	weights map[tables.Fingerprint]weight
-	rank    int
-	of      int
+	options     Options
+	attempts    map[tables.AttemptID]*attempt
+	interrupted []tables.AttemptID
+	incidents   []*incident
+	convicted   map[tables.Fingerprint]tables.Instant
+	// evidence is how strongly incidents speak against each fingerprint.
+	evidence  map[tables.Fingerprint]evidence
+	rank      int
+	instances int
 }
 
 // New returns a System that suspects nobody.
 func New(o Options) *Detector {
 	return &Detector{
 		options:   o.withDefaults(),
-		running:   make(map[tables.AttemptID]*running),
+		attempts:  make(map[tables.AttemptID]*attempt),
 		convicted: make(map[tables.Fingerprint]tables.Instant),
-		weights:   make(map[tables.Fingerprint]weight),
-		of:        1,
+		evidence:  make(map[tables.Fingerprint]evidence),
+		instances: 1,
 	}
 }
 
@@ -212,121 +212,121 @@
 // than of. Endpoints are divided among them for suspects.
 func (s *Detector) SetRank(rank, of int) {
 	if rank >= 0 && rank < of {
-		s.rank, s.of = rank, of
+		s.rank, s.instances = rank, of
 	}
 }
 
 // owns says whether an endpoint falls to this instance.
 func (s *Detector) owns(endpoint tables.EndpointID) bool {
-	return s.of == 1 || xxhash.Sum64String(string(endpoint))%uint64(s.of) == uint64(s.rank)
+	return s.instances == 1 || xxhash.Sum64String(string(endpoint))%uint64(s.instances) == uint64(s.rank)
 }
 
 // Started notes that an attempt was dispatched.
-func (s *Detector) Started(now tables.Instant, id tables.AttemptID, at Incarnation, f tables.Fingerprint) {
-	r := &running{fingerprint: f, life: at, verdict: s.Verdict(now, f)}
+func (s *Detector) Started(now tables.Instant, id tables.AttemptID, incarnation Incarnation, f tables.Fingerprint) {
+	r := &attempt{fingerprint: f, incarnation: incarnation, verdict: s.Verdict(now, f)}
 	if r.verdict != Allow {
-		r.outlives = s.longest(f) + s.options.OutliveMargin
+		r.safeAfter = s.longestRun(f) + s.options.OutliveMargin
 	}
-	s.running[id] = r
+	s.attempts[id] = r
 }
 
 // Accepted notes which life of the endpoint runs the attempt.
 func (s *Detector) Accepted(id tables.AttemptID, boot tables.BootID) {
-	if r := s.running[id]; r != nil {
-		r.life.Boot = boot
+	if r := s.attempts[id]; r != nil {
+		r.incarnation.Boot = boot
 	}
 }
 
 // FirstToken notes that an attempt has come as far as its first token.
 func (s *Detector) FirstToken(now tables.Instant, id tables.AttemptID) {
-	if r := s.running[id]; r != nil {
+	if r := s.attempts[id]; r != nil {
 		r.firstToken = now
 	}
 }
 
 // Completed notes that an attempt ran to its end, which clears its request.
 func (s *Detector) Completed(id tables.AttemptID) {
-	r := s.running[id]
+	r := s.attempts[id]
 	if r == nil {
 		return
 	}
-	delete(s.running, id)
-	s.clear(r.fingerprint)
+	delete(s.attempts, id)
+	s.exonerate(r.fingerprint)
 }
 
 // Ended notes that an attempt ended for a reason that says nothing about its
 // request: it never started, or it was cancelled.
-func (s *Detector) Ended(id tables.AttemptID) { delete(s.running, id) }
+func (s *Detector) Ended(id tables.AttemptID) { delete(s.attempts, id) }
 
 // Interrupted notes that an attempt broke off. It stays a candidate for a while,
 // since the crash of its endpoint is often noticed a little later. tokens
 // counts those of the attempt, position those of the whole answer so far.
 func (s *Detector) Interrupted(now tables.Instant, id tables.AttemptID, tokens, position int) {
-	r := s.running[id]
-	if r == nil || r.brokenAt != 0 {
+	r := s.attempts[id]
+	if r == nil || r.interruptedAt != 0 {
 		return
 	}
-	r.brokenAt = max(now, 1)
-	r.tokens, r.position = tokens, position
-	s.broken = append(s.broken, id)
-	s.sweep(now)
+	r.interruptedAt = max(now, 1)
+	r.attemptTokens, r.answerTokens = tokens, position
+	s.interrupted = append(s.interrupted, id)
+	s.expireInterrupted(now)
 }
 
-// sweep forgets attempts that broke off long enough ago.
-func (s *Detector) sweep(now tables.Instant) {
-	kept := s.broken[:0]
-	for _, id := range s.broken {
-		r := s.running[id]
+// expireInterrupted forgets attempts that broke off long enough ago.
+func (s *Detector) expireInterrupted(now tables.Instant) {
+	kept := s.interrupted[:0]
+	for _, id := range s.interrupted {
+		r := s.attempts[id]
 		if r == nil {
 			continue
 		}
-		if now-r.brokenAt > s.options.CrashDetectionLag {
-			delete(s.running, id)
+		if now-r.interruptedAt > s.options.CrashDetectionLag {
+			delete(s.attempts, id)
 			continue
 		}
 		kept = append(kept, id)
 	}
-	s.broken = kept
+	s.interrupted = kept
 }
 
 // Crashed notes that a life of an endpoint is over, and returns what the other
 // instances must be told. It may be called again for the same life when more
 // of its attempts have broken off.
-func (s *Detector) Crashed(now tables.Instant, life Incarnation) []Suspect {
-	s.sweep(now)
+func (s *Detector) Crashed(now tables.Instant, incarnation Incarnation) []Suspect {
+	s.expireInterrupted(now)
 	s.expire(now)
-	var told []Suspect
-	for _, id := range s.candidatesOf(life) {
-		r := s.running[id]
-		delete(s.running, id)
-		mark := CrashPoint{AttemptTokens: r.tokens, AnswerTokens: r.position}
+	var reports []Suspect
+	for _, id := range s.attemptsOn(incarnation) {
+		r := s.attempts[id]
+		delete(s.attempts, id)
+		point := CrashPoint{AttemptTokens: r.attemptTokens, AnswerTokens: r.answerTokens}
 		if r.firstToken != 0 {
-			mark.SinceFirstToken = now - r.firstToken
+			point.SinceFirstToken = now - r.firstToken
 		}
-		mark.Likely = mark.SinceFirstToken < s.options.LikelyWindow
-		if s.note(now, life, r.fingerprint, mark) {
-			told = append(told, Suspect{Fingerprint: r.fingerprint, Incarnation: life, CrashPoint: mark})
+		point.Likely = point.SinceFirstToken < s.options.LikelyWindow
+		if s.addCandidate(now, incarnation, r.fingerprint, point) {
+			reports = append(reports, Suspect{Fingerprint: r.fingerprint, Incarnation: incarnation, CrashPoint: point})
 		}
 	}
-	return told
+	return reports
 }
 
 // IncarnationOf returns the life that an attempt ran at. It is known while the attempt runs, and
 // for Options.Lag after it broke off.
-func (s *Detector) IncarnationOf(id tables.AttemptID) (life Incarnation, known bool) {
-	r, known := s.running[id]
+func (s *Detector) IncarnationOf(id tables.AttemptID) (incarnation Incarnation, known bool) {
+	r, known := s.attempts[id]
 	if !known {
 		return Incarnation{}, false
 	}
-	return r.life, true
+	return r.incarnation, true
 }
 
-// candidatesOf gives the attempts that the life ran, in a fixed order. An
+// attemptsOn gives the attempts that the life ran, in a fixed order. An
 // attempt that the endpoint had not yet answered has no boot identity.
-func (s *Detector) candidatesOf(life Incarnation) []tables.AttemptID {
+func (s *Detector) attemptsOn(incarnation Incarnation) []tables.AttemptID {
 	var ids []tables.AttemptID
-	for id, r := range s.running {
-		if r.life.Endpoint == life.Endpoint && (r.life.Boot == life.Boot || r.life.Boot == "") {
+	for id, r := range s.attempts {
+		if r.incarnation.Endpoint == incarnation.Endpoint && (r.incarnation.Boot == incarnation.Boot || r.incarnation.Boot == "") {
 			ids = append(ids, id)
 		}
 	}
@@ -335,16 +335,16 @@
 }
 
 // Merge takes in what another instance told.
-func (s *Detector) Merge(now tables.Instant, told Suspect) {
+func (s *Detector) Merge(now tables.Instant, report Suspect) {
 	s.expire(now)
-	if told.Age > s.options.Retention {
+	if report.Age > s.options.Retention {
 		return
 	}
-	if told.Convicted {
-		s.convict(now-told.Age, told.Fingerprint)
+	if report.Convicted {
+		s.convict(now-report.Age, report.Fingerprint)
 		return
 	}
-	s.note(now-told.Age, told.Incarnation, told.Fingerprint, told.CrashPoint)
+	s.addCandidate(now-report.Age, report.Incarnation, report.Fingerprint, report.CrashPoint)
 }
 
 // Suspects returns all that is known, for an instance that has just started or
@@ -355,7 +355,7 @@
 	for _, i := range s.incidents {
 		for _, c := range i.candidates {
 			if !c.cleared {
-				all = append(all, Suspect{Fingerprint: c.fingerprint, Incarnation: i.life, CrashPoint: c.mark, Age: now - i.at})
+				all = append(all, Suspect{Fingerprint: c.fingerprint, Incarnation: i.incarnation, CrashPoint: c.crashPoint, Age: now - i.at})
 			}
 		}
 	}
@@ -371,8 +371,8 @@
 	if v >= Defer || (v == AvoidSuspectsOwned || v == ExclusiveOwned) && !s.owns(endpoint) {
 		return false
 	}
-	for _, r := range s.running {
-		if r.brokenAt != 0 || r.life.Endpoint != endpoint {
+	for _, r := range s.attempts {
+		if r.interruptedAt != 0 || r.incarnation.Endpoint != endpoint {
 			continue
 		}
 		if v >= Exclusive || r.verdict >= Exclusive || v != Allow && r.verdict != Allow && !r.outlived(now) {
@@ -383,8 +383,8 @@
 }
 
 // outlived says whether the attempt has run longer than any that crashed.
-func (r *running) outlived(now tables.Instant) bool {
-	return r.firstToken != 0 && now-r.firstToken > r.outlives
+func (r *attempt) outlived(now tables.Instant) bool {
+	return r.firstToken != 0 && now-r.firstToken > r.safeAfter
 }
 
 // Empty says that there is nothing to look at: every verdict is Allow and every
--- a/systems/quarantine/simulation_test.go
+++ b/systems/quarantine/simulation_test.go
@@ -19,10 +19,10 @@
 	instances [3]*Detector
 	endpoints []*fakeEndpoint
 	requests  []*fakeRequest
-	mail      []letter
+	messages      []message
 	attempts  int
-	lost      int
-	hit       int
+	crashes      int
+	affected       int
 	refused   map[bool]int
 	answered  int
 }
@@ -34,7 +34,7 @@
 	runs   []*fakeRequest
 }
 
-func (e *fakeEndpoint) life() Incarnation {
+func (e *fakeEndpoint) incarnation() Incarnation {
 	return Incarnation{Endpoint: e.id, Boot: tables.BootID(fmt.Sprint(e.boot))}
 }
 
@@ -46,24 +46,24 @@
 	attempt     tables.AttemptID
 	endpoint    *fakeEndpoint
 	started     tables.Instant
-	takes       time.Duration
-	position    int
+	duration       time.Duration
+	answerTokens    int
 	notBefore   tables.Instant
 	ended       bool
 }
 
-type letter struct {
+type message struct {
 	to   int
 	due  tables.Instant
-	told Suspect
+	suspect Suspect
 }
 
 const (
 	step        = 10 * time.Millisecond
 	gossipDelay = 50 * time.Millisecond
 	firstToken  = 200 * time.Millisecond
-	repair      = 3 * time.Second
-	resendAfter = 300 * time.Millisecond
+	restartDelay      = 3 * time.Second
+	resendDelay = 300 * time.Millisecond
 	tokenTime   = 30 * time.Millisecond
 	slots       = 8
 )
@@ -83,9 +83,9 @@
 func (f *fleet) run(d time.Duration, innocent float64) {
 	for end := f.now + d; f.now < end; f.now += step {
 		if f.rand.Float64() < innocent*step.Seconds() {
-			f.add(&fakeRequest{
+			f.submit(&fakeRequest{
 				fingerprint: tables.Fingerprint(f.rand.Uint64() | 1), instance: f.rand.IntN(3),
-				takes: 500*time.Millisecond + time.Duration(f.rand.Int64N(int64(6*time.Second))),
+				duration: 500*time.Millisecond + time.Duration(f.rand.Int64N(int64(6*time.Second))),
 			})
 		}
 		f.deliver()
@@ -99,26 +99,26 @@
 	}
 }
 
-func (f *fleet) add(r *fakeRequest) { f.requests = append(f.requests, r) }
+func (f *fleet) submit(r *fakeRequest) { f.requests = append(f.requests, r) }
 
-func (f *fleet) poison(fingerprint tables.Fingerprint, instance int) {
-	f.add(&fakeRequest{
+func (f *fleet) submitPoison(fingerprint tables.Fingerprint, instance int) {
+	f.submit(&fakeRequest{
 		fingerprint: fingerprint, crashes: true, instance: instance, resends: 6,
-		takes: 30*time.Millisecond + time.Duration(f.rand.Int64N(int64(300*time.Millisecond))),
+		duration: 30*time.Millisecond + time.Duration(f.rand.Int64N(int64(300*time.Millisecond))),
 	})
 }
 
 func (f *fleet) deliver() {
-	kept := f.mail[:0]
-	for _, m := range f.mail {
+	kept := f.messages[:0]
+	for _, m := range f.messages {
 		if m.due > f.now {
 			kept = append(kept, m)
 			continue
 		}
-		m.told.Age = gossipDelay
-		f.instances[m.to].Merge(f.now, m.told)
+		m.suspect.Age = gossipDelay
+		f.instances[m.to].Merge(f.now, m.suspect)
 	}
-	f.mail = kept
+	f.messages = kept
 }
 
 func (f *fleet) advance(r *fakeRequest) {
@@ -126,10 +126,10 @@
 	case r.ended || f.now < r.notBefore:
 	case r.endpoint == nil:
 		f.place(r)
-	case f.now-r.started >= r.takes && r.crashes:
+	case f.now-r.started >= r.duration && r.crashes:
 		f.crash(r.endpoint)
-	case f.now-r.started >= r.takes:
-		f.leave(r)
+	case f.now-r.started >= r.duration:
+		f.removeFromEndpoint(r)
 		f.instances[r.instance].Completed(r.attempt)
 		r.ended = true
 		f.answered++
@@ -148,12 +148,12 @@
 			return
 		}
 		r.instance = (r.instance + 1) % 3
-		r.notBefore = f.now + resendAfter
+		r.notBefore = f.now + resendDelay
 		return
 	}
-	best := f.pick(s, verdict)
+	best := f.leastLoaded(s, verdict)
 	if best == nil {
-		best = f.pick(s, verdict.WithoutOwnership())
+		best = f.leastLoaded(s, verdict.WithoutOwnership())
 	}
 	if best == nil {
 		return
@@ -162,10 +162,10 @@
 	r.attempt = tables.AttemptID(fmt.Sprint(f.attempts))
 	r.endpoint, r.started = best, f.now
 	best.runs = append(best.runs, r)
-	s.Started(f.now, r.attempt, best.life(), r.fingerprint)
+	s.Started(f.now, r.attempt, best.incarnation(), r.fingerprint)
 }
 
-func (f *fleet) pick(s *Detector, v Verdict) *fakeEndpoint {
+func (f *fleet) leastLoaded(s *Detector, v Verdict) *fakeEndpoint {
 	var best *fakeEndpoint
 	for _, e := range f.endpoints {
 		if f.now < e.downAt || len(e.runs) >= slots || !s.Admits(f.now, e.id, v) {
@@ -178,7 +178,7 @@
 	return best
 }
 
-func (f *fleet) leave(r *fakeRequest) {
+func (f *fleet) removeFromEndpoint(r *fakeRequest) {
 	kept := r.endpoint.runs[:0]
 	for _, other := range r.endpoint.runs {
 		if other != r {
@@ -190,23 +190,23 @@
 }
 
 func (f *fleet) crash(e *fakeEndpoint) {
-	f.lost++
-	life := e.life()
+	f.crashes++
+	incarnation := e.incarnation()
 	e.boot++
-	e.downAt = f.now + repair
-	f.hit += len(e.runs)
+	e.downAt = f.now + restartDelay
+	f.affected += len(e.runs)
 	for _, r := range append([]*fakeRequest(nil), e.runs...) {
-		f.leave(r)
+		f.removeFromEndpoint(r)
 		tokens := max(0, int((f.now-r.started-firstToken)/tokenTime))
-		r.position += tokens
-		f.instances[r.instance].Interrupted(f.now, r.attempt, tokens, r.position)
+		r.answerTokens += tokens
+		f.instances[r.instance].Interrupted(f.now, r.attempt, tokens, r.answerTokens)
 		r.notBefore = f.now + 5*time.Millisecond
 	}
 	for from, s := range f.instances {
-		for _, told := range s.Crashed(f.now, life) {
+		for _, told := range s.Crashed(f.now, incarnation) {
 			for to := range f.instances {
 				if to != from {
-					f.mail = append(f.mail, letter{to: to, due: f.now + gossipDelay, told: told})
+					f.messages = append(f.messages, message{to: to, due: f.now + gossipDelay, suspect: told})
 				}
 			}
 		}
@@ -216,14 +216,14 @@
 // A caller's request kills every engine that runs it, and the caller sends it
 // again and again through all instances. Other callers notice a pause when
 // their engine dies; none of them is refused.
-func TestRequestThatCrashesEndpointsIsStopped(t *testing.T) {
+func TestPoisonRequestIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		endpoints int
 		poisons   int
 		rate      float64
-		// most is the largest number of endpoints that may be lost.
-		most int
+		// maxCrashes is the largest number of endpoints that may be lost.
+		maxCrashes int
 	}{
 		{"one, small fleet, idle", 9, 1, 1, 2},
 		{"one, small fleet, busy", 9, 1, 12, 2},
@@ -238,12 +238,12 @@
 				f := newFleet(seed, c.endpoints)
 				f.run(10*time.Second, c.rate)
 				for p := range c.poisons {
-					f.poison(tables.Fingerprint(2*p+2), int(seed+uint64(p))%3)
+					f.submitPoison(tables.Fingerprint(2*p+2), int(seed+uint64(p))%3)
 				}
 				f.run(30*time.Second, c.rate)
-				worst, total = max(worst, f.lost), total+f.lost
+				worst, total = max(worst, f.crashes), total+f.crashes
 				assert.Equal(t, f.refused[false], 0, "seed %d: innocents refused", seed)
-				assert.Assert(t, f.lost <= c.most, "seed %d: %d endpoints lost", seed, f.lost)
+				assert.Assert(t, f.crashes <= c.maxCrashes, "seed %d: %d endpoints lost", seed, f.crashes)
 				assert.Assert(t, f.refused[true] > 0, "seed %d: never refused", seed)
 			}
 			assert.Assert(t, total <= seeds*c.poisons*13/4, "%d endpoints lost over %d seeds", total, seeds)
@@ -255,7 +255,7 @@
 // Endpoints crash by themselves, several a minute, and a rack of six goes down
 // within a second. Hardly anybody's request may be refused for it: only one that
 // met two crashes at the same point cannot be told from a guilty one.
-func TestCrashesOfOtherCauseConvictHardlyAnyone(t *testing.T) {
+func TestUnrelatedCrashesRarelyConvict(t *testing.T) {
 	refused, hit := 0, 0
 	for seed := range uint64(50) {
 		f := newFleet(seed, 18)
@@ -269,49 +269,49 @@
 			f.run(100*time.Millisecond, 25)
 		}
 		f.run(20*time.Second, 25)
-		refused, hit = refused+f.refused[false], hit+f.hit
+		refused, hit = refused+f.refused[false], hit+f.affected
 	}
 	t.Logf("refused %d of %d that were hit by a crash", refused, hit)
 	assert.Assert(t, refused*100 <= hit, "refused %d of %d", refused, hit)
 }
 
-func TestSuspicionIsBoundedAndForgotten(t *testing.T) {
+func TestStateIsBoundedAndExpires(t *testing.T) {
 	s := New(Options{MaxIncidents: 3, MaxConvictions: 2})
 	now := tables.Instant(0)
-	crash := func(endpoint string, f tables.Fingerprint) {
+	recordCrash := func(endpoint string, f tables.Fingerprint) {
 		id := tables.AttemptID(fmt.Sprint(endpoint, f))
 		life := Incarnation{Endpoint: tables.EndpointID(endpoint), Boot: "1"}
 		s.Started(now, id, life, f)
 		s.Interrupted(now, id, 0, 0)
 		s.Crashed(now, life)
 	}
-	crash("a", 1)
+	recordCrash("a", 1)
 	assert.Equal(t, s.Verdict(now, 1), AvoidSuspectsOwned)
 	now += DefaultOwnershipWindow
 	assert.Equal(t, s.Verdict(now, 1), AvoidSuspects)
-	crash("b", 1)
+	recordCrash("b", 1)
 	assert.Equal(t, s.Verdict(now, 1), Defer)
 	now += DefaultSettleDelay
 	assert.Equal(t, s.Verdict(now, 1), Reject)
 	assert.Equal(t, s.Verdict(now, 2), Allow)
 
 	for i := range 10 {
-		crash(fmt.Sprint("c", i), tables.Fingerprint(100+i))
+		recordCrash(fmt.Sprint("c", i), tables.Fingerprint(100+i))
 		s.Merge(now, Suspect{Fingerprint: tables.Fingerprint(200 + i), Convicted: true})
 	}
 	assert.Equal(t, len(s.incidents), 3)
-	assert.Equal(t, len(s.weights), 3)
+	assert.Equal(t, len(s.evidence), 3)
 	assert.Equal(t, len(s.convicted), 2)
 
 	now += DefaultRetention + 1
 	assert.Equal(t, s.Verdict(now, 209), Allow)
 	assert.Assert(t, s.Empty())
-	assert.Equal(t, len(s.weights), 0)
+	assert.Equal(t, len(s.evidence), 0)
 }
 
 // A message about an old crash arrives after the request has completed
 // elsewhere. It must not make the request a suspect again.
-func TestClearedRequestStaysCleared(t *testing.T) {
+func TestLateReportDoesNotReviveClearedRequest(t *testing.T) {
 	s := New(Options{})
 	life := Incarnation{Endpoint: "a", Boot: "1"}
 	told := Suspect{Fingerprint: 7, Incarnation: life, CrashPoint: CrashPoint{Likely: true}}
