--- a/systems/waiting/waiting.go
+++ b/systems/waiting/waiting.go
@@ -1,9 +1,9 @@
-// Package waiting holds the requests of one organisation and class until they
-// can be placed. Those with a prefix in common form a group, so that they are
-// dispatched one after the other to the endpoint that has just computed it.
-// Groups are served in the order of their most pressing request: the one that
-// must start first. No request is passed over for ever, since the start-by
-// times of later ones are later.
+// Package waiting provides the queue in which the requests of one organisation and
+// priority class wait for an endpoint. It is an earliest-deadline-first queue that
+// batches by key: requests with a common prompt prefix form a group, so that they
+// are dispatched one after another to the endpoint that has just computed the
+// prefix. Groups are ordered by the earliest start-by time of their requests. No
+// request starves, because later requests have later start-by times.
 package waiting
 
 import (
@@ -12,37 +12,43 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Item is a waiting request.
+// Item is a request in a Queue.
 type Item struct {
 	Row *tables.RequestRow
-	// GroupKey is the block that the request has in common with its group; requests
-	// with key 0 are served in order of start-by time and not grouped.
+	// GroupKey is the hash of the block that the request has in common with its
+	// group. Requests with key 0 have no common prefix; they are served in order of
+	// start-by time.
 	GroupKey tables.BlockHash
-	// StartBy is when it must have started or be refused.
+	// StartBy is the deadline for the start of the request. A request that has not
+	// started by then is refused.
 	StartBy tables.Instant
-	// arrival is the order of arrival.
+	// arrival numbers the items in order of arrival. It breaks ties between equal
+	// start-by times.
 	arrival uint64
 }
 
-// group holds items of one key by start-by time.
+// group holds the items with the same key, ordered by start-by time.
 type group struct {
 	key   tables.BlockHash
 	items []Item
 }
 
-// Queue holds the waiting requests of one organisation in one class. It is not
-// safe for concurrent use.
+// Queue is an earliest-deadline-first queue of the requests of one organisation and
+// priority class, grouped by key. The zero value is an empty queue. It is not safe
+// for concurrent use.
 type Queue struct {
 	groups map[tables.BlockHash]*group
-	// byStartBy holds the groups by their first item.
+	// byStartBy holds the groups, ordered by their first item.
 	byStartBy []*group
-	size  int
-	lastArrival  uint64
+	size      int
+	// lastArrival is the arrival number of the newest item.
+	lastArrival uint64
 }
 
-// Len is the number of waiting requests.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.size }
 
+// startsBefore orders items by start-by time, then by arrival.
 func startsBefore(a, b Item) bool {
 	if a.StartBy != b.StartBy {
 		return a.StartBy < b.StartBy
@@ -50,7 +56,7 @@
 	return a.arrival < b.arrival
 }
 
-// Add enters a request.
+// Add enqueues a request.
 func (q *Queue) Add(item Item) {
 	if q.groups == nil {
 		q.groups = make(map[tables.BlockHash]*group)
@@ -73,6 +79,7 @@
 	}
 }
 
+// insertionIndex returns the index at which item keeps items in order.
 func insertionIndex(items []Item, item Item) int {
 	at := len(items)
 	for at > 0 && startsBefore(item, items[at-1]) {
@@ -81,6 +88,7 @@
 	return at
 }
 
+// insertGroup inserts a group at its place in byStartBy.
 func (q *Queue) insertGroup(g *group) {
 	at := len(q.byStartBy)
 	for at > 0 && startsBefore(g.items[0], q.byStartBy[at-1].items[0]) {
@@ -89,17 +97,18 @@
 	q.byStartBy = slices.Insert(q.byStartBy, at, g)
 }
 
+// removeGroup removes a group from byStartBy.
 func (q *Queue) removeGroup(g *group) {
 	at := slices.Index(q.byStartBy, g)
 	q.byStartBy = slices.Delete(q.byStartBy, at, at+1)
 }
 
-// Candidates appends to dst the most pressing request of each group, at most limit
-// of them, in the order in which they should be tried: first that of the group
-// with the given key, if there is one, since its prefix has just been computed
-// somewhere; then half of the rest by start-by time; then as many groups as are
-// left from the one at the cursor on, so that groups which cannot be placed do
-// not keep the others from being tried.
+// Candidates appends to dst the first request of each group, at most limit of them,
+// in the order in which the caller tries to place them. The group with key recent
+// comes first, since its prefix has just been computed at some endpoint. Half of
+// the remaining limit goes to the groups with the earliest start-by times. The rest
+// goes to the other groups in round-robin order, starting at cursor, so that groups
+// that cannot be placed do not starve the others.
 func (q *Queue) Candidates(dst []Item, recent tables.BlockHash, cursor, limit int) []Item {
 	if g := q.groups[recent]; g != nil && recent != 0 && limit > 0 {
 		dst = append(dst, g.items[0])
@@ -122,7 +131,8 @@
 	return dst
 }
 
-// Remove takes a request out, and says whether it was there.
+// Remove removes a request with the given group key and reports whether it was
+// queued.
 func (q *Queue) Remove(row *tables.RequestRow, key tables.BlockHash) bool {
 	g := q.groups[key]
 	if g == nil {
@@ -143,7 +153,8 @@
 	return true
 }
 
-// Expired appends to dst the requests that had to start by now.
+// Expired appends to dst the requests whose start-by time is not after now. It
+// leaves them in the queue.
 func (q *Queue) Expired(dst []Item, now tables.Instant) []Item {
 	for _, g := range q.byStartBy {
 		if g.items[0].StartBy > now {
--- a/systems/waiting/waiting_test.go
+++ b/systems/waiting/waiting_test.go
@@ -12,14 +12,16 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// The seed is fixed, so that a change is judged the same way every time.
+// The seed is fixed, so that a change is always judged by the same cases.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// referenceQueue holds the items in order of arrival and searches them all.
+// referenceQueue holds the items in order of arrival and scans all of them for each
+// query.
 type referenceQueue []waiting.Item
 
-// candidates is the first item of each group, groups by start-by time: the recent
-// one, then the pressing half, then those from the cursor on.
+// candidates returns the first item of each group: that of the recent group, then
+// the half of the limit with the earliest start-by times, then the groups from
+// cursor on.
 func (n referenceQueue) candidates(recent tables.BlockHash, cursor, limit int) []*tables.RequestRow {
 	sorted := slices.Clone(n)
 	slices.SortStableFunc(sorted, func(a, b waiting.Item) int { return int(a.StartBy - b.StartBy) })
@@ -58,6 +60,8 @@
 	return rows
 }
 
+// Guards against a queue whose order, size or expired requests differ from those
+// that a linear scan of all items finds.
 func TestQueueMatchesReferenceImplementation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q waiting.Queue
