--- a/systems/quarantine/incident.go
+++ b/systems/quarantine/incident.go
@@ -6,22 +6,23 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// incident is the end of one life of an endpoint.
+// incident is the crash of one endpoint process.
 type incident struct {
-	incarnation       Incarnation
-	at         tables.Instant
-	candidates []candidate
+	incarnation Incarnation
+	at          tables.Instant
+	candidates  []candidate
 }
 
 // candidate is a request that was running when the endpoint crashed.
 type candidate struct {
 	fingerprint tables.Fingerprint
-	crashPoint        CrashPoint
-	// cleared is set once the request has completed elsewhere. It stays listed
-	// so that a late message does not make it a candidate again.
+	crashPoint  CrashPoint
+	// cleared is set once the request has completed elsewhere. The candidate stays
+	// listed, so that a late report does not add it again.
 	cleared bool
 }
 
+// find returns the candidate with the fingerprint, nil if there is none.
 func (i *incident) find(f tables.Fingerprint) *candidate {
 	for n := range i.candidates {
 		if i.candidates[n].fingerprint == f {
@@ -31,15 +32,15 @@
 	return nil
 }
 
-// evidence is how strongly incidents speak against a request.
+// evidence sums up the incidents of a request.
 type evidence struct {
-	// incidents is how many it is a candidate of, likely how many of these
-	// crashed while it was young.
+	// incidents counts the incidents that the request is a candidate of, likely
+	// those of them that happened within Options.LikelyWindow of its first token.
 	incidents, likely int
 }
 
-// addCandidate makes a request a candidate of an incident, and says whether that is
-// new.
+// addCandidate makes a request a candidate of an incident and reports whether it
+// was added.
 func (s *Detector) addCandidate(at tables.Instant, incarnation Incarnation, f tables.Fingerprint, point CrashPoint) bool {
 	i := s.incidentFor(at, incarnation)
 	if i.find(f) != nil || len(i.candidates) >= s.options.MaxCandidates {
@@ -55,6 +56,8 @@
 	return true
 }
 
+// incidentFor returns the incident of an endpoint process. It records a new one if
+// there is none, and evicts the oldest one at the limit.
 func (s *Detector) incidentFor(at tables.Instant, incarnation Incarnation) *incident {
 	for _, i := range s.incidents {
 		if i.incarnation == incarnation {
@@ -70,7 +73,7 @@
 	return i
 }
 
-// removeEvidence takes an incident out of the counts.
+// removeEvidence takes an incident that is being dropped out of the evidence.
 func (s *Detector) removeEvidence(i *incident) {
 	for _, c := range i.candidates {
 		if !c.cleared {
@@ -79,6 +82,7 @@
 	}
 }
 
+// subtractEvidence takes one incident of a candidate out of its evidence.
 func (s *Detector) subtractEvidence(c candidate) {
 	w := s.evidence[c.fingerprint]
 	w.incidents--
@@ -92,7 +96,7 @@
 	s.evidence[c.fingerprint] = w
 }
 
-// exonerate takes a request off all incidents.
+// exonerate clears a request in all incidents.
 func (s *Detector) exonerate(f tables.Fingerprint) {
 	if s.evidence[f].incidents == 0 {
 		return
@@ -105,7 +109,7 @@
 	delete(s.evidence, f)
 }
 
-// expire forgets what is old.
+// expire drops incidents and convictions that are older than Options.Retention.
 func (s *Detector) expire(now tables.Instant) {
 	kept := s.incidents[:0]
 	for _, i := range s.incidents {
@@ -124,6 +128,8 @@
 	}
 }
 
+// convict records a conviction, unless a later one is known, and evicts the oldest
+// one at the limit.
 func (s *Detector) convict(at tables.Instant, f tables.Fingerprint) {
 	if known, ok := s.convicted[f]; ok && known >= at {
 		return
@@ -134,6 +140,8 @@
 	s.convicted[f] = at
 }
 
+// evictOldestConviction drops the oldest conviction. The lower fingerprint goes
+// first among equals, so that the choice does not depend on the order of the map.
 func (s *Detector) evictOldestConviction() {
 	var oldest tables.Fingerprint
 	first := true
@@ -145,7 +153,8 @@
 	delete(s.convicted, oldest)
 }
 
-// Verdict says how a request may run now.
+// Verdict returns the restriction under which a request may run now. It convicts
+// the request if the evidence suffices.
 func (s *Detector) Verdict(now tables.Instant, f tables.Fingerprint) Verdict {
 	if s.Empty() {
 		return Allow
@@ -187,28 +196,30 @@
 }
 
 const (
-	// convictionThreshold is the number of incidents that a convicted request was in. One
-	// crash convicts nobody: endpoints crash for reasons of their own, and then
-	// every request that they ran would be refused.
+	// convictionThreshold is the number of incidents that convicts a request. A
+	// single crash convicts no request: endpoints crash for other reasons too, and
+	// then every request that they ran would be rejected.
 	convictionThreshold = 2
-	// weakEvidenceThreshold is the number when the incidents point elsewhere.
+	// weakEvidenceThreshold is the number of incidents that convicts a request when
+	// there are signs of another cause, see requiredIncidents.
 	weakEvidenceThreshold = 3
-	// unconditionalThreshold is the number that convicts whatever else is known. Two
-	// guilty requests that meet often enough would hide behind each other for
-	// ever; no innocent one is that unlucky.
+	// unconditionalThreshold is the number of incidents that convicts a request
+	// regardless of the other candidates. Two poison requests that meet often
+	// enough would otherwise shield each other for ever. An innocent request does
+	// not meet that many crashes.
 	unconditionalThreshold = 5
-	// minBurstCrashes is how many crashes beside those of a request, within
-	// Options.Burst of one of them, cast doubt on it.
+	// minBurstCrashes is how many unrelated crashes within Options.BurstWindow of a
+	// crash of the request weaken the evidence against it.
 	minBurstCrashes = 1
-	// unrelatedCrashDelayFactor is by how much a conviction waits longer when there were
-	// other crashes.
+	// unrelatedCrashDelayFactor multiplies the settle delay of a conviction when
+	// there were unrelated crashes.
 	unrelatedCrashDelayFactor = 6
 )
 
-// requiredIncidents is the number of incidents that convicts f. It is higher when the
-// crashes did not come at the same point of the request, and when they belong
-// to a burst: when several endpoints crash together, an innocent request can
-// meet two crashes in a row.
+// requiredIncidents returns the number of incidents that convicts f. It is higher
+// when no two crashes happened at the same point of the request, and when the
+// crashes belong to a burst: when several endpoints crash together, an innocent
+// request can meet two crashes in a row.
 func (s *Detector) requiredIncidents(f tables.Fingerprint) int {
 	if !s.crashesAtSamePoint(f) || s.inBurst(f) {
 		return weakEvidenceThreshold
@@ -216,7 +227,7 @@
 	return convictionThreshold
 }
 
-// crashesAtSamePoint says whether two crashes came at the same point of f.
+// crashesAtSamePoint reports whether two crashes happened at the same point of f.
 func (s *Detector) crashesAtSamePoint(f tables.Fingerprint) bool {
 	var points []CrashPoint
 	for _, i := range s.incidents {
@@ -234,7 +245,8 @@
 	return false
 }
 
-// longestRun is how long f ran at most before a crash.
+// longestRun returns the longest time that f ran after its first token before a
+// crash.
 func (s *Detector) longestRun(f tables.Fingerprint) time.Duration {
 	var longest time.Duration
 	for _, i := range s.incidents {
@@ -245,12 +257,14 @@
 	return longest
 }
 
-// inBurst says whether several endpoints that did not run f crashed at about
-// the time of one that did.
-func (s *Detector) inBurst(f tables.Fingerprint) bool { return s.unrelatedCrashes(f) >= minBurstCrashes }
+// inBurst reports whether endpoints that did not run f crashed within
+// Options.BurstWindow of one that did.
+func (s *Detector) inBurst(f tables.Fingerprint) bool {
+	return s.unrelatedCrashes(f) >= minBurstCrashes
+}
 
-// unrelatedCrashes counts the endpoints that crashed at about the time of one that ran f
-// and did not run it themselves.
+// unrelatedCrashes counts the endpoints that crashed within Options.BurstWindow of
+// one that ran f, and that did not run f themselves.
 func (s *Detector) unrelatedCrashes(f tables.Fingerprint) int {
 	beside := 0
 	for _, other := range s.incidents {
@@ -261,9 +275,9 @@
 	return beside
 }
 
-// settleDelay is how long a conviction of f waits. With other crashes about there
-// may be a second request that crashes endpoints, and f merely have met both;
-// the other needs time to give itself away.
+// settleDelay returns how long the conviction of f is delayed. Unrelated crashes
+// may come from a second poison request, and f may merely have run beside it twice.
+// The longer delay gives the second request time to crash without f.
 func (s *Detector) settleDelay(f tables.Fingerprint) time.Duration {
 	if s.unrelatedCrashes(f) > 0 {
 		return unrelatedCrashDelayFactor * s.options.SettleDelay
@@ -271,7 +285,8 @@
 	return s.options.SettleDelay
 }
 
-// coincidesWith says whether an incident happened at about the time of one of f's.
+// coincidesWith reports whether an incident happened within Options.BurstWindow of
+// one of f's.
 func (s *Detector) coincidesWith(other *incident, f tables.Fingerprint) bool {
 	for _, i := range s.incidents {
 		c := i.find(f)
@@ -282,10 +297,11 @@
 	return false
 }
 
-// isolation is how far an unconvicted candidate of an incident of the given age
-// is kept apart. Only one that met two crashes at the same point has to wait
-// for an endpoint to itself: others that met two are more likely unlucky, and
-// their callers' streams would end for want of such an endpoint.
+// isolation returns the restriction on a candidate that is not convicted, for an
+// incident of the given age. Only a request that met two crashes at the same point
+// has to wait for an endpoint of its own. Others that met two crashes are more
+// likely innocent, and their callers' streams would end for lack of such an
+// endpoint.
 func (s *Detector) isolation(c *candidate, count int, age time.Duration) Verdict {
 	switch {
 	case count >= convictionThreshold && s.crashesAtSamePoint(c.fingerprint) && age < s.options.OwnershipWindow:
@@ -301,8 +317,9 @@
 	}
 }
 
-// evidenceScore is how much speaks against f: its incidents, those in which it was
-// young once more, and once more if two came at the same point of it.
+// evidenceScore returns the weight of the evidence against f: one for each
+// incident, one more for each incident with a likely crash point, and one more if
+// two crashes happened at the same point.
 func (s *Detector) evidenceScore(f tables.Fingerprint) int {
 	w := s.evidence[f]
 	strength := w.incidents + w.likely
@@ -312,9 +329,9 @@
 	return strength
 }
 
-// standsOut says whether f standsOut out among the candidates of an incident: more
-// speaks against it than against any other that is not cleared. If more speaks
-// against none, the next run, alone, tells them apart.
+// standsOut reports whether the evidence against f outweighs that against every
+// other candidate of an incident that is not cleared. If no candidate stands out,
+// their next runs, apart from each other, tell them apart.
 func (s *Detector) standsOut(i *incident, f tables.Fingerprint) bool {
 	own := s.evidenceScore(f)
 	for _, c := range i.candidates {
@@ -325,8 +342,8 @@
 	return true
 }
 
-// hasConvictedCandidate says whether one of the candidates is convicted, so that the
-// others need not be kept apart on account of this incident.
+// hasConvictedCandidate reports whether one of the candidates is convicted. That
+// explains the incident, so the other candidates need no restriction because of it.
 func (s *Detector) hasConvictedCandidate(i *incident) bool {
 	for _, c := range i.candidates {
 		if _, ok := s.convicted[c.fingerprint]; ok {
--- a/systems/quarantine/quarantine.go
+++ b/systems/quarantine/quarantine.go
@@ -1,16 +1,16 @@
-// Package quarantine finds the requests that crash the endpoints they run at.
-// Without it one such request, retried and sent again by its caller, would take
-// down one endpoint after another.
+// Package quarantine detects poison requests, also known as queries of death:
+// requests that crash the endpoints that run them. Without it, one such request,
+// retried and sent again by its caller, would take down one endpoint after another.
 //
-// Every crash of one life of an endpoint is an incident; the requests that were
-// running there are its candidates. A request that is a candidate of two
-// incidents, alone or as the only one of its company, is convicted and refused
-// until the conviction is forgotten. Candidates that could be the cause are
-// kept apart from each other meanwhile, so that the second crash points at one
-// of them; a candidate that completes is cleared.
+// Each crash of an endpoint process is an incident, and the requests that were
+// running there are its candidates. A request that is a candidate of two incidents,
+// as the only one or with more evidence against it than against the other
+// candidates, is convicted. It is rejected until the conviction expires. In the
+// meantime, candidates that are likely causes run apart from each other, so that a
+// second crash identifies one of them. A candidate that completes is cleared.
 //
-// The package is a pure state machine: it has no clock, goroutine or socket.
-// One goroutine uses a System.
+// The package is a pure state machine without a clock, goroutines or sockets. A
+// Detector is not safe for concurrent use.
 package quarantine
 
 import (
@@ -22,35 +22,37 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Verdict says how a request may run.
+// Verdict is the restriction under which a request may run.
 type Verdict uint8
 
-// The verdicts, from the mildest on.
+// The verdicts, in order of increasing severity.
 const (
-	// Allow: anywhere.
+	// Allow permits every endpoint.
 	Allow Verdict = iota
-	// AvoidSuspects: at no endpoint that runs another suspect.
+	// AvoidSuspects excludes endpoints that run another suspect.
 	AvoidSuspects
-	// AvoidSuspectsOwned: as Apart, and only at endpoints that fall to this instance. It
-	// lasts for Options.Own; without it two instances that retry at the same
-	// moment could bring two suspects together again, and the next crash would
-	// not tell which is to blame.
+	// AvoidSuspectsOwned is AvoidSuspects, restricted to the endpoints that this
+	// instance owns, see Detector.SetRank. It applies for Options.OwnershipWindow
+	// after an incident. Without it, two instances that retry at the same moment
+	// could place two suspects at the same endpoint, and the next crash would not
+	// tell which of them is the cause.
 	AvoidSuspectsOwned
-	// Exclusive: at an endpoint that runs nothing else of this instance.
+	// Exclusive requires an endpoint that runs no other request of this instance.
 	Exclusive
-	// ExclusiveOwned: as Alone, and only at endpoints that fall to this instance.
-	// Without it suspects of several instances would meet at the endpoint that
-	// has just come back and is empty.
+	// ExclusiveOwned is Exclusive, restricted to the endpoints that this instance
+	// owns. Without it, suspects of several instances would meet at the endpoint
+	// that has just restarted and is empty.
 	ExclusiveOwned
-	// Defer: not yet; whether it is convicted is known within Options.Settle.
+	// Defer postpones the request. Whether it is convicted is known after the
+	// settle delay, see Options.SettleDelay.
 	Defer
-	// Reject: not at all until the conviction is forgotten.
+	// Reject refuses the request until its conviction expires.
 	Reject
 )
 
-// WithoutOwnership is what a verdict comes down to when no endpoint is to be had under
-// it: an instance may own no endpoint that is up, and a request must not wait
-// for one.
+// WithoutOwnership returns the verdict that applies when no endpoint satisfies v:
+// an instance may own no endpoint that is up, and a request must not wait for one.
+// Only AvoidSuspectsOwned is relaxed.
 func (v Verdict) WithoutOwnership() Verdict {
 	if v == AvoidSuspectsOwned {
 		return AvoidSuspects
@@ -58,37 +60,38 @@
 	return v
 }
 
-// Options bound a System. Zero fields take the defaults.
+// Options configures a Detector. Zero fields take the defaults.
 type Options struct {
 	// LikelyWindow is how long after its first token a request counts as a likely
-	// cause of a crash. Older ones are candidates too, but run on without
+	// cause of a crash. Older requests become candidates too, but run without
 	// restriction after their first incident.
 	LikelyWindow time.Duration
-	// SettleDelay is how long an incident waits for what other instances know of it
-	// before anyone is convicted by it.
+	// SettleDelay is how long an incident waits for the reports of other instances
+	// before it convicts a request.
 	SettleDelay time.Duration
-	// OwnershipWindow is how long after an incident its candidates run only at endpoints
-	// that fall to their instance.
+	// OwnershipWindow is how long after an incident its candidates run only at
+	// endpoints that their instance owns.
 	OwnershipWindow time.Duration
-	// OutliveMargin is how much longer than before a suspect must have run to be no
-	// danger to others.
+	// OutliveMargin is how much longer than before its crashes a suspect must run
+	// to count as harmless to other requests.
 	OutliveMargin time.Duration
-	// Retention is how long an incident, and a conviction, is remembered.
+	// Retention is how long incidents and convictions are kept.
 	Retention time.Duration
-	// BurstWindow is the time within which several crashes look like a failure of
-	// something that the endpoints share; see needed.
+	// BurstWindow is the time within which several crashes suggest the failure of
+	// something that the endpoints share, see requiredIncidents.
 	BurstWindow time.Duration
-	// CrashDetectionLag is how long an attempt that broke off is still a candidate when its
-	// endpoint turns out to have crashed.
+	// CrashDetectionLag is how long after its interruption an attempt is still a
+	// candidate if its endpoint turns out to have crashed.
 	CrashDetectionLag time.Duration
-	// MaxIncidents, Candidates and Convicted bound what is remembered: incidents,
-	// candidates of one incident, and convictions. The oldest go first.
+	// MaxIncidents, MaxCandidates and MaxConvictions bound the incidents, the
+	// candidates of one incident and the convictions. The oldest incidents and
+	// convictions are evicted first; a full incident takes no more candidates.
 	MaxIncidents   int
 	MaxCandidates  int
 	MaxConvictions int
 }
 
-// The defaults of Options.
+// Default values of the Options.
 const (
 	DefaultLikelyWindow      = 5 * time.Second
 	DefaultSettleDelay       = 500 * time.Millisecond
@@ -123,43 +126,48 @@
 	}
 }
 
-// Incarnation is one life of an endpoint; it crashes at most once.
+// Incarnation is one process of an endpoint, from its start to its end. It crashes
+// at most once.
 type Incarnation struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
 }
 
-// Suspect is what one instance tells the others: that a request was running
-// when an endpoint crashed, or that it is convicted. Ages stand in place of
-// instants, because clocks of two instances cannot be compared.
+// Suspect is a report that one instance sends to the others: a request was running
+// when an endpoint crashed, or a request is convicted. It carries an age and no
+// time, because the clocks of two instances cannot be compared.
 type Suspect struct {
 	Fingerprint tables.Fingerprint
-	// Incarnation is the incident; it is empty for a conviction.
+	// Incarnation identifies the incident. It is empty for a conviction.
 	Incarnation Incarnation
-	CrashPoint  CrashPoint
-	// Convicted is set in place of Life.
+	// CrashPoint is the progress of the attempt at the time of the crash.
+	CrashPoint CrashPoint
+	// Convicted is set for a conviction, in place of Incarnation.
 	Convicted bool
-	Age       time.Duration
+	// Age is the time since the incident or the conviction.
+	Age time.Duration
 }
 
-// CrashPoint is how far an attempt had come when its endpoint crashed. The same
-// request crashes endpoints at the same point each time; one that is merely
-// there when they crash is at any point.
+// CrashPoint is the progress of an attempt when its endpoint crashed. A poison
+// request crashes endpoints at the same point each time; a request that merely runs
+// beside it is at an arbitrary point.
 type CrashPoint struct {
-	// Likely is set when the attempt was young.
+	// Likely is set if the attempt was within Options.LikelyWindow.
 	Likely bool
-	// AttemptTokens counts those of the attempt, Position those of the whole answer.
+	// AttemptTokens counts the tokens of the attempt, AnswerTokens those of the
+	// whole answer.
 	AttemptTokens int
 	AnswerTokens  int
-	// SinceFirstToken is how long ago the attempt's first token was; zero before it.
+	// SinceFirstToken is the time since the attempt's first token; zero before it.
 	SinceFirstToken time.Duration
 }
 
-// crashPointTolerance is how far two crashes at the same point may lie apart, in tokens:
-// endpoints batch tokens, and the last ones are lost in a crash.
+// crashPointTolerance is how far apart two crashes at the same point may appear, in
+// tokens: endpoints emit tokens in batches, and a crash loses the last ones.
 const crashPointTolerance = 4
 
-// matches says whether two crashes happened at the same point.
+// matches reports whether two crashes happened at the same point of a request,
+// counted in tokens of the attempt or of the whole answer.
 func (m CrashPoint) matches(other CrashPoint) bool {
 	return m.Likely && other.Likely &&
 		(distance(m.AttemptTokens, other.AttemptTokens) <= crashPointTolerance || distance(m.AnswerTokens, other.AnswerTokens) <= crashPointTolerance)
@@ -167,15 +175,16 @@
 
 func distance(a, b int) int { return max(a-b, b-a) }
 
-// attempt is an attempt that has not ended, or that broke off just now.
+// attempt is an attempt that is running, or that was interrupted within
+// Options.CrashDetectionLag.
 type attempt struct {
 	fingerprint tables.Fingerprint
 	incarnation Incarnation
 	verdict     Verdict
-	// firstToken is zero until there is one.
+	// firstToken is the time of the first token; zero before it.
 	firstToken tables.Instant
-	// safeAfter is how long after its first token a suspect has outlived what
-	// it crashed by, and need not be kept apart from others any more.
+	// safeAfter is how long after its first token a suspect has outlived its
+	// earlier crashes. It need not be kept apart from other suspects from then on.
 	safeAfter time.Duration
 	// interruptedAt is zero while the attempt runs.
 	interruptedAt tables.Instant
@@ -183,21 +192,23 @@
 	answerTokens  int
 }
 
-// Detector is the state of one instance. Its methods take readings of one
-// monotonic clock that never go back.
+// Detector is the poison request detector of one instance. It correlates the
+// crashes of endpoints with the requests that ran there. Its methods take readings
+// of one monotonic clock that never decrease.
 type Detector struct {
 	options     Options
 	attempts    map[tables.AttemptID]*attempt
 	interrupted []tables.AttemptID
 	incidents   []*incident
 	convicted   map[tables.Fingerprint]tables.Instant
-	// evidence is how strongly incidents speak against each fingerprint.
-	evidence  map[tables.Fingerprint]evidence
+	// evidence sums up the incidents of each suspected request.
+	evidence map[tables.Fingerprint]evidence
+	// rank and instances select the endpoints that this instance owns, see SetRank.
 	rank      int
 	instances int
 }
 
-// New returns a System that suspects nobody.
+// New returns a Detector without suspects.
 func New(o Options) *Detector {
 	return &Detector{
 		options:   o.withDefaults(),
@@ -208,20 +219,21 @@
 	}
 }
 
-// SetRank says which of the instances this one is: rank is at least 0 and less
-// than of. Endpoints are divided among them for suspects.
+// SetRank sets the rank of this instance among all instances, with 0 <= rank < of.
+// Endpoints are partitioned among the instances by hash; suspects run only at
+// endpoints that their instance owns, as far as their verdict demands it.
 func (s *Detector) SetRank(rank, of int) {
 	if rank >= 0 && rank < of {
 		s.rank, s.instances = rank, of
 	}
 }
 
-// owns says whether an endpoint falls to this instance.
+// owns reports whether the endpoint belongs to this instance's partition.
 func (s *Detector) owns(endpoint tables.EndpointID) bool {
 	return s.instances == 1 || xxhash.Sum64String(string(endpoint))%uint64(s.instances) == uint64(s.rank)
 }
 
-// Started notes that an attempt was dispatched.
+// Started records the dispatch of an attempt.
 func (s *Detector) Started(now tables.Instant, id tables.AttemptID, incarnation Incarnation, f tables.Fingerprint) {
 	r := &attempt{fingerprint: f, incarnation: incarnation, verdict: s.Verdict(now, f)}
 	if r.verdict != Allow {
@@ -230,21 +242,21 @@
 	s.attempts[id] = r
 }
 
-// Accepted notes which life of the endpoint runs the attempt.
+// Accepted records which process of the endpoint runs the attempt.
 func (s *Detector) Accepted(id tables.AttemptID, boot tables.BootID) {
 	if r := s.attempts[id]; r != nil {
 		r.incarnation.Boot = boot
 	}
 }
 
-// FirstToken notes that an attempt has come as far as its first token.
+// FirstToken records that an attempt has produced its first token.
 func (s *Detector) FirstToken(now tables.Instant, id tables.AttemptID) {
 	if r := s.attempts[id]; r != nil {
 		r.firstToken = now
 	}
 }
 
-// Completed notes that an attempt ran to its end, which clears its request.
+// Completed records that an attempt ran to its end, which clears its request.
 func (s *Detector) Completed(id tables.AttemptID) {
 	r := s.attempts[id]
 	if r == nil {
@@ -254,13 +266,14 @@
 	s.exonerate(r.fingerprint)
 }
 
-// Ended notes that an attempt ended for a reason that says nothing about its
-// request: it never started, or it was cancelled.
+// Ended records the end of an attempt that says nothing about its request: the
+// attempt never started, or it was cancelled.
 func (s *Detector) Ended(id tables.AttemptID) { delete(s.attempts, id) }
 
-// Interrupted notes that an attempt broke off. It stays a candidate for a while,
-// since the crash of its endpoint is often noticed a little later. tokens
-// counts those of the attempt, position those of the whole answer so far.
+// Interrupted records that an attempt broke off. The attempt remains a candidate
+// for Options.CrashDetectionLag, since the crash of its endpoint is often noticed a
+// little later. tokens counts the tokens of the attempt, position those of the
+// whole answer so far.
 func (s *Detector) Interrupted(now tables.Instant, id tables.AttemptID, tokens, position int) {
 	r := s.attempts[id]
 	if r == nil || r.interruptedAt != 0 {
@@ -272,7 +285,8 @@
 	s.expireInterrupted(now)
 }
 
-// expireInterrupted forgets attempts that broke off long enough ago.
+// expireInterrupted removes attempts that were interrupted more than
+// Options.CrashDetectionLag ago.
 func (s *Detector) expireInterrupted(now tables.Instant) {
 	kept := s.interrupted[:0]
 	for _, id := range s.interrupted {
@@ -289,9 +303,9 @@
 	s.interrupted = kept
 }
 
-// Crashed notes that a life of an endpoint is over, and returns what the other
-// instances must be told. It may be called again for the same life when more
-// of its attempts have broken off.
+// Crashed records the crash of an endpoint process and returns the reports for the
+// other instances. It may be called again for the same process when more of its
+// attempts have been interrupted.
 func (s *Detector) Crashed(now tables.Instant, incarnation Incarnation) []Suspect {
 	s.expireInterrupted(now)
 	s.expire(now)
@@ -311,8 +325,8 @@
 	return reports
 }
 
-// IncarnationOf returns the life that an attempt ran at. It is known while the attempt runs, and
-// for Options.Lag after it broke off.
+// IncarnationOf returns the endpoint process that an attempt ran at. It is known
+// while the attempt runs, and for Options.CrashDetectionLag after its interruption.
 func (s *Detector) IncarnationOf(id tables.AttemptID) (incarnation Incarnation, known bool) {
 	r, known := s.attempts[id]
 	if !known {
@@ -321,8 +335,9 @@
 	return r.incarnation, true
 }
 
-// attemptsOn gives the attempts that the life ran, in a fixed order. An
-// attempt that the endpoint had not yet answered has no boot identity.
+// attemptsOn returns the attempts of an endpoint process, sorted by ID so that the
+// order is fixed. An attempt that the endpoint has not yet answered has no boot ID
+// and counts for every process of the endpoint.
 func (s *Detector) attemptsOn(incarnation Incarnation) []tables.AttemptID {
 	var ids []tables.AttemptID
 	for id, r := range s.attempts {
@@ -334,7 +349,7 @@
 	return ids
 }
 
-// Merge takes in what another instance told.
+// Merge applies a report of another instance.
 func (s *Detector) Merge(now tables.Instant, report Suspect) {
 	s.expire(now)
 	if report.Age > s.options.Retention {
@@ -347,8 +362,8 @@
 	s.addCandidate(now-report.Age, report.Incarnation, report.Fingerprint, report.CrashPoint)
 }
 
-// Suspects returns all that is known, for an instance that has just started or
-// has missed a message.
+// Suspects returns all incidents and convictions as reports, for an instance that
+// has just started or has missed a report.
 func (s *Detector) Suspects(now tables.Instant) []Suspect {
 	s.expire(now)
 	var all []Suspect
@@ -365,8 +380,8 @@
 	return all
 }
 
-// Admits says whether an endpoint may take a request with this verdict, as far
-// as this instance's own attempts are concerned.
+// Admits reports whether an endpoint may take a request with this verdict, judged
+// by the attempts of this instance alone.
 func (s *Detector) Admits(now tables.Instant, endpoint tables.EndpointID, v Verdict) bool {
 	if v >= Defer || (v == AvoidSuspectsOwned || v == ExclusiveOwned) && !s.owns(endpoint) {
 		return false
@@ -382,11 +397,12 @@
 	return true
 }
 
-// outlived says whether the attempt has run longer than any that crashed.
+// outlived reports whether the attempt has outlived the earlier crashes of its
+// request, see safeAfter.
 func (r *attempt) outlived(now tables.Instant) bool {
 	return r.firstToken != 0 && now-r.firstToken > r.safeAfter
 }
 
-// Empty says that there is nothing to look at: every verdict is Allow and every
-// endpoint admits. It costs no search.
+// Empty reports whether there is no incident and no conviction, so that every
+// verdict is Allow and every endpoint admits. It takes constant time.
 func (s *Detector) Empty() bool { return len(s.incidents) == 0 && len(s.convicted) == 0 }
--- a/systems/quarantine/simulation_test.go
+++ b/systems/quarantine/simulation_test.go
@@ -11,18 +11,18 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// fleet is three instances before a few endpoints in virtual time. Callers of
-// requests that crash endpoints send them again through the next instance.
+// fleet simulates three instances and several endpoints in virtual time. The
+// callers of poison requests send them again through the next instance.
 type fleet struct {
 	rand      *rand.Rand
 	now       tables.Instant
 	instances [3]*Detector
 	endpoints []*fakeEndpoint
 	requests  []*fakeRequest
-	messages      []message
+	messages  []message
 	attempts  int
-	crashes      int
-	affected       int
+	crashes   int
+	affected  int
 	refused   map[bool]int
 	answered  int
 }
@@ -39,33 +39,33 @@
 }
 
 type fakeRequest struct {
-	fingerprint tables.Fingerprint
-	crashes     bool
-	instance    int
-	resends     int
-	attempt     tables.AttemptID
-	endpoint    *fakeEndpoint
-	started     tables.Instant
-	duration       time.Duration
-	answerTokens    int
-	notBefore   tables.Instant
-	ended       bool
+	fingerprint  tables.Fingerprint
+	crashes      bool
+	instance     int
+	resends      int
+	attempt      tables.AttemptID
+	endpoint     *fakeEndpoint
+	started      tables.Instant
+	duration     time.Duration
+	answerTokens int
+	notBefore    tables.Instant
+	ended        bool
 }
 
 type message struct {
-	to   int
-	due  tables.Instant
+	to      int
+	due     tables.Instant
 	suspect Suspect
 }
 
 const (
-	step        = 10 * time.Millisecond
-	gossipDelay = 50 * time.Millisecond
-	firstToken  = 200 * time.Millisecond
-	restartDelay      = 3 * time.Second
-	resendDelay = 300 * time.Millisecond
-	tokenTime   = 30 * time.Millisecond
-	slots       = 8
+	step         = 10 * time.Millisecond
+	gossipDelay  = 50 * time.Millisecond
+	firstToken   = 200 * time.Millisecond
+	restartDelay = 3 * time.Second
+	resendDelay  = 300 * time.Millisecond
+	tokenTime    = 30 * time.Millisecond
+	slots        = 8
 )
 
 func newFleet(seed uint64, endpoints int) *fleet {
@@ -213,9 +213,9 @@
 	}
 }
 
-// A caller's request kills every engine that runs it, and the caller sends it
-// again and again through all instances. Other callers notice a pause when
-// their engine dies; none of them is refused.
+// A poison request crashes each endpoint that runs it, and its caller sends it
+// again through all instances. It must be rejected after few crashes, and no
+// innocent request may be rejected.
 func TestPoisonRequestIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -252,9 +252,10 @@
 	}
 }
 
-// Endpoints crash by themselves, several a minute, and a rack of six goes down
-// within a second. Hardly anybody's request may be refused for it: only one that
-// met two crashes at the same point cannot be told from a guilty one.
+// Endpoints crash for causes other than requests, several per minute, and a rack of
+// six fails within a second. At most 1% of the requests that are hit may be
+// rejected: an innocent request that meets two crashes at the same point cannot be
+// told from a poison request.
 func TestUnrelatedCrashesRarelyConvict(t *testing.T) {
 	refused, hit := 0, 0
 	for seed := range uint64(50) {
@@ -275,6 +276,8 @@
 	assert.Assert(t, refused*100 <= hit, "refused %d of %d", refused, hit)
 }
 
+// Guards against state that grows without bound or outlives its retention time, and
+// against a wrong sequence of verdicts as the evidence grows.
 func TestStateIsBoundedAndExpires(t *testing.T) {
 	s := New(Options{MaxIncidents: 3, MaxConvictions: 2})
 	now := tables.Instant(0)
@@ -309,8 +312,8 @@
 	assert.Equal(t, len(s.evidence), 0)
 }
 
-// A message about an old crash arrives after the request has completed
-// elsewhere. It must not make the request a suspect again.
+// A report of an old crash arrives after the request has completed elsewhere. It
+// must not make the request a suspect again.
 func TestLateReportDoesNotReviveClearedRequest(t *testing.T) {
 	s := New(Options{})
 	life := Incarnation{Endpoint: "a", Boot: "1"}
