--- a/systems/membership/hints.go
+++ b/systems/membership/hints.go
@@ -63,8 +63,8 @@
 // in each zone.
 const FullMeshLimit = 24
 
-// relayStart spreads which instance of another zone is told first.
-const relayStart = 1 << 16
+// relayCursorRange spreads which instance of another zone is told first.
+const relayCursorRange = 1 << 16
 
 // SendHints sends hints to other living entry instances, directly and once.
 // Prefixes are hot for seconds and queues last for less, so that hints which ride
@@ -72,10 +72,10 @@
 // keeps the budget.
 func (m *Membership) SendHints(now tables.Instant, hints Hints) Output {
 	m.now = now
-	m.count()
-	peers := m.roster.told
+	m.refreshDerived()
+	peers := m.members.hintReceivers
 	for len(peers) > 0 && len(hints.Placements)+len(hints.Loads) > 0 {
-		d := m.hints()
+		d := m.newHintDatagram()
 		room := m.config.MaxDatagramBytes - proto.Size(d)
 		loads := addLoads(d, hints.Loads, &room)
 		placements := addPlacements(d, hints.Placements, &room)
@@ -84,7 +84,7 @@
 		}
 		hints.Loads, hints.Placements = hints.Loads[loads:], hints.Placements[placements:]
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 // SendPlacementsToOtherZones sends placements to one instance of each zone that SendHints leaves
@@ -93,9 +93,9 @@
 // zones.
 func (m *Membership) SendPlacementsToOtherZones(now tables.Instant, placements []Placement) Output {
 	m.now = now
-	relays := m.relays()
+	relays := m.nextRelays()
 	for len(relays) > 0 && len(placements) > 0 {
-		d := m.hints()
+		d := m.newHintDatagram()
 		d.Relay = true
 		room := m.config.MaxDatagramBytes - proto.Size(d)
 		added := addPlacements(d, placements, &room)
@@ -104,16 +104,16 @@
 		}
 		placements = placements[added:]
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 // SendLoadsToOtherZones sends the schedulers of other zones what this instance has at
 // endpoints. They too choose endpoints of this zone, and of any third.
 func (m *Membership) SendLoadsToOtherZones(now tables.Instant, loads []Load) Output {
 	m.now = now
-	receivers := m.remoteSchedulers()
+	receivers := m.remoteSchedulerAddresses()
 	for len(receivers) > 0 && len(loads) > 0 {
-		d := m.hints()
+		d := m.newHintDatagram()
 		room := m.config.MaxDatagramBytes - proto.Size(d)
 		added := addLoads(d, loads, &room)
 		if added == 0 || !m.sendHints(d, receivers) {
@@ -121,19 +121,19 @@
 		}
 		loads = loads[added:]
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 // RemoteSchedulerCount counts the schedulers of other zones.
-func (m *Membership) RemoteSchedulerCount() int { return len(m.remoteSchedulers()) }
+func (m *Membership) RemoteSchedulerCount() int { return len(m.remoteSchedulerAddresses()) }
 
-func (m *Membership) remoteSchedulers() []netip.AddrPort {
-	m.count()
-	if !m.schedule {
+func (m *Membership) remoteSchedulerAddresses() []netip.AddrPort {
+	m.refreshDerived()
+	if !m.useSchedulers {
 		return nil
 	}
 	var all []netip.AddrPort
-	for _, schedulers := range m.roster.remote {
+	for _, schedulers := range m.members.remoteGroups {
 		for _, row := range schedulers {
 			all = append(all, row.Address)
 		}
@@ -141,19 +141,19 @@
 	return all
 }
 
-// relays picks an instance of each zone that SendHints leaves out, another one each
+// nextRelays picks an instance of each zone that SendHints leaves out, another one each
 // time.
-func (m *Membership) relays() []netip.AddrPort {
-	m.count()
-	m.relayed++
+func (m *Membership) nextRelays() []netip.AddrPort {
+	m.refreshDerived()
+	m.relayCursor++
 	var picked []netip.AddrPort
-	for _, entries := range m.roster.remote {
-		picked = append(picked, entries[m.relayed%len(entries)].Address)
+	for _, entries := range m.members.remoteGroups {
+		picked = append(picked, entries[m.relayCursor%len(entries)].Address)
 	}
 	return picked
 }
 
-func (m *Membership) hints() *rpc.Datagram {
+func (m *Membership) newHintDatagram() *rpc.Datagram {
 	return &rpc.Datagram{Kind: datagramHints, Sender: &rpc.InstanceRow{Instance: string(m.self.Instance)}}
 }
 
@@ -164,15 +164,15 @@
 		return false
 	}
 	for _, at := range to {
-		m.out.Datagrams = append(m.out.Datagrams, Datagram{To: at, Payload: payload})
+		m.output.Datagrams = append(m.output.Datagrams, Datagram{To: at, Payload: payload})
 	}
 	return true
 }
 
 // HintReceiverCount is how many instances hints are told to.
 func (m *Membership) HintReceiverCount() int {
-	m.count()
-	return len(m.roster.told)
+	m.refreshDerived()
+	return len(m.members.hintReceivers)
 }
 
 // addPlacements adds placements while they fit, and returns how many did.
@@ -207,10 +207,10 @@
 	return len(loads)
 }
 
-// takeHints hands out the hints of a datagram.
-func (m *Membership) takeHints(in *rpc.Datagram) {
+// receiveHints hands out the hints of a datagram.
+func (m *Membership) receiveHints(in *rpc.Datagram) {
 	for _, encoded := range in.GetPlacements() {
-		m.out.Hints.Placements = append(m.out.Hints.Placements, Placement{
+		m.output.Hints.Placements = append(m.output.Hints.Placements, Placement{
 			Endpoint: tables.EndpointID(encoded.GetEndpoint()),
 			Boot:     tables.BootID(encoded.GetBoot()),
 			Block:    tables.BlockHash(encoded.GetBlock()),
@@ -218,9 +218,9 @@
 			Reported: encoded.GetReported(),
 		})
 	}
-	m.out.Hints.Relay = in.GetRelay()
+	m.output.Hints.Relay = in.GetRelay()
 	for _, encoded := range in.GetLoads() {
-		m.out.Hints.Loads = append(m.out.Hints.Loads, Load{
+		m.output.Hints.Loads = append(m.output.Hints.Loads, Load{
 			Instance: tables.InstanceID(in.GetSender().GetInstance()),
 			Endpoint: tables.EndpointID(encoded.GetEndpoint()),
 			Running:  int(encoded.GetRunning()), CacheTokens: int(encoded.GetTokens()), PrefillTokens: int(encoded.GetPrefill()),
--- a/systems/membership/membership.go
+++ b/systems/membership/membership.go
@@ -85,15 +85,15 @@
 // member is a Member with what the detection needs.
 type member struct {
 	Member
-	// changed is when the state last changed here.
-	changed tables.Instant
-	// unsent is how many more datagrams the row rides on.
-	unsent int
+	// stateChangedAt is when the state last stateChangedAt here.
+	stateChangedAt tables.Instant
+	// sendsLeft is how many more datagrams the row rides on.
+	sendsLeft int
 	// hash is that of the instance, for the choice among equals.
 	hash uint64
-	// private rows are doubts of an instance that doubts itself; they are told
+	// withheld rows are doubts of an instance that doubts itself; they are told
 	// to nobody but the member itself.
-	private bool
+	withheld bool
 }
 
 // Config holds the times and bounds of the protocol. Zero values mean the
@@ -116,39 +116,39 @@
 }
 
 const (
-	defaultPeriod        = time.Second
-	defaultProbeTimeout  = 400 * time.Millisecond
-	defaultHelpers       = 3
-	defaultForget        = time.Hour
-	defaultDatagramBytes = 1180
-	defaultSyncBytes     = 6000
-	// syncBurst is how many seconds of SyncBytesPerSecond can be saved up.
-	syncBurst = 4
-	// backgroundRows is how many rows, in turn, ride along though they are not
+	defaultProbeInterval      = time.Second
+	defaultProbeTimeout       = 400 * time.Millisecond
+	defaultIndirectProbes     = 3
+	defaultDeadRetention      = time.Hour
+	defaultMaxDatagramBytes   = 1180
+	defaultSyncBytesPerSecond = 6000
+	// syncBurstSeconds is how many seconds of SyncBytesPerSecond can be saved up.
+	syncBurstSeconds = 4
+	// antiEntropyRows is how many rows, in turn, ride along though they are not
 	// new. They repair what was lost and bring revisions in force.
-	backgroundRows = 5
-	// eagerTargets is how many others are told at once of a new revision.
-	eagerTargets = 4
-	// loneProbes is the number of failed probes in a row, of different members,
+	antiEntropyRows = 5
+	// pushFanout is how many others are told at once of a new revision.
+	pushFanout = 4
+	// isolationThreshold is the number of failed probes in a row, of different members,
 	// after which an instance doubts itself and accuses nobody.
-	loneProbes = 3
-	// suspectPeriods times the logarithm of the group's size is how many periods
+	isolationThreshold = 3
+	// suspicionMultiplier times the logarithm of the group's size is how many periods
 	// an instance has to refute a suspicion.
-	suspectPeriods = 4
-	// retryDead is the number of periods between two pings of a dead member.
-	retryDead = 5
-	// spreadFactor times the logarithm of the group's size is how many datagrams
+	suspicionMultiplier = 4
+	// deadProbeInterval is the number of periods between two pings of a dead member.
+	deadProbeInterval = 5
+	// retransmitMultiplier times the logarithm of the group's size is how many datagrams
 	// of each instance a new row rides on.
-	spreadFactor = 3
+	retransmitMultiplier = 3
 )
 
 func (c *Config) setDefaults() {
-	c.ProbeInterval = cmp.Or(c.ProbeInterval, defaultPeriod)
+	c.ProbeInterval = cmp.Or(c.ProbeInterval, defaultProbeInterval)
 	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, defaultProbeTimeout)
-	c.IndirectProbes = cmp.Or(c.IndirectProbes, defaultHelpers)
-	c.DeadRetention = cmp.Or(c.DeadRetention, defaultForget)
-	c.MaxDatagramBytes = cmp.Or(c.MaxDatagramBytes, defaultDatagramBytes)
-	c.SyncBytesPerSecond = cmp.Or(c.SyncBytesPerSecond, defaultSyncBytes)
+	c.IndirectProbes = cmp.Or(c.IndirectProbes, defaultIndirectProbes)
+	c.DeadRetention = cmp.Or(c.DeadRetention, defaultDeadRetention)
+	c.MaxDatagramBytes = cmp.Or(c.MaxDatagramBytes, defaultMaxDatagramBytes)
+	c.SyncBytesPerSecond = cmp.Or(c.SyncBytesPerSecond, defaultSyncBytesPerSecond)
 }
 
 // Options sets a Membership up.
@@ -195,27 +195,27 @@
 type Membership struct {
 	config Config
 	self   *member
-	// configured are the seeds of the options, seeds those and the listed ones.
-	configured []netip.AddrPort
-	seeds      []netip.AddrPort
-	random     *rand.Rand
-	roster     roster
-	schedule   bool
+	// configuredSeeds are the seeds of the options, seeds those and the listed ones.
+	configuredSeeds []netip.AddrPort
+	seeds           []netip.AddrPort
+	random          *rand.Rand
+	members         memberTable
+	useSchedulers   bool
 	// version grows whenever a state changes or a member comes or goes.
 	version uint64
 
-	probes  probes
-	gone    map[netip.AddrPort]bool
-	leaving map[netip.AddrPort]bool
-	out     Output
+	detector failureDetector
+	departed map[netip.AddrPort]bool
+	leaving  map[netip.AddrPort]bool
+	output   Output
 
-	// background is where the turn of rows stands.
-	background int
-	// relayed counts the tellings to other zones; it starts differently at each
+	// antiEntropyCursor is where the turn of rows stands.
+	antiEntropyCursor int
+	// relayCursor counts the tellings to other zones; it starts differently at each
 	// instance.
-	relayed   int
-	syncBytes float64
-	lastTick  tables.Instant
+	relayCursor int
+	syncTokens  float64
+	lastTick    tables.Instant
 	// now is the time of the newest call.
 	now tables.Instant
 }
@@ -225,22 +225,22 @@
 	options.Config.setDefaults()
 	self := &member{Member: Member{InstanceInfo: options.Self, Incarnation: 1}, hash: hashOf(options.Self.Instance)}
 	return &Membership{
-		config:     options.Config,
-		self:       self,
-		configured: options.Seeds,
-		seeds:      options.Seeds,
-		random:     rand.New(rand.NewPCG(options.RandomSeed, options.Self.Boot)),
-		roster:     newRoster(self),
-		schedule:   options.UseSchedulers,
-		probes:     newProbes(),
-		relayed:    int(options.RandomSeed % relayStart),
+		config:          options.Config,
+		self:            self,
+		configuredSeeds: options.Seeds,
+		seeds:           options.Seeds,
+		random:          rand.New(rand.NewPCG(options.RandomSeed, options.Self.Boot)),
+		members:         newMemberTable(self),
+		useSchedulers:   options.UseSchedulers,
+		detector:        newFailureDetector(),
+		relayCursor:     int(options.RandomSeed % relayCursorRange),
 	}
 }
 
 // Members returns all known instances, this one included, by name.
 func (m *Membership) Members() []Member {
-	members := make([]Member, 0, len(m.roster.order))
-	for _, row := range m.roster.order {
+	members := make([]Member, 0, len(m.members.sorted))
+	for _, row := range m.members.sorted {
 		member := row.Member
 		member.Leaving = m.leaving[row.Address]
 		members = append(members, member)
@@ -255,7 +255,7 @@
 // share by size, above 0 and at most 1.
 func (m *Membership) LoadShare() float64 {
 	all := 0
-	for _, row := range m.roster.order {
+	for _, row := range m.members.sorted {
 		if row.State <= Suspect && row.Roles&RoleEntry != 0 {
 			all += max(1, row.Size)
 		}
@@ -271,10 +271,10 @@
 	}
 	m.now = now
 	m.self.Revision, m.self.Since = revision, since
-	for _, to := range m.pick(eagerTargets, m.self.Instance) {
+	for _, to := range m.randomLiveMembers(pushFanout, m.self.Instance) {
 		m.send(to.Address, datagramRows, 0)
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 // Leave tells a few others that this instance ends, so that nobody has to find
@@ -282,11 +282,11 @@
 func (m *Membership) Leave(now tables.Instant) Output {
 	m.now = now
 	m.self.State = Left
-	m.self.unsent = m.spread()
-	for _, to := range m.pick(eagerTargets, m.self.Instance) {
+	m.self.sendsLeft = m.retransmitLimit()
+	for _, to := range m.randomLiveMembers(pushFanout, m.self.Instance) {
 		m.send(to.Address, datagramRows, 0)
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 // PlatformInstance is one line of the platform's list.
@@ -299,10 +299,10 @@
 // it that are not known are tried. One that is suspect and that the list does
 // not have, or has as leaving, is held for dead without further waiting.
 func (m *Membership) SetPlatformList(list []PlatformInstance) {
-	m.gone, m.leaving = map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
+	m.departed, m.leaving = map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
 	// Seeds of earlier lists are dropped: instances are replaced every day, and
 	// their former addresses would pile up.
-	m.seeds = slices.Clone(m.configured)
+	m.seeds = slices.Clone(m.configuredSeeds)
 	listed := map[netip.AddrPort]bool{}
 	for _, line := range list {
 		listed[line.Address] = true
@@ -312,35 +312,35 @@
 		}
 	}
 	m.seeds = slices.DeleteFunc(m.seeds, func(seed netip.AddrPort) bool { return m.leaving[seed] })
-	for _, row := range m.roster.order {
+	for _, row := range m.members.sorted {
 		if !listed[row.Address] || m.leaving[row.Address] {
-			m.gone[row.Address] = true
+			m.departed[row.Address] = true
 		}
 	}
 }
 
-// take returns what has come together since the last call.
-func (m *Membership) take() Output {
-	out := m.out
-	m.out = Output{}
+// takeOutput returns what has come together since the last call.
+func (m *Membership) takeOutput() Output {
+	out := m.output
+	m.output = Output{}
 	return out
 }
 
-// logSize is the logarithm that times and repetitions grow with.
-func (m *Membership) logSize() int { return int(math.Ceil(math.Log2(float64(m.living() + 1)))) }
+// logLiveCount is the logarithm that times and repetitions grow with.
+func (m *Membership) logLiveCount() int { return int(math.Ceil(math.Log2(float64(m.liveCount() + 1)))) }
 
-func (m *Membership) spread() int { return spreadFactor * m.logSize() }
+func (m *Membership) retransmitLimit() int { return retransmitMultiplier * m.logLiveCount() }
 
-// suspectFor is how long a member has to refute a suspicion.
-func (m *Membership) suspectFor() time.Duration {
-	factor := max(1, math.Log10(float64(m.living())))
-	return time.Duration(suspectPeriods * factor * float64(m.config.ProbeInterval))
+// suspicionTimeout is how long a member has to refute a suspicion.
+func (m *Membership) suspicionTimeout() time.Duration {
+	factor := max(1, math.Log10(float64(m.liveCount())))
+	return time.Duration(suspicionMultiplier * factor * float64(m.config.ProbeInterval))
 }
 
-// pick returns up to n living members at random, without this one and except.
-func (m *Membership) pick(n int, except tables.InstanceID) []*member {
+// randomLiveMembers returns up to n living members at random, without this one and except.
+func (m *Membership) randomLiveMembers(n int, except tables.InstanceID) []*member {
 	var all []*member
-	for _, row := range m.roster.order {
+	for _, row := range m.members.sorted {
 		if row != m.self && row.Instance != except && row.State <= Suspect {
 			all = append(all, row)
 		}
--- a/systems/membership/membership_bench_test.go
+++ b/systems/membership/membership_bench_test.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// BenchmarkSecond runs one virtual second of a whole group and reports what one
+// BenchmarkSteadyState runs one virtual second of a whole group and reports what one
 // instance of it sends and computes, in steady state.
-func BenchmarkSecond(b *testing.B) {
+func BenchmarkSteadyState(b *testing.B) {
 	for _, n := range []int{9, 100, 340} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
-			w := newWorld(b, n)
-			w.until(5*time.Minute, "find each other", w.allAlive)
+			w := newSimulation(b, n)
+			w.runUntil(5*time.Minute, "find each other", w.allAlive)
 			w.run(5 * time.Second)
-			w.sent, w.packets = 0, 0
+			w.bytesSent, w.datagramsSent = 0, 0
 			b.ResetTimer()
 			for b.Loop() {
 				w.run(time.Second)
 			}
 			all := float64(b.N) * float64(n)
-			b.ReportMetric(float64(w.sent)/all, "bytes/s/instance")
-			b.ReportMetric(float64(w.packets)/all, "datagrams/s/instance")
+			b.ReportMetric(float64(w.bytesSent)/all, "bytes/s/instance")
+			b.ReportMetric(float64(w.datagramsSent)/all, "datagrams/s/instance")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/all, "cpu_us/s/instance")
 		})
 	}
 }
 
-// BenchmarkDetection reports how long it takes until all know of a death.
-func BenchmarkDetection(b *testing.B) {
+// BenchmarkFailureDetection reports how long it takes until all know of a death.
+func BenchmarkFailureDetection(b *testing.B) {
 	for _, n := range []int{9, 30, 100} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
 			var total time.Duration
 			for i := range b.N {
-				w := newWorld(b, n)
-				w.until(5*time.Minute, "find each other", w.allAlive)
-				w.run(time.Duration(i%10) * tickEvery)
+				w := newSimulation(b, n)
+				w.runUntil(5*time.Minute, "find each other", w.allAlive)
+				w.run(time.Duration(i%10) * tickInterval)
 				w.nodes[n-1].down = true
-				total += w.until(5*time.Minute, "find the dead", func() bool { return w.seen(n-1, Dead) })
+				total += w.runUntil(5*time.Minute, "find the dead", func() bool { return w.allSee(n-1, Dead) })
 			}
 			b.ReportMetric(total.Seconds()/float64(b.N), "virtual_s/death")
 		})
--- a/systems/membership/membership_test.go
+++ b/systems/membership/membership_test.go
@@ -10,39 +10,39 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func TestAllFindEachOther(t *testing.T) {
+func TestAllInstancesDiscoverEachOther(t *testing.T) {
 	for _, n := range []int{2, 9, 100} {
-		w := newWorld(t, n)
-		w.until(30*time.Second, "find each other", w.allAlive)
+		w := newSimulation(t, n)
+		w.runUntil(30*time.Second, "find each other", w.allAlive)
 		assert.Equal(t, w.nodes[1].LoadShare(), 1/float64(n))
 	}
 }
 
 // An instance stops without a word. Its part of the load and of every limit has
 // to go to the others soon, and nobody else may be given up for it.
-func TestStoppedInstanceIsFound(t *testing.T) {
-	w := newWorld(t, 9)
-	w.until(30*time.Second, "find each other", w.allAlive)
+func TestStoppedInstanceIsDetected(t *testing.T) {
+	w := newSimulation(t, 9)
+	w.runUntil(30*time.Second, "find each other", w.allAlive)
 	w.nodes[4].down = true
-	w.until(30*time.Second, "find the dead", func() bool { return w.seen(4, Dead) })
+	w.runUntil(30*time.Second, "find the dead", func() bool { return w.allSee(4, Dead) })
 	assert.Assert(t, w.allAlive())
 }
 
-func TestLeavingIsToldAtOnce(t *testing.T) {
-	w := newWorld(t, 9)
-	w.until(30*time.Second, "find each other", w.allAlive)
+func TestLeaveSpreadsPromptly(t *testing.T) {
+	w := newSimulation(t, 9)
+	w.runUntil(30*time.Second, "find each other", w.allAlive)
 	w.send(w.nodes[4], w.nodes[4].Leave(w.now))
 	w.nodes[4].down = true
-	took := w.until(30*time.Second, "hear of the leave", func() bool { return w.seen(4, Left) })
+	took := w.runUntil(30*time.Second, "hear of the leave", func() bool { return w.allSee(4, Left) })
 	assert.Assert(t, took <= 3*time.Second, "%v", took)
 }
 
 // Datagrams from one instance to one other are lost in one direction. Everyone
 // else reaches both, so neither may be given up.
-func TestOneWayLossBetweenTwo(t *testing.T) {
-	w := newWorld(t, 9)
-	w.until(30*time.Second, "find each other", w.allAlive)
-	w.lost = func(from, to int) bool { return from == 2 && to == 5 }
+func TestOneWayLossBetweenTwoInstances(t *testing.T) {
+	w := newSimulation(t, 9)
+	w.runUntil(30*time.Second, "find each other", w.allAlive)
+	w.dropped = func(from, to int) bool { return from == 2 && to == 5 }
 	for range 600 {
 		w.step()
 		for i := range w.nodes {
@@ -53,11 +53,11 @@
 
 // An instance sends but hears nothing. The others give it up; it must not make
 // them give up each other, and must be taken back when it hears again.
-func TestDeafInstanceAccusesNobody(t *testing.T) {
-	w := newWorld(t, 9)
-	w.until(30*time.Second, "find each other", w.allAlive)
-	w.lost = func(_, to int) bool { return to == 3 }
-	w.until(time.Minute, "give up the deaf one", func() bool { return w.seen(3, Dead) })
+func TestInstanceWithoutInboundTrafficSpreadsNoSuspicion(t *testing.T) {
+	w := newSimulation(t, 9)
+	w.runUntil(30*time.Second, "find each other", w.allAlive)
+	w.dropped = func(_, to int) bool { return to == 3 }
+	w.runUntil(time.Minute, "give up the deaf one", func() bool { return w.allSee(3, Dead) })
 	for range 600 {
 		w.step()
 		for i := range w.nodes {
@@ -66,39 +66,39 @@
 			}
 		}
 	}
-	w.lost = func(int, int) bool { return false }
-	w.until(time.Minute, "take it back", w.allAlive)
+	w.dropped = func(int, int) bool { return false }
+	w.runUntil(time.Minute, "take it back", w.allAlive)
 }
 
 // Zones are cut off from each other for long and then find together again,
 // though none of the seeds lies in the second one.
-func TestZonesFindTogetherAgain(t *testing.T) {
-	w := newWorld(t, 9)
-	w.until(30*time.Second, "find each other", w.allAlive)
-	w.lost = func(from, to int) bool { return (from < 3) != (to < 3) }
-	w.until(2*time.Minute, "hold the other zone for dead", func() bool { return w.state(8, 0) == Dead && w.state(0, 8) == Dead })
+func TestPartitionedZonesRejoin(t *testing.T) {
+	w := newSimulation(t, 9)
+	w.runUntil(30*time.Second, "find each other", w.allAlive)
+	w.dropped = func(from, to int) bool { return (from < 3) != (to < 3) }
+	w.runUntil(2*time.Minute, "hold the other zone for dead", func() bool { return w.state(8, 0) == Dead && w.state(0, 8) == Dead })
 	w.run(5 * time.Minute)
 	assert.Equal(t, w.state(3, 8), Alive)
-	w.lost = func(int, int) bool { return false }
-	w.until(2*time.Minute, "find together", w.allAlive)
+	w.dropped = func(int, int) bool { return false }
+	w.runUntil(2*time.Minute, "find together", w.allAlive)
 }
 
 // All instances restart within one tick and ask the same seed for everything.
-func TestHerdOfRestarts(t *testing.T) {
-	w := newWorld(t, 100)
-	w.until(time.Minute, "find each other", w.allAlive)
+func TestSimultaneousRestart(t *testing.T) {
+	w := newSimulation(t, 100)
+	w.runUntil(time.Minute, "find each other", w.allAlive)
 	for i := range w.nodes {
 		w.boot(i)
 	}
-	w.until(time.Minute, "find each other again", w.allAlive)
+	w.runUntil(time.Minute, "find each other again", w.allAlive)
 }
 
 // Every fifth datagram is lost. Suspicions come up and are refuted in time.
-func TestRandomLoss(t *testing.T) {
-	w := newWorld(t, 30)
+func TestRandomLossCausesNoFalseDeaths(t *testing.T) {
+	w := newSimulation(t, 30)
 	random := rand.New(rand.NewPCG(1, 2))
-	w.until(time.Minute, "find each other", w.allAlive)
-	w.lost = func(int, int) bool { return random.IntN(5) == 0 }
+	w.runUntil(time.Minute, "find each other", w.allAlive)
+	w.dropped = func(int, int) bool { return random.IntN(5) == 0 }
 	for range 3000 {
 		w.step()
 		for i := range w.nodes {
@@ -111,14 +111,14 @@
 
 // A restarted instance comes back after its wall clock was set back, with a
 // lower boot number. The others must not take it for its former self.
-func TestBootNumberWentBack(t *testing.T) {
-	w := newWorld(t, 5)
-	w.until(30*time.Second, "find each other", w.allAlive)
+func TestBootNumberRegression(t *testing.T) {
+	w := newSimulation(t, 5)
+	w.runUntil(30*time.Second, "find each other", w.allAlive)
 	w.boots = 0
 	w.boot(3)
 	w.nodes[3].SetRevision(w.now, 7, time.Unix(1, 0))
-	w.until(30*time.Second, "see the new process", func() bool {
-		row := w.nodes[1].roster.byID[w.nodes[3].self.Instance]
+	w.runUntil(30*time.Second, "see the new process", func() bool {
+		row := w.nodes[1].members.byID[w.nodes[3].self.Instance]
 		return row.State == Alive && row.Revision == 7 && row.Boot == w.nodes[3].self.Boot
 	})
 }
@@ -126,8 +126,8 @@
 // The platform's list has an instance as leaving. While it answers it is alive;
 // once it does not, nobody waits any longer.
 func TestPlatformListShortensSuspicion(t *testing.T) {
-	w := newWorld(t, 9)
-	w.until(30*time.Second, "find each other", w.allAlive)
+	w := newSimulation(t, 9)
+	w.runUntil(30*time.Second, "find each other", w.allAlive)
 	for _, node := range w.nodes {
 		var list []PlatformInstance
 		for i, other := range w.nodes {
@@ -139,15 +139,15 @@
 	assert.Assert(t, w.allAlive())
 	assert.Assert(t, w.nodes[0].Members()[4].Leaving)
 	w.nodes[4].down = true
-	took := w.until(30*time.Second, "find the dead", func() bool { return w.seen(4, Dead) })
-	assert.Assert(t, took < w.nodes[0].suspectFor()+2*time.Second, "%v", took)
+	took := w.runUntil(30*time.Second, "find the dead", func() bool { return w.allSee(4, Dead) })
+	assert.Assert(t, took < w.nodes[0].suspicionTimeout()+2*time.Second, "%v", took)
 }
 
-func TestRevisionReachesAll(t *testing.T) {
-	w := newWorld(t, 30)
-	w.until(time.Minute, "find each other", w.allAlive)
+func TestRevisionReachesAllInstances(t *testing.T) {
+	w := newSimulation(t, 30)
+	w.runUntil(time.Minute, "find each other", w.allAlive)
 	w.send(w.nodes[7], w.nodes[7].SetRevision(w.now, 12, time.Unix(1, 0)))
-	w.until(time.Minute, "the revision reaches all", func() bool {
+	w.runUntil(time.Minute, "the revision reaches all", func() bool {
 		for i, node := range w.nodes {
 			if i != 7 && !node.newer.IsValid() {
 				return false
@@ -160,14 +160,14 @@
 // Placements are told once and directly; every other living instance has them
 // after one message, whatever does not fit into one datagram comes in a second.
 func TestPlacementsReachEntryInstances(t *testing.T) {
-	w := newWorld(t, 5)
-	w.until(time.Minute, "find each other", w.allAlive)
+	w := newSimulation(t, 5)
+	w.runUntil(time.Minute, "find each other", w.allAlive)
 	var placements []Placement
 	for block := range 100 {
 		placements = append(placements, Placement{Endpoint: "e1", Boot: "b", Block: tables.BlockHash(block)})
 	}
 	w.nodes[4].down = true
-	w.until(time.Minute, "find the dead", func() bool { return w.seen(4, Dead) })
+	w.runUntil(time.Minute, "find the dead", func() bool { return w.allSee(4, Dead) })
 	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
 	w.run(time.Second)
 	for i, node := range w.nodes {
@@ -183,8 +183,8 @@
 // one; were they not told at all, each zone would read every prompt once more.
 // One instance of each other zone passes the placement on, once.
 func TestPlacementsReachOtherZones(t *testing.T) {
-	w := newZones(t, 3*FullMeshLimit, 3)
-	w.until(2*time.Minute, "find each other", w.allAlive)
+	w := newZonedSimulation(t, 3*FullMeshLimit, 3)
+	w.runUntil(2*time.Minute, "find each other", w.allAlive)
 	placements := []Placement{{Endpoint: "e1", Block: 7}}
 	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
 	w.send(w.nodes[2], w.nodes[2].SendPlacementsToOtherZones(w.now, placements))
@@ -208,14 +208,14 @@
 
 // The limit for all control traffic of an instance is 29 KB a second at 340
 // instances. Failure detection must stay far below it, whatever the size.
-func TestBytesDoNotGrowWithSize(t *testing.T) {
+func TestTrafficDoesNotGrowWithGroupSize(t *testing.T) {
 	perSecond := func(n int) (bytes, datagrams float64) {
-		w := newWorld(t, n)
-		w.until(2*time.Minute, "find each other", w.allAlive)
-		w.sent, w.packets = 0, 0
+		w := newSimulation(t, n)
+		w.runUntil(2*time.Minute, "find each other", w.allAlive)
+		w.bytesSent, w.datagramsSent = 0, 0
 		w.run(20 * time.Second)
 		seconds := 20 * float64(n)
-		return float64(w.sent) / seconds, float64(w.packets) / seconds
+		return float64(w.bytesSent) / seconds, float64(w.datagramsSent) / seconds
 	}
 	_, few := perSecond(40)
 	bytes, many := perSecond(160)
@@ -223,8 +223,8 @@
 	assert.Assert(t, bytes < 3000, "%.0f bytes a second", bytes)
 }
 
-func TestBadDatagram(t *testing.T) {
-	w := newWorld(t, 2)
+func TestMalformedDatagramIsRejected(t *testing.T) {
+	w := newSimulation(t, 2)
 	_, err := w.nodes[0].Receive(0, w.nodes[1].address, []byte{0xff})
 	assert.ErrorContains(t, err, "cannot be read")
 	_, err = w.nodes[0].Receive(0, w.nodes[1].address, nil)
--- a/systems/membership/probe.go
+++ b/systems/membership/probe.go
@@ -8,34 +8,34 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// probes is the state of the detection.
-type probes struct {
+// failureDetector is the state of the detection.
+type failureDetector struct {
 	sequence uint64
-	// order is whom to probe next, shuffled anew when it is used up, so that
+	// probeOrder is whom to probe next, shuffled anew when it is used up, so that
 	// each member is probed within a bounded time.
-	order []tables.InstanceID
+	probeOrder []tables.InstanceID
 	// target is being probed under number probe since started.
 	target  *member
-	probe   uint64
-	started tables.Instant
-	helped  bool
+	targetSequence   uint64
+	startedAt tables.Instant
+	indirectSent  bool
 	acked   bool
-	// failed counts probes of different members that failed in a row.
-	failed int
-	// periods counts probes of this process.
-	periods uint64
-	// relays are pings made for others, by number.
-	relays map[uint64]relay
+	// consecutiveFailures counts probes of different members that consecutiveFailures in a row.
+	consecutiveFailures int
+	// rounds counts probes of this process.
+	rounds uint64
+	// indirectProbes are pings made for others, by number.
+	indirectProbes map[uint64]indirectProbe
 }
 
-// relay is for whom a ping was made.
-type relay struct {
-	to       netip.AddrPort
+// indirectProbe is for whom a ping was made.
+type indirectProbe struct {
+	requester       netip.AddrPort
 	sequence uint64
-	at       tables.Instant
+	sentAt       tables.Instant
 }
 
-func newProbes() probes { return probes{relays: map[uint64]relay{}} }
+func newFailureDetector() failureDetector { return failureDetector{indirectProbes: map[uint64]indirectProbe{}} }
 
 // Tick moves the detection on. It is called several times within the probe
 // timeout.
@@ -43,62 +43,62 @@
 	elapsed := now - m.lastTick
 	m.lastTick, m.now = now, now
 	budget := float64(m.config.SyncBytesPerSecond)
-	m.syncBytes = min(m.syncBytes+budget*elapsed.Seconds(), syncBurst*budget)
+	m.syncTokens = min(m.syncTokens+budget*elapsed.Seconds(), syncBurstSeconds*budget)
 	m.expire(now)
-	p := &m.probes
+	p := &m.detector
 	switch {
-	case p.periods == 0 || now-p.started >= m.config.ProbeInterval:
+	case p.rounds == 0 || now-p.startedAt >= m.config.ProbeInterval:
 		m.endProbe(now)
 		m.startProbe(now)
-	case p.target != nil && !p.acked && !p.helped && now-p.started >= m.config.ProbeTimeout:
-		m.askHelpers()
+	case p.target != nil && !p.acked && !p.indirectSent && now-p.startedAt >= m.config.ProbeTimeout:
+		m.sendPingRequests()
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 func (m *Membership) startProbe(now tables.Instant) {
-	p := &m.probes
-	p.periods++
-	p.started = now
-	p.acked, p.helped = false, false
-	p.target = m.next()
+	p := &m.detector
+	p.rounds++
+	p.startedAt = now
+	p.acked, p.indirectSent = false, false
+	p.target = m.nextTarget()
 	if p.target != nil {
 		p.sequence++
-		p.probe = p.sequence
-		m.send(p.target.Address, datagramPing, p.probe)
+		p.targetSequence = p.sequence
+		m.send(p.target.Address, datagramPing, p.targetSequence)
 	}
-	m.tryLost()
+	m.probeUnreachable()
 }
 
-// next returns the member to probe now, nil if there is none.
-func (m *Membership) next() *member {
-	p := &m.probes
+// nextTarget returns the member to probe now, nil if there is none.
+func (m *Membership) nextTarget() *member {
+	p := &m.detector
 	for range 2 {
-		for len(p.order) > 0 {
-			row := m.roster.byID[p.order[0]]
-			p.order = p.order[1:]
+		for len(p.probeOrder) > 0 {
+			row := m.members.byID[p.probeOrder[0]]
+			p.probeOrder = p.probeOrder[1:]
 			if row != nil && row != m.self && row.State <= Suspect {
 				return row
 			}
 		}
-		for _, row := range m.roster.order {
-			p.order = append(p.order, row.Instance)
+		for _, row := range m.members.sorted {
+			p.probeOrder = append(p.probeOrder, row.Instance)
 		}
-		m.random.Shuffle(len(p.order), func(i, j int) { p.order[i], p.order[j] = p.order[j], p.order[i] })
+		m.random.Shuffle(len(p.probeOrder), func(i, j int) { p.probeOrder[i], p.probeOrder[j] = p.probeOrder[j], p.probeOrder[i] })
 	}
 	return nil
 }
 
-// askHelpers lets others ping the target. The way between it and this instance
+// sendPingRequests lets others ping the target. The way between it and this instance
 // may be lost, perhaps in one direction only, while it serves everyone else.
-func (m *Membership) askHelpers() {
-	p := &m.probes
-	p.helped = true
-	for _, helper := range m.pick(m.config.IndirectProbes, p.target.Instance) {
-		m.sendAbout(helper.Address, datagramPingRequest, p.probe, p.target.Address)
+func (m *Membership) sendPingRequests() {
+	p := &m.detector
+	p.indirectSent = true
+	for _, helper := range m.randomLiveMembers(m.config.IndirectProbes, p.target.Instance) {
+		m.sendPingRequest(helper.Address, datagramPingRequest, p.targetSequence, p.target.Address)
 	}
 	// The first datagram may just have been lost.
-	m.send(p.target.Address, datagramPing, p.probe)
+	m.send(p.target.Address, datagramPing, p.targetSequence)
 }
 
 // endProbe suspects a target that did not answer, also not by way of others.
@@ -107,35 +107,35 @@
 // keeps its doubts to itself: otherwise one instance with a deaf network card
 // would make all others defend themselves for as long as it lives.
 func (m *Membership) endProbe(now tables.Instant) {
-	p := &m.probes
+	p := &m.detector
 	if p.target == nil {
 		return
 	}
 	if p.acked {
-		p.failed = 0
+		p.consecutiveFailures = 0
 		return
 	}
-	p.failed++
+	p.consecutiveFailures++
 	if p.target.State != Alive {
 		return
 	}
 	m.setState(now, p.target, Suspect)
-	p.target.private = m.alone()
+	p.target.withheld = m.isLikelyIsolated()
 }
 
-// alone says whether nobody has answered for so long that this instance is more
+// isLikelyIsolated says whether nobody has answered for so long that this instance is more
 // likely to be at fault than the others.
-func (m *Membership) alone() bool { return m.probes.failed >= loneProbes }
+func (m *Membership) isLikelyIsolated() bool { return m.detector.consecutiveFailures >= isolationThreshold }
 
-// tryLost pings a seed that is no living member, or now and then a dead member,
+// probeUnreachable pings a seed that is no living member, or now and then a dead member,
 // so that parts that were cut off from each other find together again.
-func (m *Membership) tryLost() {
+func (m *Membership) probeUnreachable() {
 	known := map[netip.AddrPort]bool{m.self.Address: true}
 	var lost []netip.AddrPort
-	for _, row := range m.roster.order {
+	for _, row := range m.members.sorted {
 		if row.State <= Suspect {
 			known[row.Address] = true
-		} else if row.State == Dead && m.probes.periods%retryDead == 0 {
+		} else if row.State == Dead && m.detector.rounds%deadProbeInterval == 0 {
 			lost = append(lost, row.Address)
 		}
 	}
@@ -148,42 +148,42 @@
 		return
 	}
 	slices.SortFunc(lost, func(a, b netip.AddrPort) int { return cmp.Compare(a.String(), b.String()) })
-	m.probes.sequence++
-	m.sendJoining(lost[m.random.IntN(len(lost))], m.probes.sequence)
+	m.detector.sequence++
+	m.sendJoinPing(lost[m.random.IntN(len(lost))], m.detector.sequence)
 }
 
 // expire turns suspicions that were not refuted into deaths, and forgets old
 // dead.
 func (m *Membership) expire(now tables.Instant) {
-	suspectFor := m.suspectFor()
+	suspectFor := m.suspicionTimeout()
 	var forgotten []tables.InstanceID
-	for _, row := range m.roster.order {
+	for _, row := range m.members.sorted {
 		switch {
 		case row == m.self:
-		case row.State == Suspect && (now-row.changed >= suspectFor || m.gone[row.Address]):
-			private := row.private && m.alone()
+		case row.State == Suspect && (now-row.stateChangedAt >= suspectFor || m.departed[row.Address]):
+			private := row.withheld && m.isLikelyIsolated()
 			m.setState(now, row, Dead)
-			row.private = private
-		case row.State >= Dead && now-row.changed >= m.config.DeadRetention:
+			row.withheld = private
+		case row.State >= Dead && now-row.stateChangedAt >= m.config.DeadRetention:
 			forgotten = append(forgotten, row.Instance)
 		}
 	}
 	for _, id := range forgotten {
-		m.roster.remove(id)
+		m.members.remove(id)
 		m.version++
 	}
-	for sequence, r := range m.probes.relays {
-		if now-r.at >= m.config.ProbeInterval {
-			delete(m.probes.relays, sequence)
+	for sequence, r := range m.detector.indirectProbes {
+		if now-r.sentAt >= m.config.ProbeInterval {
+			delete(m.detector.indirectProbes, sequence)
 		}
 	}
 }
 
 func (m *Membership) setState(now tables.Instant, row *member, state State) {
 	row.State = state
-	m.roster.counted = false
-	row.changed = now
-	row.unsent = m.spread()
-	row.private = false
+	m.members.derivedValid = false
+	row.stateChangedAt = now
+	row.sendsLeft = m.retransmitLimit()
+	row.withheld = false
 	m.version++
 }
--- a/systems/membership/receive.go
+++ b/systems/membership/receive.go
@@ -11,8 +11,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// maxRelays bounds the pings made for others at one time.
-const maxRelays = 256
+// maxIndirectProbes bounds the pings made for others at one time.
+const maxIndirectProbes = 256
 
 // DatagramError means that a datagram was dropped.
 type DatagramError struct {
@@ -45,8 +45,8 @@
 	m.now = now
 	if in.GetKind() == datagramHints {
 		// Hints come often and say nothing else of their sender.
-		m.takeHints(in)
-		return m.take(), nil
+		m.receiveHints(in)
+		return m.takeOutput(), nil
 	}
 	sender := Sender{Instance: tables.InstanceID(in.GetSender().GetInstance()), Address: from}
 	switch in.GetKind() {
@@ -55,22 +55,22 @@
 	case datagramUsage:
 		return Output{UsageMessage: in.GetUsage(), From: sender}, nil
 	}
-	m.takeSender(now, from, in)
-	m.answer(now, from, in)
-	return m.take(), nil
+	m.mergeSender(now, from, in)
+	m.respond(now, from, in)
+	return m.takeOutput(), nil
 }
 
-// takeSender merges the sender's row and the rows that it passes on. What a
+// mergeSender merges the sender's row and the rows that it passes on. What a
 // dead member says of others counts for nothing: it cannot hear their defence.
 // What it says of this instance does, or two that hold each other for dead would
 // never find out.
-func (m *Membership) takeSender(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
+func (m *Membership) mergeSender(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
 	sender := decodeRow(in.GetSender())
 	if !sender.Address.IsValid() {
 		sender.Address = from
 	}
 	m.merge(now, sender)
-	known := m.roster.byID[sender.Instance]
+	known := m.members.byID[sender.Instance]
 	dead := known == nil || known.State == Dead
 	for _, encoded := range in.GetRows() {
 		row := decodeRow(encoded)
@@ -82,55 +82,55 @@
 		return
 	}
 	if sender.Revision > m.self.Revision && sender.Control.IsValid() {
-		m.out.NewerRevisionAt = sender.Control
+		m.output.NewerRevisionAt = sender.Control
 	}
 }
 
-func (m *Membership) answer(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
+func (m *Membership) respond(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
 	switch in.GetKind() {
 	case datagramPing:
 		m.send(from, datagramAck, in.GetSequence())
 		if in.GetJoining() {
-			m.sync(from)
+			m.sendFullState(from)
 		}
-		m.tellIfDead(from, in)
+		m.notifyIfNotAlive(from, in)
 	case datagramAck:
-		m.acked(in.GetSequence())
-		m.tellIfDead(from, in)
+		m.handleAck(in.GetSequence())
+		m.notifyIfNotAlive(from, in)
 	case datagramPingRequest:
-		m.pingFor(now, from, in)
+		m.handlePingRequest(now, from, in)
 	}
 }
 
-// tellIfDead lets a sender that is held for dead know, so that it can refute.
-func (m *Membership) tellIfDead(from netip.AddrPort, in *rpc.Datagram) {
-	if row := m.roster.byID[tables.InstanceID(in.GetSender().GetInstance())]; row != nil && row.State != Alive {
-		d := m.datagram(datagramRows, 0)
+// notifyIfNotAlive lets a sender that is held for dead know, so that it can refute.
+func (m *Membership) notifyIfNotAlive(from netip.AddrPort, in *rpc.Datagram) {
+	if row := m.members.byID[tables.InstanceID(in.GetSender().GetInstance())]; row != nil && row.State != Alive {
+		d := m.newDatagram(datagramRows, 0)
 		d.Rows = []*rpc.InstanceRow{encodeRow(row)}
-		m.finish(from, d, []*member{})
+		m.fillAndSend(from, d, []*member{})
 	}
 }
 
-func (m *Membership) acked(sequence uint64) {
-	p := &m.probes
-	if p.target != nil && sequence == p.probe {
+func (m *Membership) handleAck(sequence uint64) {
+	p := &m.detector
+	if p.target != nil && sequence == p.targetSequence {
 		p.acked = true
 		return
 	}
-	if r, found := p.relays[sequence]; found {
-		delete(p.relays, sequence)
-		m.send(r.to, datagramAck, r.sequence)
+	if r, found := p.indirectProbes[sequence]; found {
+		delete(p.indirectProbes, sequence)
+		m.send(r.requester, datagramAck, r.sequence)
 	}
 }
 
-func (m *Membership) pingFor(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
+func (m *Membership) handlePingRequest(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
 	var target netip.AddrPort
-	if err := target.UnmarshalBinary(in.GetTarget()); err != nil || len(m.probes.relays) >= maxRelays {
+	if err := target.UnmarshalBinary(in.GetTarget()); err != nil || len(m.detector.indirectProbes) >= maxIndirectProbes {
 		return
 	}
-	m.probes.sequence++
-	m.probes.relays[m.probes.sequence] = relay{to: from, sequence: in.GetSequence(), at: now}
-	m.send(target, datagramPing, m.probes.sequence)
+	m.detector.sequence++
+	m.detector.indirectProbes[m.detector.sequence] = indirectProbe{requester: from, sequence: in.GetSequence(), sentAt: now}
+	m.send(target, datagramPing, m.detector.sequence)
 }
 
 // merge takes a row if it is newer than the one here: a later boot, or a later
@@ -140,7 +140,7 @@
 		m.refute(row)
 		return
 	}
-	known := m.roster.byID[row.Instance]
+	known := m.members.byID[row.Instance]
 	if known == nil && row.State >= Dead {
 		// Taken in, the row of one long dead would pass from instance to instance
 		// for ever, each one keeping it for a while from when it heard.
@@ -148,36 +148,36 @@
 	}
 	if known == nil {
 		known = &member{Member: row, hash: hashOf(row.Instance)}
-		m.roster.add(known)
-		m.insert(row.Instance)
+		m.members.add(known)
+		m.insertProbeTarget(row.Instance)
 		m.setState(now, known, row.State)
 		return
 	}
 	if row.Boot == known.Boot && row.Revision > known.Revision {
 		known.Revision, known.Since = row.Revision, row.Since
 	}
-	if !newer(row, known.Member) {
+	if !supersedes(row, known.Member) {
 		return
 	}
 	changed := row.State != known.State || row.Boot != known.Boot
 	known.Member = row
-	m.roster.counted = false
+	m.members.derivedValid = false
 	if changed {
 		m.setState(now, known, row.State)
 	}
 }
 
-// insert puts a new member at a random place of the probe order.
-func (m *Membership) insert(id tables.InstanceID) {
-	order := m.probes.order
+// insertProbeTarget puts a new member at a random place of the probe order.
+func (m *Membership) insertProbeTarget(id tables.InstanceID) {
+	order := m.detector.probeOrder
 	at := m.random.IntN(len(order) + 1)
 	order = append(order, id)
 	copy(order[at+1:], order[at:])
 	order[at] = id
-	m.probes.order = order
+	m.detector.probeOrder = order
 }
 
-func newer(row, known Member) bool {
+func supersedes(row, known Member) bool {
 	if row.Boot != known.Boot {
 		return row.Boot > known.Boot
 	}
@@ -194,12 +194,12 @@
 		// The wall clock went back since the last start, and so did the boot
 		// number. Everyone would take this process for the older one.
 		m.self.Boot = row.Boot + 1
-		m.self.unsent = m.spread()
+		m.self.sendsLeft = m.retransmitLimit()
 		return
 	}
 	if row.Boot != m.self.Boot || row.State == Alive || m.self.State == Left || row.Incarnation < m.self.Incarnation {
 		return
 	}
 	m.self.Incarnation = row.Incarnation + 1
-	m.self.unsent = m.spread()
+	m.self.sendsLeft = m.retransmitLimit()
 }
--- a/systems/membership/schedulers.go
+++ b/systems/membership/schedulers.go
@@ -25,9 +25,9 @@
 	minSchedulers = 2
 )
 
-// schedulersOf picks the schedulers among the living entry instances of one zone:
+// electSchedulers picks the schedulers among the living entry instances of one zone:
 // the largest, and of equals those with the highest hash.
-func schedulersOf(entries []*member) []*member {
+func electSchedulers(entries []*member) []*member {
 	ranked := slices.Clone(entries)
 	slices.SortFunc(ranked, func(a, b *member) int {
 		return cmp.Or(cmp.Compare(b.Size, a.Size), cmp.Compare(b.hash, a.hash), cmp.Compare(a.Instance, b.Instance))
@@ -52,19 +52,19 @@
 // Schedulers lists those of the own zone, the best first; none where each entry
 // instance chooses for itself.
 func (m *Membership) Schedulers() []EntryInstance {
-	m.count()
-	return m.roster.schedulers
+	m.refreshDerived()
+	return m.members.schedulers
 }
 
 // AllSchedulers lists those of all zones; none where each entry instance chooses for
 // itself.
 func (m *Membership) AllSchedulers() []EntryInstance {
-	m.count()
-	all := slices.Clone(m.roster.schedulers)
+	m.refreshDerived()
+	all := slices.Clone(m.members.schedulers)
 	if len(all) == 0 {
 		return nil
 	}
-	for _, schedulers := range m.roster.remote {
+	for _, schedulers := range m.members.remoteGroups {
 		for _, row := range schedulers {
 			all = append(all, entryOf(row))
 		}
@@ -76,10 +76,10 @@
 	return EntryInstance{Instance: row.Instance, Address: row.Address, Control: row.Control}
 }
 
-// zones lists the living entry instances of each zone.
-func (m *Membership) zones() map[tables.Zone][]*member {
+// liveEntriesByZone lists the living entry instances of each zone.
+func (m *Membership) liveEntriesByZone() map[tables.Zone][]*member {
 	zones := map[tables.Zone][]*member{}
-	for _, row := range m.roster.order {
+	for _, row := range m.members.sorted {
 		if row.State <= Suspect && row.Roles&RoleEntry != 0 {
 			zones[row.Zone] = append(zones[row.Zone], row)
 		}
@@ -87,27 +87,27 @@
 	return zones
 }
 
-// countEntries brings up to date who chooses and who is told of hints.
-func (m *Membership) countEntries() {
-	zones := m.zones()
-	r := &m.roster
-	r.entries, r.schedulers, r.told, r.remote = 0, nil, nil, nil
-	r.byZone = make(map[tables.Zone][]EntryInstance, len(zones))
+// refreshEntries brings up to date who chooses and who is told of hints.
+func (m *Membership) refreshEntries() {
+	zones := m.liveEntriesByZone()
+	r := &m.members
+	r.entryCount, r.schedulers, r.hintReceivers, r.remoteGroups = 0, nil, nil, nil
+	r.entriesByZone = make(map[tables.Zone][]EntryInstance, len(zones))
 	for zone, entries := range zones {
-		r.entries += len(entries)
+		r.entryCount += len(entries)
 		for _, row := range entries {
-			r.byZone[zone] = append(r.byZone[zone], entryOf(row))
+			r.entriesByZone[zone] = append(r.entriesByZone[zone], entryOf(row))
 		}
 	}
-	wide := r.entries > FullMeshLimit
-	schedule := wide && m.schedule
+	beyondFullMesh := r.entryCount > FullMeshLimit
+	schedule := beyondFullMesh && m.useSchedulers
 	for zone, entries := range zones {
 		near := zone == m.self.Zone
 		if schedule {
-			entries = schedulersOf(entries)
+			entries = electSchedulers(entries)
 		}
-		if wide && !near {
-			r.remote = append(r.remote, entries)
+		if beyondFullMesh && !near {
+			r.remoteGroups = append(r.remoteGroups, entries)
 			continue
 		}
 		for _, row := range entries {
@@ -115,35 +115,35 @@
 				r.schedulers = append(r.schedulers, entryOf(row))
 			}
 			if row != m.self {
-				r.told = append(r.told, row.Address)
+				r.hintReceivers = append(r.hintReceivers, row.Address)
 			}
 		}
 	}
-	slices.SortFunc(r.remote, func(a, b []*member) int { return cmp.Compare(a[0].Zone, b[0].Zone) })
+	slices.SortFunc(r.remoteGroups, func(a, b []*member) int { return cmp.Compare(a[0].Zone, b[0].Zone) })
 }
 
 // EntriesByZone lists the living entry instances of each zone.
 func (m *Membership) EntriesByZone() map[tables.Zone][]EntryInstance {
-	m.count()
-	return m.roster.byZone
+	m.refreshDerived()
+	return m.members.entriesByZone
 }
 
 // EncodeSchedule encodes a message between an entry instance and a scheduler. It needs no
 // member and no clock.
 func (m *Membership) EncodeSchedule(to netip.AddrPort, message *rpc.ScheduleMessage) Output {
-	d := m.hints()
+	d := m.newHintDatagram()
 	d.Kind, d.Schedule = datagramSchedule, message
-	return encoded(to, d)
+	return encodeDatagram(to, d)
 }
 
 // EncodeUsage encodes a message about organisations' usage, as Schedule does.
 func (m *Membership) EncodeUsage(to netip.AddrPort, message *rpc.UsageMessage) Output {
-	d := m.hints()
+	d := m.newHintDatagram()
 	d.Kind, d.Usage = datagramUsage, message
-	return encoded(to, d)
+	return encodeDatagram(to, d)
 }
 
-func encoded(to netip.AddrPort, d *rpc.Datagram) Output {
+func encodeDatagram(to netip.AddrPort, d *rpc.Datagram) Output {
 	payload, err := proto.Marshal(d)
 	if err != nil {
 		return Output{}
--- a/systems/membership/schedulers_test.go
+++ b/systems/membership/schedulers_test.go
@@ -9,8 +9,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// schedules says whether an instance holds itself for a scheduler.
-func (n *node) schedules() bool {
+// isScheduler says whether an instance holds itself for a scheduler.
+func (n *node) isScheduler() bool {
 	for _, s := range n.Schedulers() {
 		if s.Instance == n.self.Instance {
 			return true
@@ -19,11 +19,11 @@
 	return false
 }
 
-// TestInstancesOfAZoneAgreeOnTheirSchedulers guards against choices that are spread
+// TestZoneAgreesOnSchedulers guards against choices that are spread
 // over instances which do not know of each other's.
-func TestInstancesOfAZoneAgreeOnTheirSchedulers(t *testing.T) {
-	w := newGroup(t, 4*FullMeshLimit, 3, true)
-	w.until(2*time.Minute, "find each other", w.allAlive)
+func TestZoneAgreesOnSchedulers(t *testing.T) {
+	w := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
+	w.runUntil(2*time.Minute, "find each other", w.allAlive)
 	byZone := map[tables.Zone][]EntryInstance{}
 	for _, node := range w.nodes {
 		zone := node.self.Zone
@@ -37,27 +37,27 @@
 	assert.Equal(t, len(byZone), 3)
 }
 
-// TestASmallGroupHasNoSchedulers guards against a detour where each instance hears of
+// TestSmallGroupHasNoSchedulers guards against a detour where each instance hears of
 // all others' choices anyway.
-func TestASmallGroupHasNoSchedulers(t *testing.T) {
-	w := newGroup(t, FullMeshLimit, 3, true)
-	w.until(2*time.Minute, "find each other", w.allAlive)
+func TestSmallGroupHasNoSchedulers(t *testing.T) {
+	w := newSimulationWithSchedulers(t, FullMeshLimit, 3, true)
+	w.runUntil(2*time.Minute, "find each other", w.allAlive)
 	for _, node := range w.nodes {
 		assert.Equal(t, len(node.Schedulers()), 0)
 		assert.Equal(t, node.HintReceiverCount(), FullMeshLimit-1)
 	}
 }
 
-// TestADeadSchedulerIsReplaced guards against a zone that goes on asking an instance
+// TestDeadSchedulerIsReplaced guards against a zone that goes on asking an instance
 // that is gone.
-func TestADeadSchedulerIsReplaced(t *testing.T) {
-	w := newGroup(t, 4*FullMeshLimit, 3, true)
-	w.until(2*time.Minute, "find each other", w.allAlive)
+func TestDeadSchedulerIsReplaced(t *testing.T) {
+	w := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
+	w.runUntil(2*time.Minute, "find each other", w.allAlive)
 	gone := w.nodes[0].Schedulers()[0].Instance
 	for i, node := range w.nodes {
 		if node.self.Instance == gone {
 			node.down = true
-			w.until(time.Minute, "find the dead", func() bool { return w.seen(i, Dead) })
+			w.runUntil(time.Minute, "find the dead", func() bool { return w.allSee(i, Dead) })
 		}
 	}
 	for _, node := range w.nodes {
@@ -67,12 +67,12 @@
 	}
 }
 
-// TestSchedulersOfOtherZonesHearOfPlacements guards against a prompt that each zone reads
+// TestPlacementsReachRemoteSchedulers guards against a prompt that each zone reads
 // once more since those that choose there were not told of it, and against instances
 // that are told though they do not choose.
-func TestSchedulersOfOtherZonesHearOfPlacements(t *testing.T) {
-	w := newGroup(t, 3*FullMeshLimit, 3, true)
-	w.until(2*time.Minute, "find each other", w.allAlive)
+func TestPlacementsReachRemoteSchedulers(t *testing.T) {
+	w := newSimulationWithSchedulers(t, 3*FullMeshLimit, 3, true)
+	w.runUntil(2*time.Minute, "find each other", w.allAlive)
 	placements := []Placement{{Endpoint: "e1", Block: 7}}
 	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
 	w.send(w.nodes[2], w.nodes[2].SendPlacementsToOtherZones(w.now, placements))
@@ -81,7 +81,7 @@
 	for _, node := range w.nodes {
 		if node.relay {
 			relays++
-			assert.Assert(t, node.schedules())
+			assert.Assert(t, node.isScheduler())
 			w.send(node, node.SendHints(w.now, Hints{Placements: node.placements}))
 		}
 	}
@@ -89,22 +89,22 @@
 	w.run(time.Second)
 	for i, node := range w.nodes {
 		want := 0
-		if i != 2 && node.schedules() {
+		if i != 2 && node.isScheduler() {
 			want = 1
 		}
 		assert.Equal(t, len(node.placements), want, "instance %d", i)
 	}
 }
 
-// TestLargerInstancesSchedule guards against schedulers on the smallest machines, where
+// TestLargestInstancesAreElectedSchedulers guards against schedulers on the smallest machines, where
 // all wait for their choices.
-func TestLargerInstancesSchedule(t *testing.T) {
+func TestLargestInstancesAreElectedSchedulers(t *testing.T) {
 	var entries []*member
 	for i, size := range []int{1, 1, 3, 1, 3, 1} {
 		id := tables.InstanceID(rune('a' + i))
 		entries = append(entries, &member{Member: Member{InstanceInfo: InstanceInfo{Instance: id, Size: size}}, hash: hashOf(id)})
 	}
-	picked := schedulersOf(entries)
+	picked := electSchedulers(entries)
 	assert.Equal(t, len(picked), 2)
 	assert.Equal(t, picked[0].Size, 3)
 	assert.Equal(t, picked[1].Size, 3)
--- a/systems/membership/send.go
+++ b/systems/membership/send.go
@@ -26,59 +26,59 @@
 
 // send sends a datagram with what is new and some of what is not.
 func (m *Membership) send(to netip.AddrPort, kind rpc.DatagramKind, sequence uint64) {
-	m.finish(to, m.datagram(kind, sequence), nil)
+	m.fillAndSend(to, m.newDatagram(kind, sequence), nil)
 }
 
-func (m *Membership) sendAbout(to netip.AddrPort, kind rpc.DatagramKind, sequence uint64, target netip.AddrPort) {
-	d := m.datagram(kind, sequence)
+func (m *Membership) sendPingRequest(to netip.AddrPort, kind rpc.DatagramKind, sequence uint64, target netip.AddrPort) {
+	d := m.newDatagram(kind, sequence)
 	d.Target, _ = target.MarshalBinary()
-	m.finish(to, d, nil)
+	m.fillAndSend(to, d, nil)
 }
 
-func (m *Membership) sendJoining(to netip.AddrPort, sequence uint64) {
-	d := m.datagram(datagramPing, sequence)
+func (m *Membership) sendJoinPing(to netip.AddrPort, sequence uint64) {
+	d := m.newDatagram(datagramPing, sequence)
 	d.Joining = true
-	m.finish(to, d, nil)
+	m.fillAndSend(to, d, nil)
 }
 
 // sendRows sends only the given rows, as far as they fit.
 func (m *Membership) sendRows(to netip.AddrPort, rows []*member) int {
-	return m.finish(to, m.datagram(datagramRows, 0), rows)
+	return m.fillAndSend(to, m.newDatagram(datagramRows, 0), rows)
 }
 
-// sync sends all rows to one that joins, as far as the budget allows. A joiner
+// sendFullState sends all rows to one that joins, as far as the budget allows. A joiner
 // that gets no or few asks again, and gets the rest with the pings.
-func (m *Membership) sync(to netip.AddrPort) {
-	rows := m.roster.order
-	for len(rows) > 0 && m.syncBytes >= float64(m.config.MaxDatagramBytes) {
+func (m *Membership) sendFullState(to netip.AddrPort) {
+	rows := m.members.sorted
+	for len(rows) > 0 && m.syncTokens >= float64(m.config.MaxDatagramBytes) {
 		sent := m.sendRows(to, rows)
 		if sent == 0 {
 			return
 		}
 		rows = rows[sent:]
-		last := m.out.Datagrams[len(m.out.Datagrams)-1]
-		m.syncBytes -= float64(len(last.Payload))
+		last := m.output.Datagrams[len(m.output.Datagrams)-1]
+		m.syncTokens -= float64(len(last.Payload))
 	}
 }
 
-func (m *Membership) datagram(kind rpc.DatagramKind, sequence uint64) *rpc.Datagram {
+func (m *Membership) newDatagram(kind rpc.DatagramKind, sequence uint64) *rpc.Datagram {
 	return &rpc.Datagram{Kind: kind, Sequence: sequence, Sender: encodeRow(m.self)}
 }
 
-// finish fills the datagram up and sends it. It returns how many of the rows
+// fillAndSend fills the datagram up and sends it. It returns how many of the rows
 // fitted; without rows, it takes new ones first, then hints, then others.
-func (m *Membership) finish(to netip.AddrPort, d *rpc.Datagram, rows []*member) int {
+func (m *Membership) fillAndSend(to netip.AddrPort, d *rpc.Datagram, rows []*member) int {
 	room := m.config.MaxDatagramBytes - proto.Size(d)
 	added := 0
 	if rows != nil {
 		added = m.addRows(d, rows, &room)
 	} else {
-		m.addNews(d, &room)
-		m.addBackground(d, &room)
+		m.addUpdates(d, &room)
+		m.addAntiEntropy(d, &room)
 	}
 	payload, err := proto.Marshal(d)
 	if err == nil {
-		m.out.Datagrams = append(m.out.Datagrams, Datagram{To: to, Payload: payload})
+		m.output.Datagrams = append(m.output.Datagrams, Datagram{To: to, Payload: payload})
 	}
 	return added
 }
@@ -86,7 +86,7 @@
 // addRows adds rows while they fit, and returns how many did.
 func (m *Membership) addRows(d *rpc.Datagram, rows []*member, room *int) int {
 	for i, row := range rows {
-		if row.private {
+		if row.withheld {
 			continue
 		}
 		encoded := encodeRow(row)
@@ -100,31 +100,31 @@
 	return len(rows)
 }
 
-// addNews adds rows that changed, those that were sent least often first.
-func (m *Membership) addNews(d *rpc.Datagram, room *int) {
-	var news []*member
-	for _, row := range m.roster.order {
-		if row.unsent > 0 {
-			news = append(news, row)
+// addUpdates adds rows that changed, those that were sent least often first.
+func (m *Membership) addUpdates(d *rpc.Datagram, room *int) {
+	var updates []*member
+	for _, row := range m.members.sorted {
+		if row.sendsLeft > 0 {
+			updates = append(updates, row)
 		}
 	}
-	slices.SortFunc(news, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(b.unsent, a.unsent), cmp.Compare(a.Instance, b.Instance))
+	slices.SortFunc(updates, func(a, b *member) int {
+		return cmp.Or(cmp.Compare(b.sendsLeft, a.sendsLeft), cmp.Compare(a.Instance, b.Instance))
 	})
-	for _, row := range news[:m.addRows(d, news, room)] {
-		row.unsent--
+	for _, row := range updates[:m.addRows(d, updates, room)] {
+		row.sendsLeft--
 	}
 }
 
-// addBackground adds a few rows in turn.
-func (m *Membership) addBackground(d *rpc.Datagram, room *int) {
-	all := m.roster.order
-	for range min(backgroundRows, len(all)) {
-		row := all[m.background%len(all)]
+// addAntiEntropy adds a few rows in turn.
+func (m *Membership) addAntiEntropy(d *rpc.Datagram, room *int) {
+	all := m.members.sorted
+	for range min(antiEntropyRows, len(all)) {
+		row := all[m.antiEntropyCursor%len(all)]
 		if row != m.self && m.addRows(d, []*member{row}, room) == 0 {
 			return
 		}
-		m.background++
+		m.antiEntropyCursor++
 	}
 }
 
--- a/systems/membership/simulation_test.go
+++ b/systems/membership/simulation_test.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	tickEvery = 100 * time.Millisecond
-	latency   = 2 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
+	latency      = 2 * time.Millisecond
 )
 
-// world runs many memberships in virtual time.
-type world struct {
-	zones   int
-	t       testing.TB
-	now     time.Duration
-	nodes   []*node
-	at      map[netip.AddrPort]*node
-	flying  []flight
-	boots   uint64
-	lost    func(from, to int) bool
-	sent    int
-	packets int
+// simulation runs many memberships in virtual time.
+type simulation struct {
+	zones         int
+	t             testing.TB
+	now           time.Duration
+	nodes         []*node
+	nodeByAddress map[netip.AddrPort]*node
+	inFlight      []packet
+	boots         uint64
+	dropped       func(from, to int) bool
+	bytesSent     int
+	datagramsSent int
 	// schedule is Options.Schedule of all instances.
 	schedule bool
 }
@@ -42,35 +42,37 @@
 	newer      netip.AddrPort
 }
 
-type flight struct {
+type packet struct {
 	due     time.Duration
 	from    *node
 	to      netip.AddrPort
 	payload []byte
 }
 
-// newWorld starts n instances; all but the first join through it.
-// newWorld has all instances in one availability zone.
-func newWorld(t testing.TB, n int) *world { return newZones(t, n, 1) }
+// newSimulation starts n instances; all but the first join through it.
+// newSimulation has all instances in one availability zone.
+func newSimulation(t testing.TB, n int) *simulation { return newZonedSimulation(t, n, 1) }
 
-// newZones spreads the instances over zones in turn.
-func newZones(t testing.TB, n, zones int) *world { return newGroup(t, n, zones, false) }
+// newZonedSimulation spreads the instances over zones in turn.
+func newZonedSimulation(t testing.TB, n, zones int) *simulation {
+	return newSimulationWithSchedulers(t, n, zones, false)
+}
 
-// newGroup says too whether schedulers choose in a large group.
-func newGroup(t testing.TB, n, zones int, schedule bool) *world {
-	w := &world{t: t, zones: zones, schedule: schedule, at: map[netip.AddrPort]*node{}, lost: func(int, int) bool { return false }}
+// newSimulationWithSchedulers says too whether schedulers choose in a large group.
+func newSimulationWithSchedulers(t testing.TB, n, zones int, schedule bool) *simulation {
+	w := &simulation{t: t, zones: zones, schedule: schedule, nodeByAddress: map[netip.AddrPort]*node{}, dropped: func(int, int) bool { return false }}
 	for i := range n {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 8082)
 		node := &node{index: i, address: address}
 		w.nodes = append(w.nodes, node)
-		w.at[address] = node
+		w.nodeByAddress[address] = node
 		w.boot(i)
 	}
 	return w
 }
 
 // boot starts instance i anew.
-func (w *world) boot(i int) {
+func (w *simulation) boot(i int) {
 	w.boots++
 	node := w.nodes[i]
 	node.down = false
@@ -90,25 +92,25 @@
 	})
 }
 
-func (w *world) send(from *node, out Output) {
+func (w *simulation) send(from *node, out Output) {
 	from.placements = append(from.placements, out.Hints.Placements...)
 	from.relay = from.relay || out.Hints.Relay
 	if out.NewerRevisionAt.IsValid() {
 		from.newer = out.NewerRevisionAt
 	}
 	for _, d := range out.Datagrams {
-		w.sent += len(d.Payload)
-		w.packets++
-		assert.Assert(w.t, len(d.Payload) <= defaultDatagramBytes)
-		w.flying = append(w.flying, flight{due: w.now + latency, from: from, to: d.To, payload: d.Payload})
+		w.bytesSent += len(d.Payload)
+		w.datagramsSent++
+		assert.Assert(w.t, len(d.Payload) <= defaultMaxDatagramBytes)
+		w.inFlight = append(w.inFlight, packet{due: w.now + latency, from: from, to: d.To, payload: d.Payload})
 	}
 }
 
 // step moves time on by a tick.
-func (w *world) step() {
-	end := w.now + tickEvery
+func (w *simulation) step() {
+	end := w.now + tickInterval
 	for i, node := range w.nodes {
-		w.now += tickEvery / time.Duration(len(w.nodes)+1)
+		w.now += tickInterval / time.Duration(len(w.nodes)+1)
 		w.deliver()
 		if !node.down && (i >= 0) {
 			w.send(node, node.Tick(w.now))
@@ -118,12 +120,12 @@
 	w.deliver()
 }
 
-func (w *world) deliver() {
-	for len(w.flying) > 0 && w.flying[0].due <= w.now {
-		f := w.flying[0]
-		w.flying = w.flying[1:]
-		to := w.at[f.to]
-		if to == nil || to.down || w.lost(f.from.index, to.index) {
+func (w *simulation) deliver() {
+	for len(w.inFlight) > 0 && w.inFlight[0].due <= w.now {
+		f := w.inFlight[0]
+		w.inFlight = w.inFlight[1:]
+		to := w.nodeByAddress[f.to]
+		if to == nil || to.down || w.dropped(f.from.index, to.index) {
 			continue
 		}
 		out, err := to.Receive(w.now, f.from.address, f.payload)
@@ -132,14 +134,14 @@
 	}
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.step()
 	}
 }
 
-// until runs until ok, and fails after a bound.
-func (w *world) until(bound time.Duration, what string, ok func() bool) time.Duration {
+// runUntil runs runUntil ok, and fails after a bound.
+func (w *simulation) runUntil(bound time.Duration, what string, ok func() bool) time.Duration {
 	start := w.now
 	for !ok() {
 		if w.now-start >= bound {
@@ -150,16 +152,16 @@
 	return w.now - start
 }
 
-func (w *world) state(at, of int) State {
-	row := w.nodes[at].roster.byID[w.nodes[of].self.Instance]
+func (w *simulation) state(at, of int) State {
+	row := w.nodes[at].members.byID[w.nodes[of].self.Instance]
 	if row == nil {
 		return Left
 	}
 	return row.State
 }
 
-// seen says whether all that are up see all of them in the state.
-func (w *world) seen(of int, state State) bool {
+// allSee says whether all that are up see all of them in the state.
+func (w *simulation) allSee(of int, state State) bool {
 	for i, node := range w.nodes {
 		if i != of && !node.down && w.state(i, of) != state {
 			return false
@@ -168,9 +170,9 @@
 	return true
 }
 
-func (w *world) allAlive() bool {
+func (w *simulation) allAlive() bool {
 	for i, node := range w.nodes {
-		if !node.down && !w.seen(i, Alive) {
+		if !node.down && !w.allSee(i, Alive) {
 			return false
 		}
 	}
