--- a/systems/membership/fuzz_test.go
+++ b/systems/membership/fuzz_test.go
@@ -10,9 +10,8 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// A holder of the key with a defect sends anything as a datagram. The instance
-// must not fall over it, and must not answer with more than one datagram's worth
-// to each address.
+// A faulty holder of the key sends arbitrary datagrams. The instance must not
+// crash, and must answer with datagrams of bounded size only.
 func FuzzReceive(f *testing.F) {
 	good, err := proto.Marshal(&rpc.Datagram{Sender: &rpc.InstanceRow{Instance: "b", Zone: "z", Size: 1}})
 	if err != nil {
@@ -25,18 +24,18 @@
 		m := New(Options{Self: InstanceInfo{Instance: "a", Zone: "z", Size: 1, Address: self}, RandomSeed: 1})
 		out, err := m.Receive(time.Second, netip.MustParseAddrPort("127.0.0.1:2"), payload)
 		if err != nil && len(out.Datagrams) > 0 {
-			t.Fatal("answered what it could not read")
+			t.Fatal("responded to a datagram that cannot be decoded")
 		}
 		for i := range 20 {
 			out = m.Tick(time.Duration(i+2) * time.Second)
 			for _, d := range out.Datagrams {
 				if len(d.Payload) > m.config.MaxDatagramBytes {
-					t.Fatalf("a datagram of %d bytes", len(d.Payload))
+					t.Fatalf("datagram of %d bytes exceeds the limit", len(d.Payload))
 				}
 			}
 		}
 		if share := m.LoadShare(); !(share > 0 && share <= 1) {
-			t.Fatalf("share %v", share)
+			t.Fatalf("share %v is outside (0, 1]", share)
 		}
 	})
 }
--- a/systems/membership/hints.go
+++ b/systems/membership/hints.go
@@ -10,66 +10,72 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Placement says that a prefix was placed at an endpoint.
+// Placement is a cache hint: it says that a prompt prefix was placed at an
+// endpoint.
 type Placement struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
 	Block    tables.BlockHash
-	// Evicted is set for a prefix that the endpoint has no longer.
+	// Evicted is set if the endpoint no longer holds the prefix.
 	Evicted bool
-	// Reported is set for the endpoint's own word, which is about prefixes that no
-	// request shares too.
+	// Reported is set if the endpoint itself reports the prefix. Such hints also
+	// concern prefixes that no requests share.
 	Reported bool
 }
 
-// Load is what one instance has at an endpoint.
+// Load is the load of one instance on an endpoint.
 type Load struct {
-	// Instance is who told of it; it is not set in what this instance tells.
+	// Instance is the sender. It is empty in the loads that this instance sends.
 	Instance tables.InstanceID
 	Endpoint tables.EndpointID
-	// Running counts requests that have not ended, CacheTokens their memory, and
-	// PrefillTokens the prompt tokens of those without a first event.
+	// Running counts requests that have not ended, CacheTokens their memory in
+	// tokens, and PrefillTokens the prompt tokens of those without a first event.
 	Running, CacheTokens, PrefillTokens int
-	// LinkBusy is for how long the endpoint's link is busy with transfers that the
+	// LinkBusy is how long the endpoint's link is busy with the transfers that the
 	// instance knows of.
 	LinkBusy time.Duration
-	// AbsentFor is for how long the instance counts the endpoint as absent from its address.
+	// AbsentFor is how long the instance considers the endpoint absent from its
+	// address.
 	AbsentFor time.Duration
-	// Limit is what the instance knows of the endpoint's rate limit; nil for nothing.
+	// Limit is the endpoint's rate limit as known to the instance; nil if it is
+	// unknown.
 	Limit *RateLimit
 }
 
-// RateLimit is how many requests a second an endpoint takes from all instances together, by
-// an answer of Age ago. Limited is false if the answer named no limit.
+// RateLimit is how many requests per second an endpoint accepts from all instances
+// together, according to an answer received Age ago. Limited is false if the answer
+// named no limit.
 type RateLimit struct {
 	Limited   bool
 	PerSecond float64
 	Age       time.Duration
 }
 
-// Hints are what an instance lets the others know of its requests. What is lost
-// costs some reuse or a queue and nothing else.
+// Hints are what an instance tells the others about its requests. Delivery is best
+// effort: a lost hint costs some cache reuse or some queueing and nothing else.
 type Hints struct {
 	Placements []Placement
 	Loads      []Load
-	// Relay is set in what an instance of another zone tells: the placements are
-	// to be told in the own zone.
+	// Relay is set in hints from another zone: the receiver forwards the placements
+	// within its own zone.
 	Relay bool
 }
 
-// FullMeshLimit is how many living entry instances are told of hints wherever they
-// are. With more, only those of the own availability zone are, or its schedulers: what
-// is told grows with the square of the group otherwise, and prefixes have their homes
-// in each zone.
+// FullMeshLimit is the maximum number of living entry instances that all send hints
+// to each other, whatever their zones. In larger groups hints go only to the entry
+// instances of the same availability zone, or to its schedulers: the traffic of a
+// full mesh grows with the square of the group size, and every zone has home
+// endpoints of its own for the prefixes.
 const FullMeshLimit = 24
 
-// relayCursorRange spreads which instance of another zone is told first.
+// relayCursorRange is the range of the initial relay cursors. It spreads which
+// instance of another zone relays first.
 const relayCursorRange = 1 << 16
 
 // SendHints sends hints to other living entry instances, directly and once.
-// Prefixes are hot for seconds and queues last for less, so that hints which ride
-// on the pings of a second each would come too late to save anything. The caller
-// keeps the budget.
+// Prefixes are hot for seconds and queues last for less, so that hints piggybacked
+// on one ping per second would arrive too late to save anything. The caller
+// enforces the rate limit.
 func (m *Membership) SendHints(now tables.Instant, hints Hints) Output {
 	m.now = now
 	m.refreshDerived()
@@ -87,10 +93,10 @@
 	return m.takeOutput()
 }
 
-// SendPlacementsToOtherZones sends placements to one instance of each zone that SendHints leaves
-// out; it is to pass them on there. A prompt that one zone has read is
-// fetched by the others then and not read once more in each, and little crosses
-// zones.
+// SendPlacementsToOtherZones sends placements to one relay in each zone that
+// SendHints leaves out; the relay forwards them within its zone. The other zones
+// then fetch a prompt prefix that one zone has computed, where each would otherwise
+// compute it again, and little traffic crosses zones.
 func (m *Membership) SendPlacementsToOtherZones(now tables.Instant, placements []Placement) Output {
 	m.now = now
 	relays := m.nextRelays()
@@ -107,8 +113,8 @@
 	return m.takeOutput()
 }
 
-// SendLoadsToOtherZones sends the schedulers of other zones what this instance has at
-// endpoints. They too choose endpoints of this zone, and of any third.
+// SendLoadsToOtherZones sends this instance's loads on endpoints to the schedulers
+// of other zones, since they also choose endpoints of this zone and of third zones.
 func (m *Membership) SendLoadsToOtherZones(now tables.Instant, loads []Load) Output {
 	m.now = now
 	receivers := m.remoteSchedulerAddresses()
@@ -124,9 +130,10 @@
 	return m.takeOutput()
 }
 
-// RemoteSchedulerCount counts the schedulers of other zones.
+// RemoteSchedulerCount returns the number of schedulers in other zones.
 func (m *Membership) RemoteSchedulerCount() int { return len(m.remoteSchedulerAddresses()) }
 
+// remoteSchedulerAddresses returns the addresses of the schedulers in other zones.
 func (m *Membership) remoteSchedulerAddresses() []netip.AddrPort {
 	m.refreshDerived()
 	if !m.useSchedulers {
@@ -141,8 +148,8 @@
 	return all
 }
 
-// nextRelays picks an instance of each zone that SendHints leaves out, another one each
-// time.
+// nextRelays returns one relay in each zone that SendHints leaves out, in
+// round-robin order.
 func (m *Membership) nextRelays() []netip.AddrPort {
 	m.refreshDerived()
 	m.relayCursor++
@@ -153,11 +160,13 @@
 	return picked
 }
 
+// newHintDatagram returns a datagram of kind hints that names only its sender.
 func (m *Membership) newHintDatagram() *rpc.Datagram {
 	return &rpc.Datagram{Kind: datagramHints, Sender: &rpc.InstanceRow{Instance: string(m.self.Instance)}}
 }
 
-// sendHints sends one datagram to several, and says whether it could.
+// sendHints sends one datagram to several addresses and reports whether it could be
+// encoded.
 func (m *Membership) sendHints(d *rpc.Datagram, to []netip.AddrPort) bool {
 	payload, err := proto.Marshal(d)
 	if err != nil {
@@ -169,7 +178,7 @@
 	return true
 }
 
-// HintReceiverCount is how many instances hints are told to.
+// HintReceiverCount returns the number of instances that SendHints sends to.
 func (m *Membership) HintReceiverCount() int {
 	m.refreshDerived()
 	return len(m.members.hintReceivers)
@@ -207,7 +216,7 @@
 	return len(loads)
 }
 
-// receiveHints hands out the hints of a datagram.
+// receiveHints adds the hints of a datagram to the output.
 func (m *Membership) receiveHints(in *rpc.Datagram) {
 	for _, encoded := range in.GetPlacements() {
 		m.output.Hints.Placements = append(m.output.Hints.Placements, Placement{
--- a/systems/membership/member_table.go
+++ b/systems/membership/member_table.go
@@ -8,33 +8,37 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// memberTable holds all known instances. What is asked of it many times a second is kept
-// between changes: with hundreds of instances a walk over all of them for each
-// datagram costs more than the datagram.
+// memberTable holds all known instances and caches the values derived from them
+// that are read many times per second. With hundreds of instances, a scan of all of
+// them for each datagram costs more than the datagram.
 type memberTable struct {
 	byID map[tables.InstanceID]*member
-	// sorted is sorted by instance.
+	// sorted is ordered by instance ID.
 	sorted []*member
-	// derivedValid says that what follows is up to date.
+	// derivedValid is set if the fields below are up to date.
 	derivedValid bool
-	// liveCount counts members that are not dead or left, entryCount those of them with the
-	// entry role.
+	// liveCount counts members that are neither dead nor left, entryCount those of
+	// them with the entry role.
 	liveCount, entryCount int
-	// schedulers are those of the own zone; none where each entry instance chooses for
-	// itself.
+	// schedulers are the schedulers of this instance's zone; none if each entry
+	// instance chooses endpoints itself.
 	schedulers []EntryInstance
-	// entriesByZone lists the living entry instances of each zone; it is made anew at a change.
+	// entriesByZone lists the living entry instances of each zone. A change creates
+	// a new map.
 	entriesByZone map[tables.Zone][]EntryInstance
-	// abroad are the entry instances of each other zone, one of which passes hints on.
+	// remoteGroups holds, for each other zone, the instances that can relay hints:
+	// its schedulers, or all its living entry instances if it has none.
 	remoteGroups [][]*member
-	// hintReceivers are the addresses that hints go to.
+	// hintReceivers are the addresses that hints are sent to directly.
 	hintReceivers []netip.AddrPort
 }
 
+// newMemberTable returns a table that holds only this instance.
 func newMemberTable(self *member) memberTable {
 	return memberTable{byID: map[tables.InstanceID]*member{self.Instance: self}, sorted: []*member{self}}
 }
 
+// add inserts a member that is not in the table yet.
 func (r *memberTable) add(row *member) {
 	at, _ := r.find(row.Instance)
 	r.sorted = slices.Insert(r.sorted, at, row)
@@ -42,6 +46,7 @@
 	r.derivedValid = false
 }
 
+// remove deletes a member, if it is in the table.
 func (r *memberTable) remove(id tables.InstanceID) {
 	if at, found := r.find(id); found {
 		r.sorted = slices.Delete(r.sorted, at, at+1)
@@ -50,13 +55,15 @@
 	}
 }
 
+// find returns the position of an instance in sorted, or the position to insert it
+// at.
 func (r *memberTable) find(id tables.InstanceID) (at int, found bool) {
 	return slices.BinarySearchFunc(r.sorted, id, func(row *member, id tables.InstanceID) int {
 		return cmp.Compare(row.Instance, id)
 	})
 }
 
-// refreshDerived brings what is kept between changes up to date.
+// refreshDerived recomputes the derived values if a member has changed.
 func (m *Membership) refreshDerived() {
 	if m.members.derivedValid {
 		return
@@ -71,7 +78,7 @@
 	m.refreshEntries()
 }
 
-// liveCount counts members that are not dead or left.
+// liveCount returns the number of members that are neither dead nor left.
 func (m *Membership) liveCount() int {
 	m.refreshDerived()
 	return m.members.liveCount
--- a/systems/membership/membership.go
+++ b/systems/membership/membership.go
@@ -1,11 +1,12 @@
-// Package membership tells which instances are alive, by the SWIM protocol:
-// each instance pings one other a period, asks a few others to ping it when no
-// answer comes, suspects it next, and holds it for dead when it does not refute
-// the suspicion in time. What is new rides on the pings. So the bytes that an
-// instance sends in a second do not grow with the number of instances.
+// Package membership implements the SWIM protocol for group membership and failure
+// detection. In each protocol period an instance pings one member. If no
+// acknowledgement arrives, it asks a few others to ping that member, then suspects
+// it, and declares it dead unless the member refutes the suspicion in time. Updates
+// are piggybacked on the pings, so that the bytes that an instance sends per second
+// do not grow with the number of instances.
 //
-// The package is pure: datagrams and the clock go in, datagrams and news come
-// out. A Membership is not safe for concurrent use.
+// The package is a pure state machine: datagrams and clock readings go in,
+// datagrams and events come out. A Membership is not safe for concurrent use.
 package membership
 
 import (
@@ -20,7 +21,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Role says what an instance does; roles can be added.
+// Role is a bit set of the functions of an instance. Roles can be added.
 type Role uint8
 
 // The roles of an instance.
@@ -29,7 +30,7 @@
 	RoleControl
 )
 
-// Roles adds up the roles of an instance.
+// Roles returns the bit set of an instance's roles.
 func Roles(entry, control bool) Role {
 	var roles Role
 	if entry {
@@ -41,27 +42,28 @@
 	return roles
 }
 
-// InstanceInfo describes an instance, as it says itself.
+// InstanceInfo is the metadata that an instance publishes about itself.
 type InstanceInfo struct {
 	Instance tables.InstanceID
 	Zone     tables.Zone
 	Roles    Role
-	// Size weighs the instance against others.
+	// Size is the weight of the instance relative to the others.
 	Size int
-	// Address takes datagrams; Control serves the other instances over TCP.
+	// Address receives datagrams; Control serves the other instances over TCP.
 	Address netip.AddrPort
 	Control netip.AddrPort
-	// Boot grows with every start of the instance.
+	// Boot increases with every start of the instance.
 	Boot uint64
-	// Revision is in force at the instance since Since.
+	// Revision is the configuration revision in force at the instance, Since the
+	// time from which it has been.
 	Revision tables.Revision
 	Since    time.Time
 }
 
-// State is what is believed of an instance.
+// State is the liveness state of a member.
 type State uint8
 
-// The states. Of two beliefs about one incarnation the later state wins.
+// The states. Of two reports about the same incarnation the later state wins.
 const (
 	Alive State = iota
 	Suspect
@@ -69,49 +71,51 @@
 	Left
 )
 
-// String gives the state's name.
+// String returns the name of the state.
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// Member is an instance and what is believed of it.
+// Member is an instance and its liveness state in the view of this instance.
 type Member struct {
 	InstanceInfo
 	State State
-	// Incarnation grows when the instance refutes a suspicion.
+	// Incarnation is the SWIM incarnation number: the instance increases it to
+	// refute a suspicion.
 	Incarnation uint64
-	// Leaving is set while the platform's list says that the instance leaves.
+	// Leaving is set while the platform's list says that the instance is leaving.
 	Leaving bool
 }
 
-// member is a Member with what the detection needs.
+// member is a Member with the bookkeeping of the protocol.
 type member struct {
 	Member
-	// stateChangedAt is when the state last stateChangedAt here.
+	// stateChangedAt is the time of the last state change in this view.
 	stateChangedAt tables.Instant
-	// sendsLeft is how many more datagrams the row rides on.
+	// sendsLeft is how many more datagrams carry the row as an update.
 	sendsLeft int
-	// hash is that of the instance, for the choice among equals.
+	// hash is the hash of the instance ID. It breaks ties in the election of
+	// schedulers.
 	hash uint64
-	// withheld rows are doubts of an instance that doubts itself; they are told
-	// to nobody but the member itself.
+	// withheld marks a suspicion raised while this instance is likely isolated. It
+	// is sent to no instance but the suspected one.
 	withheld bool
 }
 
-// Config holds the times and bounds of the protocol. Zero values mean the
-// defaults.
+// Config holds the times and limits of the protocol. Zero fields take the defaults.
 type Config struct {
-	// ProbeInterval is the time between two probes; half a second is enough for the
-	// direct answer, see ProbeTimeout.
+	// ProbeInterval is the SWIM protocol period, the time between two probes. Half
+	// a second suffices for the direct acknowledgement, see ProbeTimeout.
 	ProbeInterval time.Duration
 	ProbeTimeout  time.Duration
-	// IndirectProbes is how many others are asked to ping one that did not answer.
+	// IndirectProbes is how many other members are asked to ping a member that did
+	// not acknowledge.
 	IndirectProbes int
-	// DeadRetention is how long dead instances are kept and tried again, so that zones
-	// find each other after they were cut off.
+	// DeadRetention is how long dead members are kept and pinged now and then, so
+	// that zones rejoin after a network partition.
 	DeadRetention time.Duration
-	// MaxDatagramBytes bounds one datagram.
+	// MaxDatagramBytes is the maximum size of a datagram.
 	MaxDatagramBytes int
-	// SyncBytesPerSecond bounds what is sent to joining instances; herds of them
-	// are served in turn.
+	// SyncBytesPerSecond limits the rate of full-state transfers to joining
+	// instances. When many instances join at once, they are served in turn.
 	SyncBytesPerSecond int
 }
 
@@ -122,23 +126,27 @@
 	defaultDeadRetention      = time.Hour
 	defaultMaxDatagramBytes   = 1180
 	defaultSyncBytesPerSecond = 6000
-	// syncBurstSeconds is how many seconds of SyncBytesPerSecond can be saved up.
+	// syncBurstSeconds is the capacity of the token bucket for full-state
+	// transfers, in seconds of SyncBytesPerSecond.
 	syncBurstSeconds = 4
-	// antiEntropyRows is how many rows, in turn, ride along though they are not
-	// new. They repair what was lost and bring revisions in force.
+	// antiEntropyRows is how many unchanged rows a datagram carries, in round-robin
+	// order. They repair lost updates and spread the revisions in force.
 	antiEntropyRows = 5
-	// pushFanout is how many others are told at once of a new revision.
+	// pushFanout is how many members are told at once of a new revision or of a
+	// leave.
 	pushFanout = 4
-	// isolationThreshold is the number of failed probes in a row, of different members,
-	// after which an instance doubts itself and accuses nobody.
+	// isolationThreshold is the number of consecutive failed probes, of different
+	// members, after which an instance considers itself isolated and spreads no
+	// suspicions.
 	isolationThreshold = 3
-	// suspicionMultiplier times the logarithm of the group's size is how many periods
-	// an instance has to refute a suspicion.
+	// suspicionMultiplier times the decimal logarithm of the group size is the
+	// suspicion timeout, in protocol periods.
 	suspicionMultiplier = 4
-	// deadProbeInterval is the number of periods between two pings of a dead member.
+	// deadProbeInterval is the number of protocol periods between two pings of a
+	// dead member.
 	deadProbeInterval = 5
-	// retransmitMultiplier times the logarithm of the group's size is how many datagrams
-	// of each instance a new row rides on.
+	// retransmitMultiplier times the binary logarithm of the group size is how many
+	// datagrams of each instance carry an update.
 	retransmitMultiplier = 3
 )
 
@@ -151,76 +159,82 @@
 	c.SyncBytesPerSecond = cmp.Or(c.SyncBytesPerSecond, defaultSyncBytesPerSecond)
 }
 
-// Options sets a Membership up.
+// Options configures a Membership.
 type Options struct {
 	Self   InstanceInfo
 	Config Config
-	// Seeds are addresses to join through. They are tried as long as they are
-	// not those of living members.
+	// Seeds are addresses to join through. They are pinged unless a living member
+	// has the address.
 	Seeds      []netip.AddrPort
 	RandomSeed uint64
-	// UseSchedulers lets schedulers choose endpoints in groups beyond WideGroup.
+	// UseSchedulers lets schedulers choose endpoints in groups of more than
+	// FullMeshLimit entry instances.
 	UseSchedulers bool
 }
 
-// Datagram is one to be sent.
+// Datagram is a datagram for the caller to send.
 type Datagram struct {
 	To      netip.AddrPort
 	Payload []byte
 }
 
-// Output is what came of one call.
+// Output is the result of a call: datagrams to send, and events for the caller.
 type Output struct {
 	Datagrams []Datagram
-	// Hints are what another instance lets this one know.
+	// Hints are the hints received from another instance.
 	Hints Hints
-	// ScheduleMessage is a message between an entry instance and a scheduler, and From who
-	// sent it.
+	// ScheduleMessage is a message between an entry instance and a scheduler, sent
+	// by From.
 	ScheduleMessage *rpc.ScheduleMessage
-	// UsageMessage is a message about organisations' usage, from the same.
+	// UsageMessage is a message about organisations' usage, sent by From.
 	UsageMessage *rpc.UsageMessage
 	From         Sender
-	// NewerRevisionAt is set to the control address of an instance that has a newer
-	// revision in force than this one.
+	// NewerRevisionAt is the control address of an instance with a newer revision
+	// in force than at this one; it is invalid if there is none.
 	NewerRevisionAt netip.AddrPort
 }
 
-// Sender is who sent a datagram.
+// Sender identifies the sender of a datagram.
 type Sender struct {
 	Instance tables.InstanceID
 	Address  netip.AddrPort
 }
 
-// Membership is one instance's view of all.
+// Membership is one instance's view of the group.
 type Membership struct {
 	config Config
 	self   *member
-	// configuredSeeds are the seeds of the options, seeds those and the listed ones.
+	// configuredSeeds are the seeds of the Options, seeds those and the instances
+	// on the platform's list.
 	configuredSeeds []netip.AddrPort
 	seeds           []netip.AddrPort
 	random          *rand.Rand
 	members         memberTable
 	useSchedulers   bool
-	// version grows whenever a state changes or a member comes or goes.
+	// version increases whenever a state changes or a member is added or removed.
 	version uint64
 
 	detector failureDetector
+	// departed holds the addresses of members that the platform's list lacks or
+	// marks as leaving, leaving those of its entries with their mark.
 	departed map[netip.AddrPort]bool
 	leaving  map[netip.AddrPort]bool
 	output   Output
 
-	// antiEntropyCursor is where the turn of rows stands.
+	// antiEntropyCursor is the round-robin position of addAntiEntropy.
 	antiEntropyCursor int
-	// relayCursor counts the tellings to other zones; it starts differently at each
-	// instance.
+	// relayCursor is the round-robin position of nextRelays. It starts at a
+	// different value at each instance.
 	relayCursor int
-	syncTokens  float64
-	lastTick    tables.Instant
-	// now is the time of the newest call.
+	// syncTokens is the level of the token bucket for full-state transfers, in
+	// bytes.
+	syncTokens float64
+	lastTick   tables.Instant
+	// now is the time of the most recent call.
 	now tables.Instant
 }
 
-// New returns the view of an instance that knows of nobody yet.
+// New returns the view of an instance that knows no other instance yet.
 func New(options Options) *Membership {
 	options.Config.setDefaults()
 	self := &member{Member: Member{InstanceInfo: options.Self, Incarnation: 1}, hash: hashOf(options.Self.Instance)}
@@ -237,7 +251,7 @@
 	}
 }
 
-// Members returns all known instances, this one included, by name.
+// Members returns all known instances in order of their IDs, this one included.
 func (m *Membership) Members() []Member {
 	members := make([]Member, 0, len(m.members.sorted))
 	for _, row := range m.members.sorted {
@@ -248,11 +262,12 @@
 	return members
 }
 
-// Version grows whenever the set of living instances changes.
+// Version returns a number that increases whenever a state changes or a member is
+// added or removed.
 func (m *Membership) Version() uint64 { return m.version }
 
-// LoadShare returns this instance's part of the load that living entry instances
-// share by size, above 0 and at most 1.
+// LoadShare returns this instance's share, above 0 and at most 1, of the load that
+// is divided among living entry instances in proportion to their size.
 func (m *Membership) LoadShare() float64 {
 	all := 0
 	for _, row := range m.members.sorted {
@@ -263,8 +278,8 @@
 	return float64(max(1, m.self.Size)) / float64(max(all, m.self.Size, 1))
 }
 
-// SetRevision notes which revision is in force here, and tells a few others at
-// once: those that reach no control instance learn of it this way.
+// SetRevision records the revision in force at this instance and pushes it to a few
+// other members. Instances that reach no control instance learn of it this way.
 func (m *Membership) SetRevision(now tables.Instant, revision tables.Revision, since time.Time) Output {
 	if revision <= m.self.Revision {
 		return Output{}
@@ -277,8 +292,8 @@
 	return m.takeOutput()
 }
 
-// Leave tells a few others that this instance ends, so that nobody has to find
-// out.
+// Leave marks this instance as left and pushes this to a few other members, so that
+// they need not detect it as a failure.
 func (m *Membership) Leave(now tables.Instant) Output {
 	m.now = now
 	m.self.State = Left
@@ -289,19 +304,20 @@
 	return m.takeOutput()
 }
 
-// PlatformInstance is one line of the platform's list.
+// PlatformInstance is one entry of the platform's list of instances.
 type PlatformInstance struct {
 	Address netip.AddrPort
 	Leaving bool
 }
 
-// SetPlatformList takes the platform's list as a hint: it may be old. Instances in
-// it that are not known are tried. One that is suspect and that the list does
-// not have, or has as leaving, is held for dead without further waiting.
+// SetPlatformList applies the platform's list of instances. The list is only a
+// hint, since it may be stale. Instances on it that are not known are pinged. A
+// suspect that is not on the list, or that it marks as leaving, is declared dead
+// without waiting for the suspicion timeout.
 func (m *Membership) SetPlatformList(list []PlatformInstance) {
 	m.departed, m.leaving = map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
-	// Seeds of earlier lists are dropped: instances are replaced every day, and
-	// their former addresses would pile up.
+	// Seeds from earlier lists are dropped: instances are replaced every day, and
+	// their former addresses would accumulate.
 	m.seeds = slices.Clone(m.configuredSeeds)
 	listed := map[netip.AddrPort]bool{}
 	for _, line := range list {
@@ -319,25 +335,28 @@
 	}
 }
 
-// takeOutput returns what has come together since the last call.
+// takeOutput returns the output collected since the last call.
 func (m *Membership) takeOutput() Output {
 	out := m.output
 	m.output = Output{}
 	return out
 }
 
-// logLiveCount is the logarithm that times and repetitions grow with.
+// logLiveCount returns the binary logarithm of the number of living members,
+// rounded up.
 func (m *Membership) logLiveCount() int { return int(math.Ceil(math.Log2(float64(m.liveCount() + 1)))) }
 
+// retransmitLimit returns how many datagrams carry an update.
 func (m *Membership) retransmitLimit() int { return retransmitMultiplier * m.logLiveCount() }
 
-// suspicionTimeout is how long a member has to refute a suspicion.
+// suspicionTimeout returns how long a member has to refute a suspicion.
 func (m *Membership) suspicionTimeout() time.Duration {
 	factor := max(1, math.Log10(float64(m.liveCount())))
 	return time.Duration(suspicionMultiplier * factor * float64(m.config.ProbeInterval))
 }
 
-// randomLiveMembers returns up to n living members at random, without this one and except.
+// randomLiveMembers returns up to n living members in random order, without this
+// instance and the instance except.
 func (m *Membership) randomLiveMembers(n int, except tables.InstanceID) []*member {
 	var all []*member
 	for _, row := range m.members.sorted {
--- a/systems/membership/membership_bench_test.go
+++ b/systems/membership/membership_bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// BenchmarkSteadyState runs one virtual second of a whole group and reports what one
-// instance of it sends and computes, in steady state.
+// BenchmarkSteadyState runs a whole group for one virtual second and reports the
+// traffic and computing time of one instance in steady state.
 func BenchmarkSteadyState(b *testing.B) {
 	for _, n := range []int{9, 100, 340} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
 			w := newSimulation(b, n)
-			w.runUntil(5*time.Minute, "find each other", w.allAlive)
+			w.runUntil(5*time.Minute, "discover each other", w.allAlive)
 			w.run(5 * time.Second)
 			w.bytesSent, w.datagramsSent = 0, 0
 			b.ResetTimer()
@@ -27,17 +27,18 @@
 	}
 }
 
-// BenchmarkFailureDetection reports how long it takes until all know of a death.
+// BenchmarkFailureDetection reports how long it takes until all instances see a
+// stopped one as dead.
 func BenchmarkFailureDetection(b *testing.B) {
 	for _, n := range []int{9, 30, 100} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
 			var total time.Duration
 			for i := range b.N {
 				w := newSimulation(b, n)
-				w.runUntil(5*time.Minute, "find each other", w.allAlive)
+				w.runUntil(5*time.Minute, "discover each other", w.allAlive)
 				w.run(time.Duration(i%10) * tickInterval)
 				w.nodes[n-1].down = true
-				total += w.runUntil(5*time.Minute, "find the dead", func() bool { return w.allSee(n-1, Dead) })
+				total += w.runUntil(5*time.Minute, "detect the stopped instance", func() bool { return w.allSee(n-1, Dead) })
 			}
 			b.ReportMetric(total.Seconds()/float64(b.N), "virtual_s/death")
 		})
--- a/systems/membership/probe.go
+++ b/systems/membership/probe.go
@@ -8,36 +8,41 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// failureDetector is the state of the detection.
+// failureDetector is the state of the SWIM failure detector.
 type failureDetector struct {
 	sequence uint64
-	// probeOrder is whom to probe next, shuffled anew when it is used up, so that
-	// each member is probed within a bounded time.
+	// probeOrder lists the members to probe next. It is reshuffled when it is used
+	// up, so that each member is probed within a bounded time.
 	probeOrder []tables.InstanceID
-	// target is being probed under number probe since started.
-	target  *member
-	targetSequence   uint64
-	startedAt tables.Instant
-	indirectSent  bool
-	acked   bool
-	// consecutiveFailures counts probes of different members that consecutiveFailures in a row.
+	// target is the member being probed since startedAt, with sequence number
+	// targetSequence.
+	target         *member
+	targetSequence uint64
+	startedAt      tables.Instant
+	indirectSent   bool
+	acked          bool
+	// consecutiveFailures counts the probes of different members that failed in a
+	// row.
 	consecutiveFailures int
-	// rounds counts probes of this process.
+	// rounds counts the probes of this process.
 	rounds uint64
-	// indirectProbes are pings made for others, by number.
+	// indirectProbes holds the pings sent on behalf of others, by sequence number.
 	indirectProbes map[uint64]indirectProbe
 }
 
-// indirectProbe is for whom a ping was made.
+// indirectProbe is a ping sent on behalf of another instance, the requester.
+// sequence is the requester's sequence number.
 type indirectProbe struct {
-	requester       netip.AddrPort
-	sequence uint64
-	sentAt       tables.Instant
+	requester netip.AddrPort
+	sequence  uint64
+	sentAt    tables.Instant
 }
 
-func newFailureDetector() failureDetector { return failureDetector{indirectProbes: map[uint64]indirectProbe{}} }
+func newFailureDetector() failureDetector {
+	return failureDetector{indirectProbes: map[uint64]indirectProbe{}}
+}
 
-// Tick moves the detection on. It is called several times within the probe
+// Tick advances the protocol. The caller invokes it several times per probe
 // timeout.
 func (m *Membership) Tick(now tables.Instant) Output {
 	elapsed := now - m.lastTick
@@ -56,6 +61,7 @@
 	return m.takeOutput()
 }
 
+// startProbe pings the next target, and a member or seed that cannot be reached.
 func (m *Membership) startProbe(now tables.Instant) {
 	p := &m.detector
 	p.rounds++
@@ -70,7 +76,7 @@
 	m.probeUnreachable()
 }
 
-// nextTarget returns the member to probe now, nil if there is none.
+// nextTarget returns the next member to probe, nil if there is none.
 func (m *Membership) nextTarget() *member {
 	p := &m.detector
 	for range 2 {
@@ -89,23 +95,25 @@
 	return nil
 }
 
-// sendPingRequests lets others ping the target. The way between it and this instance
-// may be lost, perhaps in one direction only, while it serves everyone else.
+// sendPingRequests asks other members to ping the target. The path between the
+// target and this instance may be lost, perhaps in one direction only, while the
+// target serves all other instances.
 func (m *Membership) sendPingRequests() {
 	p := &m.detector
 	p.indirectSent = true
 	for _, helper := range m.randomLiveMembers(m.config.IndirectProbes, p.target.Instance) {
 		m.sendPingRequest(helper.Address, datagramPingRequest, p.targetSequence, p.target.Address)
 	}
-	// The first datagram may just have been lost.
+	// The loss may have hit only the first ping.
 	m.send(p.target.Address, datagramPing, p.targetSequence)
 }
 
-// endProbe suspects a target that did not answer, also not by way of others.
+// endProbe suspects a target that acknowledged neither a direct nor an indirect
+// ping.
 //
-// An instance that nobody answers is more likely the one that is cut off. It
-// keeps its doubts to itself: otherwise one instance with a deaf network card
-// would make all others defend themselves for as long as it lives.
+// An instance whose probes all fail is more likely to be isolated itself. It
+// withholds its suspicions: otherwise one instance whose network card receives
+// nothing would make all others refute suspicions for as long as it lives.
 func (m *Membership) endProbe(now tables.Instant) {
 	p := &m.detector
 	if p.target == nil {
@@ -123,12 +131,15 @@
 	p.target.withheld = m.isLikelyIsolated()
 }
 
-// isLikelyIsolated says whether nobody has answered for so long that this instance is more
-// likely to be at fault than the others.
-func (m *Membership) isLikelyIsolated() bool { return m.detector.consecutiveFailures >= isolationThreshold }
+// isLikelyIsolated reports whether so many probes failed in a row that this
+// instance is more likely to be at fault than the others.
+func (m *Membership) isLikelyIsolated() bool {
+	return m.detector.consecutiveFailures >= isolationThreshold
+}
 
-// probeUnreachable pings a seed that is no living member, or now and then a dead member,
-// so that parts that were cut off from each other find together again.
+// probeUnreachable pings a seed that is not a living member or, every
+// deadProbeInterval periods, a dead member, so that the parts of the group rejoin
+// after a network partition.
 func (m *Membership) probeUnreachable() {
 	known := map[netip.AddrPort]bool{m.self.Address: true}
 	var lost []netip.AddrPort
@@ -152,8 +163,9 @@
 	m.sendJoinPing(lost[m.random.IntN(len(lost))], m.detector.sequence)
 }
 
-// expire turns suspicions that were not refuted into deaths, and forgets old
-// dead.
+// expire declares members dead whose suspicion was not refuted in time. It removes
+// members that have been dead or left for Config.DeadRetention, and indirect probes
+// that were not acknowledged within a protocol period.
 func (m *Membership) expire(now tables.Instant) {
 	suspectFor := m.suspicionTimeout()
 	var forgotten []tables.InstanceID
@@ -179,6 +191,7 @@
 	}
 }
 
+// setState records a state change and disseminates it as an update.
 func (m *Membership) setState(now tables.Instant, row *member, state State) {
 	row.State = state
 	m.members.derivedValid = false
--- a/systems/membership/receive.go
+++ b/systems/membership/receive.go
@@ -11,40 +11,40 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// maxIndirectProbes bounds the pings made for others at one time.
+// maxIndirectProbes is the maximum number of concurrent pings on behalf of others.
 const maxIndirectProbes = 256
 
-// DatagramError means that a datagram was dropped.
+// DatagramError reports a datagram that was dropped.
 type DatagramError struct {
 	From   netip.AddrPort
 	Reason string
 	Cause  error
 }
 
-// Error says whose it was and why.
+// Error returns the sender of the datagram and the reason for dropping it.
 func (e *DatagramError) Error() string {
 	return fmt.Sprintf("datagram from %s dropped: %s", e.From, e.Reason)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DatagramError) Unwrap() error { return e.Cause }
 
-// Receive takes in a datagram. Datagrams may be lost, late, repeated and out of
-// order.
+// Receive processes a datagram. Datagrams may be lost, delayed, duplicated and
+// reordered.
 func (m *Membership) Receive(now tables.Instant, from netip.AddrPort, payload []byte) (Output, error) {
 	in := &rpc.Datagram{}
 	if err := proto.Unmarshal(payload, in); err != nil {
-		return Output{}, trace.Wrap(&DatagramError{From: from, Reason: "it cannot be read", Cause: err})
+		return Output{}, trace.Wrap(&DatagramError{From: from, Reason: "payload cannot be decoded", Cause: err})
 	}
 	if in.GetSender().GetInstance() == "" {
-		return Output{}, trace.Wrap(&DatagramError{From: from, Reason: "it has no sender"})
+		return Output{}, trace.Wrap(&DatagramError{From: from, Reason: "no sender"})
 	}
 	if in.GetSender().GetInstance() == string(m.self.Instance) {
 		return Output{}, nil
 	}
 	m.now = now
 	if in.GetKind() == datagramHints {
-		// Hints come often and say nothing else of their sender.
+		// Hints are frequent and carry nothing else about their sender.
 		m.receiveHints(in)
 		return m.takeOutput(), nil
 	}
@@ -60,10 +60,10 @@
 	return m.takeOutput(), nil
 }
 
-// mergeSender merges the sender's row and the rows that it passes on. What a
-// dead member says of others counts for nothing: it cannot hear their defence.
-// What it says of this instance does, or two that hold each other for dead would
-// never find out.
+// mergeSender merges the sender's row and the rows that it passes on. Rows from a
+// dead sender are ignored, since it cannot receive refutations. Its rows about this
+// instance are the exception: without them, two instances that consider each other
+// dead would never find out.
 func (m *Membership) mergeSender(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
 	sender := decodeRow(in.GetSender())
 	if !sender.Address.IsValid() {
@@ -86,6 +86,7 @@
 	}
 }
 
+// respond sends the response to a ping, an acknowledgement or a ping request.
 func (m *Membership) respond(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
 	switch in.GetKind() {
 	case datagramPing:
@@ -102,7 +103,8 @@
 	}
 }
 
-// notifyIfNotAlive lets a sender that is held for dead know, so that it can refute.
+// notifyIfNotAlive tells a sender that it is suspected or considered dead, so that
+// it can refute this.
 func (m *Membership) notifyIfNotAlive(from netip.AddrPort, in *rpc.Datagram) {
 	if row := m.members.byID[tables.InstanceID(in.GetSender().GetInstance())]; row != nil && row.State != Alive {
 		d := m.newDatagram(datagramRows, 0)
@@ -111,6 +113,8 @@
 	}
 }
 
+// handleAck completes the current probe, or forwards the acknowledgement to the
+// requester of an indirect probe.
 func (m *Membership) handleAck(sequence uint64) {
 	p := &m.detector
 	if p.target != nil && sequence == p.targetSequence {
@@ -123,6 +127,7 @@
 	}
 }
 
+// handlePingRequest pings the target on behalf of the sender.
 func (m *Membership) handlePingRequest(now tables.Instant, from netip.AddrPort, in *rpc.Datagram) {
 	var target netip.AddrPort
 	if err := target.UnmarshalBinary(in.GetTarget()); err != nil || len(m.detector.indirectProbes) >= maxIndirectProbes {
@@ -133,8 +138,8 @@
 	m.send(target, datagramPing, m.detector.sequence)
 }
 
-// merge takes a row if it is newer than the one here: a later boot, or a later
-// incarnation of it, or a worse state of the same incarnation.
+// merge applies a row if it supersedes the known one: a later boot, or a later
+// incarnation of the same boot, or a later state of the same incarnation.
 func (m *Membership) merge(now tables.Instant, row Member) {
 	if row.Instance == m.self.Instance {
 		m.refute(row)
@@ -142,8 +147,8 @@
 	}
 	known := m.members.byID[row.Instance]
 	if known == nil && row.State >= Dead {
-		// Taken in, the row of one long dead would pass from instance to instance
-		// for ever, each one keeping it for a while from when it heard.
+		// If unknown dead members were added, their rows would circulate for ever:
+		// each instance would keep them for a while from the time it heard of them.
 		return
 	}
 	if known == nil {
@@ -167,7 +172,7 @@
 	}
 }
 
-// insertProbeTarget puts a new member at a random place of the probe order.
+// insertProbeTarget adds a new member at a random position of the probe order.
 func (m *Membership) insertProbeTarget(id tables.InstanceID) {
 	order := m.detector.probeOrder
 	at := m.random.IntN(len(order) + 1)
@@ -177,6 +182,7 @@
 	m.detector.probeOrder = order
 }
 
+// supersedes reports whether a row takes precedence over the known one.
 func supersedes(row, known Member) bool {
 	if row.Boot != known.Boot {
 		return row.Boot > known.Boot
@@ -187,12 +193,13 @@
 	return row.State > known.State
 }
 
-// refute answers a belief that this instance is not alive with a later
-// incarnation, which wins everywhere.
+// refute answers a report that this instance is not alive with a later incarnation,
+// which takes precedence everywhere.
 func (m *Membership) refute(row Member) {
 	if row.Boot > m.self.Boot {
-		// The wall clock went back since the last start, and so did the boot
-		// number. Everyone would take this process for the older one.
+		// The wall clock was set back between two starts, and the boot number went
+		// back with it. Without a higher boot number, every other instance would
+		// take this process for the earlier one.
 		m.self.Boot = row.Boot + 1
 		m.self.sendsLeft = m.retransmitLimit()
 		return
--- a/systems/membership/schedulers.go
+++ b/systems/membership/schedulers.go
@@ -12,21 +12,23 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// In a group with more than WideGroup entry instances a few of each availability
-// zone, its schedulers, choose endpoints for all of them, where Options say so. Only
-// they hear of hints. What an instance is told then does not grow with the group, and
-// those that choose know of each other's choices within milliseconds.
+// In a group with more than FullMeshLimit entry instances, a few entry instances of
+// each availability zone, its schedulers, choose endpoints for all of them if
+// Options.UseSchedulers is set. Only the schedulers receive hints. The traffic to
+// an instance then does not grow with the group, and schedulers learn of each
+// other's choices within milliseconds.
 
 const (
 	// entriesPerScheduler is how many entry instances of a zone share a scheduler.
 	entriesPerScheduler = 16
-	// minSchedulers is the least number where a zone has as many: one of them may
-	// freeze.
+	// minSchedulers is the minimum number of schedulers in a zone, as far as it has
+	// that many entry instances: one of them may hang.
 	minSchedulers = 2
 )
 
-// electSchedulers picks the schedulers among the living entry instances of one zone:
-// the largest, and of equals those with the highest hash.
+// electSchedulers returns the schedulers among the living entry instances of one
+// zone: the largest instances, with ties broken by the highest hash. Instances with
+// the same view elect the same schedulers without exchanging messages.
 func electSchedulers(entries []*member) []*member {
 	ranked := slices.Clone(entries)
 	slices.SortFunc(ranked, func(a, b *member) int {
@@ -35,29 +37,30 @@
 	return ranked[:schedulerCount(len(entries))]
 }
 
+// hashOf returns the FNV-1a hash of an instance ID.
 func hashOf(id tables.InstanceID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	return h.Sum64()
 }
 
-// EntryInstance is an entry instance and where it is reached.
+// EntryInstance is an entry instance and its addresses.
 type EntryInstance struct {
 	Instance tables.InstanceID
-	// Address takes datagrams; Control serves the other instances over TCP.
+	// Address receives datagrams; Control serves the other instances over TCP.
 	Address netip.AddrPort
 	Control netip.AddrPort
 }
 
-// Schedulers lists those of the own zone, the best first; none where each entry
-// instance chooses for itself.
+// Schedulers returns the schedulers of this instance's zone in order of preference;
+// none if each entry instance chooses endpoints itself.
 func (m *Membership) Schedulers() []EntryInstance {
 	m.refreshDerived()
 	return m.members.schedulers
 }
 
-// AllSchedulers lists those of all zones; none where each entry instance chooses for
-// itself.
+// AllSchedulers returns the schedulers of all zones; none if each entry instance
+// chooses endpoints itself.
 func (m *Membership) AllSchedulers() []EntryInstance {
 	m.refreshDerived()
 	all := slices.Clone(m.members.schedulers)
@@ -76,7 +79,7 @@
 	return EntryInstance{Instance: row.Instance, Address: row.Address, Control: row.Control}
 }
 
-// liveEntriesByZone lists the living entry instances of each zone.
+// liveEntriesByZone returns the living entry instances of each zone.
 func (m *Membership) liveEntriesByZone() map[tables.Zone][]*member {
 	zones := map[tables.Zone][]*member{}
 	for _, row := range m.members.sorted {
@@ -87,7 +90,8 @@
 	return zones
 }
 
-// refreshEntries brings up to date who chooses and who is told of hints.
+// refreshEntries recomputes the derived values that concern entry instances: the
+// schedulers, the hint receivers and the relays of other zones.
 func (m *Membership) refreshEntries() {
 	zones := m.liveEntriesByZone()
 	r := &m.members
@@ -102,11 +106,11 @@
 	beyondFullMesh := r.entryCount > FullMeshLimit
 	schedule := beyondFullMesh && m.useSchedulers
 	for zone, entries := range zones {
-		near := zone == m.self.Zone
+		sameZone := zone == m.self.Zone
 		if schedule {
 			entries = electSchedulers(entries)
 		}
-		if beyondFullMesh && !near {
+		if beyondFullMesh && !sameZone {
 			r.remoteGroups = append(r.remoteGroups, entries)
 			continue
 		}
@@ -122,27 +126,30 @@
 	slices.SortFunc(r.remoteGroups, func(a, b []*member) int { return cmp.Compare(a[0].Zone, b[0].Zone) })
 }
 
-// EntriesByZone lists the living entry instances of each zone.
+// EntriesByZone returns the living entry instances of each zone.
 func (m *Membership) EntriesByZone() map[tables.Zone][]EntryInstance {
 	m.refreshDerived()
 	return m.members.entriesByZone
 }
 
-// EncodeSchedule encodes a message between an entry instance and a scheduler. It needs no
-// member and no clock.
+// EncodeSchedule encodes a message between an entry instance and a scheduler. It
+// depends on neither the members nor the clock.
 func (m *Membership) EncodeSchedule(to netip.AddrPort, message *rpc.ScheduleMessage) Output {
 	d := m.newHintDatagram()
 	d.Kind, d.Schedule = datagramSchedule, message
 	return encodeDatagram(to, d)
 }
 
-// EncodeUsage encodes a message about organisations' usage, as Schedule does.
+// EncodeUsage encodes a message about organisations' usage. Like EncodeSchedule, it
+// depends on neither the members nor the clock.
 func (m *Membership) EncodeUsage(to netip.AddrPort, message *rpc.UsageMessage) Output {
 	d := m.newHintDatagram()
 	d.Kind, d.Usage = datagramUsage, message
 	return encodeDatagram(to, d)
 }
 
+// encodeDatagram returns the encoded datagram as the only output; no output if it
+// cannot be encoded.
 func encodeDatagram(to netip.AddrPort, d *rpc.Datagram) Output {
 	payload, err := proto.Marshal(d)
 	if err != nil {
@@ -151,9 +158,10 @@
 	return Output{Datagrams: []Datagram{{To: to, Payload: payload}}}
 }
 
-// CountSchedulers counts the instances that choose endpoints beside one of a zone: those that
-// it tells of each choice, and those that hear of it through others.
-func CountSchedulers(members []Member, zone tables.Zone) (near, remote int) {
+// CountSchedulers returns how many other instances choose endpoints, from the point
+// of view of one in the given zone: local counts those that it tells of each choice
+// directly, remote those that learn of it through a relay.
+func CountSchedulers(members []Member, zone tables.Zone) (local, remote int) {
 	zones, entries := map[tables.Zone]int{}, 0
 	for _, m := range members {
 		if m.State <= Suspect && m.Roles&RoleEntry != 0 {
@@ -166,15 +174,16 @@
 	}
 	for name, n := range zones {
 		if name == zone {
-			near = schedulerCount(n) - 1
+			local = schedulerCount(n) - 1
 		} else {
 			remote += schedulerCount(n)
 		}
 	}
-	return near, remote
+	return local, remote
 }
 
-// schedulerCount is how many schedulers a zone with so many entry instances has.
+// schedulerCount returns the number of schedulers in a zone with the given number
+// of entry instances.
 func schedulerCount(entries int) int {
 	return min(entries, max(minSchedulers, (entries+entriesPerScheduler-1)/entriesPerScheduler))
 }
--- a/systems/membership/schedulers_test.go
+++ b/systems/membership/schedulers_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// isScheduler says whether an instance holds itself for a scheduler.
+// isScheduler reports whether the instance considers itself a scheduler.
 func (n *node) isScheduler() bool {
 	for _, s := range n.Schedulers() {
 		if s.Instance == n.self.Instance {
@@ -19,45 +19,46 @@
 	return false
 }
 
-// TestZoneAgreesOnSchedulers guards against choices that are spread
-// over instances which do not know of each other's.
+// TestZoneAgreesOnSchedulers guards against choices that are spread over instances
+// which do not know of each other's choices, because their views elect different
+// schedulers.
 func TestZoneAgreesOnSchedulers(t *testing.T) {
 	w := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "find each other", w.allAlive)
+	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
 	byZone := map[tables.Zone][]EntryInstance{}
 	for _, node := range w.nodes {
 		zone := node.self.Zone
 		if byZone[zone] == nil {
 			byZone[zone] = node.Schedulers()
 		}
-		assert.Assert(t, len(byZone[zone]) == 2, "32 instances of a zone have %d", len(byZone[zone]))
+		assert.Assert(t, len(byZone[zone]) == 2, "got %d schedulers for 32 instances of a zone, want 2", len(byZone[zone]))
 		assert.DeepEqual(t, node.Schedulers()[0].Instance, byZone[zone][0].Instance)
 		assert.DeepEqual(t, node.Schedulers()[1].Instance, byZone[zone][1].Instance)
 	}
 	assert.Equal(t, len(byZone), 3)
 }
 
-// TestSmallGroupHasNoSchedulers guards against a detour where each instance hears of
-// all others' choices anyway.
+// TestSmallGroupHasNoSchedulers guards against the extra hop to a scheduler in
+// groups where each instance hears of all choices anyway.
 func TestSmallGroupHasNoSchedulers(t *testing.T) {
 	w := newSimulationWithSchedulers(t, FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "find each other", w.allAlive)
+	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
 	for _, node := range w.nodes {
 		assert.Equal(t, len(node.Schedulers()), 0)
 		assert.Equal(t, node.HintReceiverCount(), FullMeshLimit-1)
 	}
 }
 
-// TestDeadSchedulerIsReplaced guards against a zone that goes on asking an instance
-// that is gone.
+// TestDeadSchedulerIsReplaced guards against a zone that keeps sending requests to
+// a scheduler that is dead.
 func TestDeadSchedulerIsReplaced(t *testing.T) {
 	w := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "find each other", w.allAlive)
+	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
 	gone := w.nodes[0].Schedulers()[0].Instance
 	for i, node := range w.nodes {
 		if node.self.Instance == gone {
 			node.down = true
-			w.runUntil(time.Minute, "find the dead", func() bool { return w.allSee(i, Dead) })
+			w.runUntil(time.Minute, "detect the stopped scheduler", func() bool { return w.allSee(i, Dead) })
 		}
 	}
 	for _, node := range w.nodes {
@@ -67,12 +68,12 @@
 	}
 }
 
-// TestPlacementsReachRemoteSchedulers guards against a prompt that each zone reads
-// once more since those that choose there were not told of it, and against instances
-// that are told though they do not choose.
+// TestPlacementsReachRemoteSchedulers guards against a prompt that each zone
+// computes again because its schedulers did not receive the placement, and against
+// hints to instances that choose no endpoints.
 func TestPlacementsReachRemoteSchedulers(t *testing.T) {
 	w := newSimulationWithSchedulers(t, 3*FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "find each other", w.allAlive)
+	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
 	placements := []Placement{{Endpoint: "e1", Block: 7}}
 	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
 	w.send(w.nodes[2], w.nodes[2].SendPlacementsToOtherZones(w.now, placements))
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestLargestInstancesAreElectedSchedulers guards against schedulers on the smallest machines, where
-// all wait for their choices.
+// TestLargestInstancesAreElectedSchedulers guards against schedulers on the
+// smallest machines, which would delay the choices of the whole zone.
 func TestLargestInstancesAreElectedSchedulers(t *testing.T) {
 	var entries []*member
 	for i, size := range []int{1, 1, 3, 1, 3, 1} {
--- a/systems/membership/send.go
+++ b/systems/membership/send.go
@@ -20,34 +20,39 @@
 	datagramHints       = rpc.DatagramKind_DATAGRAM_HINTS
 	datagramSchedule    = rpc.DatagramKind_DATAGRAM_SCHEDULE
 	datagramUsage       = rpc.DatagramKind_DATAGRAM_USAGE
-	// fieldOverhead is what an embedded message costs besides its content.
+	// fieldOverhead is the size that an embedded message adds to its content, in
+	// bytes.
 	fieldOverhead = 3
 )
 
-// send sends a datagram with what is new and some of what is not.
+// send sends a datagram with recent updates and some unchanged rows.
 func (m *Membership) send(to netip.AddrPort, kind rpc.DatagramKind, sequence uint64) {
 	m.fillAndSend(to, m.newDatagram(kind, sequence), nil)
 }
 
+// sendPingRequest asks another instance to ping the target.
 func (m *Membership) sendPingRequest(to netip.AddrPort, kind rpc.DatagramKind, sequence uint64, target netip.AddrPort) {
 	d := m.newDatagram(kind, sequence)
 	d.Target, _ = target.MarshalBinary()
 	m.fillAndSend(to, d, nil)
 }
 
+// sendJoinPing sends a ping that also asks for the full state.
 func (m *Membership) sendJoinPing(to netip.AddrPort, sequence uint64) {
 	d := m.newDatagram(datagramPing, sequence)
 	d.Joining = true
 	m.fillAndSend(to, d, nil)
 }
 
-// sendRows sends only the given rows, as far as they fit.
+// sendRows sends the given rows only, as many as fit into one datagram, and returns
+// how many fitted.
 func (m *Membership) sendRows(to netip.AddrPort, rows []*member) int {
 	return m.fillAndSend(to, m.newDatagram(datagramRows, 0), rows)
 }
 
-// sendFullState sends all rows to one that joins, as far as the budget allows. A joiner
-// that gets no or few asks again, and gets the rest with the pings.
+// sendFullState sends all rows to a joining instance, as far as the rate limit
+// allows. An instance that receives none or few of them asks again, and gets the
+// rest with the pings.
 func (m *Membership) sendFullState(to netip.AddrPort) {
 	rows := m.members.sorted
 	for len(rows) > 0 && m.syncTokens >= float64(m.config.MaxDatagramBytes) {
@@ -61,12 +66,14 @@
 	}
 }
 
+// newDatagram returns a datagram that holds only the row of this instance.
 func (m *Membership) newDatagram(kind rpc.DatagramKind, sequence uint64) *rpc.Datagram {
 	return &rpc.Datagram{Kind: kind, Sequence: sequence, Sender: encodeRow(m.self)}
 }
 
-// fillAndSend fills the datagram up and sends it. It returns how many of the rows
-// fitted; without rows, it takes new ones first, then hints, then others.
+// fillAndSend fills the datagram up to its maximum size and sends it. It returns
+// how many of the given rows fitted. If rows is nil, it adds recent updates first
+// and then some unchanged rows.
 func (m *Membership) fillAndSend(to netip.AddrPort, d *rpc.Datagram, rows []*member) int {
 	room := m.config.MaxDatagramBytes - proto.Size(d)
 	added := 0
@@ -83,7 +90,8 @@
 	return added
 }
 
-// addRows adds rows while they fit, and returns how many did.
+// addRows adds rows while they fit, and returns how many did. It skips withheld
+// rows.
 func (m *Membership) addRows(d *rpc.Datagram, rows []*member, room *int) int {
 	for i, row := range rows {
 		if row.withheld {
@@ -100,7 +108,7 @@
 	return len(rows)
 }
 
-// addUpdates adds rows that changed, those that were sent least often first.
+// addUpdates adds changed rows, those that were sent least often first.
 func (m *Membership) addUpdates(d *rpc.Datagram, room *int) {
 	var updates []*member
 	for _, row := range m.members.sorted {
@@ -116,7 +124,7 @@
 	}
 }
 
-// addAntiEntropy adds a few rows in turn.
+// addAntiEntropy adds a few rows in round-robin order, whether they changed or not.
 func (m *Membership) addAntiEntropy(d *rpc.Datagram, room *int) {
 	all := m.members.sorted
 	for range min(antiEntropyRows, len(all)) {
@@ -128,6 +136,7 @@
 	}
 }
 
+// encodeRow returns the wire format of a row.
 func encodeRow(row *member) *rpc.InstanceRow {
 	address, _ := row.Address.MarshalBinary()
 	control, _ := row.Control.MarshalBinary()
@@ -149,7 +158,7 @@
 	return encoded
 }
 
-// decodeRow returns the row, with an invalid address where that cannot be read.
+// decodeRow decodes a row. An address that cannot be decoded is left invalid.
 func decodeRow(encoded *rpc.InstanceRow) Member {
 	row := Member{
 		InstanceInfo: InstanceInfo{
--- a/systems/membership/simulation_test.go
+++ b/systems/membership/simulation_test.go
@@ -16,7 +16,7 @@
 	latency      = 2 * time.Millisecond
 )
 
-// simulation runs many memberships in virtual time.
+// simulation runs many memberships and the network between them in virtual time.
 type simulation struct {
 	zones         int
 	t             testing.TB
@@ -28,7 +28,7 @@
 	dropped       func(from, to int) bool
 	bytesSent     int
 	datagramsSent int
-	// schedule is Options.Schedule of all instances.
+	// schedule is Options.UseSchedulers of all instances.
 	schedule bool
 }
 
@@ -49,16 +49,17 @@
 	payload []byte
 }
 
-// newSimulation starts n instances; all but the first join through it.
-// newSimulation has all instances in one availability zone.
+// newSimulation starts n instances in one availability zone. All of them join
+// through the first.
 func newSimulation(t testing.TB, n int) *simulation { return newZonedSimulation(t, n, 1) }
 
-// newZonedSimulation spreads the instances over zones in turn.
+// newZonedSimulation assigns the instances to zones in round-robin order.
 func newZonedSimulation(t testing.TB, n, zones int) *simulation {
 	return newSimulationWithSchedulers(t, n, zones, false)
 }
 
-// newSimulationWithSchedulers says too whether schedulers choose in a large group.
+// newSimulationWithSchedulers also sets whether schedulers choose endpoints in a
+// large group.
 func newSimulationWithSchedulers(t testing.TB, n, zones int, schedule bool) *simulation {
 	w := &simulation{t: t, zones: zones, schedule: schedule, nodeByAddress: map[netip.AddrPort]*node{}, dropped: func(int, int) bool { return false }}
 	for i := range n {
@@ -71,108 +72,116 @@
 	return w
 }
 
-// boot starts instance i anew.
-func (w *simulation) boot(i int) {
-	w.boots++
-	node := w.nodes[i]
+// boot starts instance i with a new boot number, for the first time or as a
+// restart.
+func (s *simulation) boot(i int) {
+	s.boots++
+	node := s.nodes[i]
 	node.down = false
 	node.Membership = New(Options{
-		UseSchedulers: w.schedule,
+		UseSchedulers: s.schedule,
 		Self: InstanceInfo{
 			Instance: tables.InstanceID(fmt.Sprintf("accra-a-%03d", i)),
-			Zone:     tables.Zone("accra-" + string(rune('a'+i%w.zones))),
+			Zone:     tables.Zone("accra-" + string(rune('a'+i%s.zones))),
 			Roles:    RoleEntry,
 			Size:     4,
 			Address:  node.address,
 			Control:  netip.AddrPortFrom(node.address.Addr(), 8081),
-			Boot:     w.boots,
+			Boot:     s.boots,
 		},
-		Seeds:      []netip.AddrPort{w.nodes[0].address},
+		Seeds:      []netip.AddrPort{s.nodes[0].address},
 		RandomSeed: uint64(i),
 	})
 }
 
-func (w *simulation) send(from *node, out Output) {
+// send collects the events of an output and puts its datagrams on the network.
+func (s *simulation) send(from *node, out Output) {
 	from.placements = append(from.placements, out.Hints.Placements...)
 	from.relay = from.relay || out.Hints.Relay
 	if out.NewerRevisionAt.IsValid() {
 		from.newer = out.NewerRevisionAt
 	}
 	for _, d := range out.Datagrams {
-		w.bytesSent += len(d.Payload)
-		w.datagramsSent++
-		assert.Assert(w.t, len(d.Payload) <= defaultMaxDatagramBytes)
-		w.inFlight = append(w.inFlight, packet{due: w.now + latency, from: from, to: d.To, payload: d.Payload})
+		s.bytesSent += len(d.Payload)
+		s.datagramsSent++
+		assert.Assert(s.t, len(d.Payload) <= defaultMaxDatagramBytes)
+		s.inFlight = append(s.inFlight, packet{due: s.now + latency, from: from, to: d.To, payload: d.Payload})
 	}
 }
 
-// step moves time on by a tick.
-func (w *simulation) step() {
-	end := w.now + tickInterval
-	for i, node := range w.nodes {
-		w.now += tickInterval / time.Duration(len(w.nodes)+1)
-		w.deliver()
+// step advances the time by one tick.
+func (s *simulation) step() {
+	end := s.now + tickInterval
+	for i, node := range s.nodes {
+		s.now += tickInterval / time.Duration(len(s.nodes)+1)
+		s.deliver()
 		if !node.down && (i >= 0) {
-			w.send(node, node.Tick(w.now))
+			s.send(node, node.Tick(s.now))
 		}
 	}
-	w.now = end
-	w.deliver()
+	s.now = end
+	s.deliver()
 }
 
-func (w *simulation) deliver() {
-	for len(w.inFlight) > 0 && w.inFlight[0].due <= w.now {
-		f := w.inFlight[0]
-		w.inFlight = w.inFlight[1:]
-		to := w.nodeByAddress[f.to]
-		if to == nil || to.down || w.dropped(f.from.index, to.index) {
+// deliver hands over the datagrams that are due.
+func (s *simulation) deliver() {
+	for len(s.inFlight) > 0 && s.inFlight[0].due <= s.now {
+		f := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
+		to := s.nodeByAddress[f.to]
+		if to == nil || to.down || s.dropped(f.from.index, to.index) {
 			continue
 		}
-		out, err := to.Receive(w.now, f.from.address, f.payload)
-		assert.NilError(w.t, err)
-		w.send(to, out)
+		out, err := to.Receive(s.now, f.from.address, f.payload)
+		assert.NilError(s.t, err)
+		s.send(to, out)
 	}
 }
 
-func (w *simulation) run(d time.Duration) {
-	for end := w.now + d; w.now < end; {
-		w.step()
+// run advances the time by d.
+func (s *simulation) run(d time.Duration) {
+	for end := s.now + d; s.now < end; {
+		s.step()
 	}
 }
 
-// runUntil runs runUntil ok, and fails after a bound.
-func (w *simulation) runUntil(bound time.Duration, what string, ok func() bool) time.Duration {
-	start := w.now
+// runUntil advances the time until ok returns true, and fails the test after a
+// bound. It returns the time that passed.
+func (s *simulation) runUntil(bound time.Duration, what string, ok func() bool) time.Duration {
+	start := s.now
 	for !ok() {
-		if w.now-start >= bound {
-			w.t.Fatalf("%s: not within %v", what, bound)
+		if s.now-start >= bound {
+			s.t.Fatalf("%s: not within %v", what, bound)
 		}
-		w.step()
+		s.step()
 	}
-	return w.now - start
+	return s.now - start
 }
 
-func (w *simulation) state(at, of int) State {
-	row := w.nodes[at].members.byID[w.nodes[of].self.Instance]
+// state returns the state of one instance in the view of another; Left if it is
+// unknown there.
+func (s *simulation) state(at, of int) State {
+	row := s.nodes[at].members.byID[s.nodes[of].self.Instance]
 	if row == nil {
 		return Left
 	}
 	return row.State
 }
 
-// allSee says whether all that are up see all of them in the state.
-func (w *simulation) allSee(of int, state State) bool {
-	for i, node := range w.nodes {
-		if i != of && !node.down && w.state(i, of) != state {
+// allSee reports whether all running instances see the instance in the state.
+func (s *simulation) allSee(of int, state State) bool {
+	for i, node := range s.nodes {
+		if i != of && !node.down && s.state(i, of) != state {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *simulation) allAlive() bool {
-	for i, node := range w.nodes {
-		if !node.down && !w.allSee(i, Alive) {
+// allAlive reports whether all running instances see each other as alive.
+func (s *simulation) allAlive() bool {
+	for i, node := range s.nodes {
+		if !node.down && !s.allSee(i, Alive) {
 			return false
 		}
 	}
--- a/systems/quarantine/incident.go
+++ b/systems/quarantine/incident.go
@@ -41,157 +41,157 @@
 
 // addCandidate makes a request a candidate of an incident and reports whether it
 // was added.
-func (s *Detector) addCandidate(at tables.Instant, incarnation Incarnation, f tables.Fingerprint, point CrashPoint) bool {
-	i := s.incidentFor(at, incarnation)
-	if i.find(f) != nil || len(i.candidates) >= s.options.MaxCandidates {
+func (d *Detector) addCandidate(at tables.Instant, incarnation Incarnation, f tables.Fingerprint, point CrashPoint) bool {
+	i := d.incidentFor(at, incarnation)
+	if i.find(f) != nil || len(i.candidates) >= d.options.MaxCandidates {
 		return false
 	}
 	i.candidates = append(i.candidates, candidate{fingerprint: f, crashPoint: point})
-	w := s.evidence[f]
+	w := d.evidence[f]
 	w.incidents++
 	if point.Likely {
 		w.likely++
 	}
-	s.evidence[f] = w
+	d.evidence[f] = w
 	return true
 }
 
 // incidentFor returns the incident of an endpoint process. It records a new one if
 // there is none, and evicts the oldest one at the limit.
-func (s *Detector) incidentFor(at tables.Instant, incarnation Incarnation) *incident {
-	for _, i := range s.incidents {
+func (d *Detector) incidentFor(at tables.Instant, incarnation Incarnation) *incident {
+	for _, i := range d.incidents {
 		if i.incarnation == incarnation {
 			return i
 		}
 	}
-	if len(s.incidents) >= s.options.MaxIncidents {
-		s.removeEvidence(s.incidents[0])
-		s.incidents = s.incidents[1:]
+	if len(d.incidents) >= d.options.MaxIncidents {
+		d.removeEvidence(d.incidents[0])
+		d.incidents = d.incidents[1:]
 	}
 	i := &incident{incarnation: incarnation, at: at}
-	s.incidents = append(s.incidents, i)
+	d.incidents = append(d.incidents, i)
 	return i
 }
 
 // removeEvidence takes an incident that is being dropped out of the evidence.
-func (s *Detector) removeEvidence(i *incident) {
+func (d *Detector) removeEvidence(i *incident) {
 	for _, c := range i.candidates {
 		if !c.cleared {
-			s.subtractEvidence(c)
+			d.subtractEvidence(c)
 		}
 	}
 }
 
 // subtractEvidence takes one incident of a candidate out of its evidence.
-func (s *Detector) subtractEvidence(c candidate) {
-	w := s.evidence[c.fingerprint]
+func (d *Detector) subtractEvidence(c candidate) {
+	w := d.evidence[c.fingerprint]
 	w.incidents--
 	if c.crashPoint.Likely {
 		w.likely--
 	}
 	if w.incidents <= 0 {
-		delete(s.evidence, c.fingerprint)
+		delete(d.evidence, c.fingerprint)
 		return
 	}
-	s.evidence[c.fingerprint] = w
+	d.evidence[c.fingerprint] = w
 }
 
 // exonerate clears a request in all incidents.
-func (s *Detector) exonerate(f tables.Fingerprint) {
-	if s.evidence[f].incidents == 0 {
+func (d *Detector) exonerate(f tables.Fingerprint) {
+	if d.evidence[f].incidents == 0 {
 		return
 	}
-	for _, i := range s.incidents {
+	for _, i := range d.incidents {
 		if c := i.find(f); c != nil {
 			c.cleared = true
 		}
 	}
-	delete(s.evidence, f)
+	delete(d.evidence, f)
 }
 
 // expire drops incidents and convictions that are older than Options.Retention.
-func (s *Detector) expire(now tables.Instant) {
-	kept := s.incidents[:0]
-	for _, i := range s.incidents {
-		if now-i.at > s.options.Retention {
-			s.removeEvidence(i)
+func (d *Detector) expire(now tables.Instant) {
+	kept := d.incidents[:0]
+	for _, i := range d.incidents {
+		if now-i.at > d.options.Retention {
+			d.removeEvidence(i)
 			continue
 		}
 		kept = append(kept, i)
 	}
-	clear(s.incidents[len(kept):])
-	s.incidents = kept
-	for f, at := range s.convicted {
-		if now-at > s.options.Retention {
-			delete(s.convicted, f)
+	clear(d.incidents[len(kept):])
+	d.incidents = kept
+	for f, at := range d.convicted {
+		if now-at > d.options.Retention {
+			delete(d.convicted, f)
 		}
 	}
 }
 
 // convict records a conviction, unless a later one is known, and evicts the oldest
 // one at the limit.
-func (s *Detector) convict(at tables.Instant, f tables.Fingerprint) {
-	if known, ok := s.convicted[f]; ok && known >= at {
+func (d *Detector) convict(at tables.Instant, f tables.Fingerprint) {
+	if known, ok := d.convicted[f]; ok && known >= at {
 		return
 	}
-	if len(s.convicted) >= s.options.MaxConvictions {
-		s.evictOldestConviction()
+	if len(d.convicted) >= d.options.MaxConvictions {
+		d.evictOldestConviction()
 	}
-	s.convicted[f] = at
+	d.convicted[f] = at
 }
 
 // evictOldestConviction drops the oldest conviction. The lower fingerprint goes
 // first among equals, so that the choice does not depend on the order of the map.
-func (s *Detector) evictOldestConviction() {
+func (d *Detector) evictOldestConviction() {
 	var oldest tables.Fingerprint
 	first := true
-	for f, at := range s.convicted {
-		if first || at < s.convicted[oldest] || at == s.convicted[oldest] && f < oldest {
+	for f, at := range d.convicted {
+		if first || at < d.convicted[oldest] || at == d.convicted[oldest] && f < oldest {
 			oldest, first = f, false
 		}
 	}
-	delete(s.convicted, oldest)
+	delete(d.convicted, oldest)
 }
 
 // Verdict returns the restriction under which a request may run now. It convicts
 // the request if the evidence suffices.
-func (s *Detector) Verdict(now tables.Instant, f tables.Fingerprint) Verdict {
-	if s.Empty() {
+func (d *Detector) Verdict(now tables.Instant, f tables.Fingerprint) Verdict {
+	if d.Empty() {
 		return Allow
 	}
-	s.expire(now)
-	if _, ok := s.convicted[f]; ok {
+	d.expire(now)
+	if _, ok := d.convicted[f]; ok {
 		return Reject
 	}
-	count := s.evidence[f].incidents
+	count := d.evidence[f].incidents
 	if count == 0 {
 		return Allow
 	}
-	verdict, standing, latest := Allow, 0, tables.Instant(0)
-	for _, i := range s.incidents {
+	verdict, convicting, latest := Allow, 0, tables.Instant(0)
+	for _, i := range d.incidents {
 		c := i.find(f)
 		if c == nil || c.cleared {
 			continue
 		}
-		if s.standsOut(i, f) {
-			standing++
+		if d.standsOut(i, f) {
+			convicting++
 		}
 		latest = max(latest, i.at)
-		if !s.hasConvictedCandidate(i) {
-			verdict = max(verdict, s.isolation(c, count, now-i.at))
+		if !d.hasConvictedCandidate(i) {
+			verdict = max(verdict, d.isolation(c, count, now-i.at))
 		}
 	}
 	if count >= unconditionalThreshold {
-		s.convict(now, f)
+		d.convict(now, f)
 		return Reject
 	}
-	if standing < s.requiredIncidents(f) {
+	if convicting < d.requiredIncidents(f) {
 		return verdict
 	}
-	if now-latest < s.settleDelay(f) {
+	if now-latest < d.settleDelay(f) {
 		return Defer
 	}
-	s.convict(now, f)
+	d.convict(now, f)
 	return Reject
 }
 
@@ -220,17 +220,17 @@
 // when no two crashes happened at the same point of the request, and when the
 // crashes belong to a burst: when several endpoints crash together, an innocent
 // request can meet two crashes in a row.
-func (s *Detector) requiredIncidents(f tables.Fingerprint) int {
-	if !s.crashesAtSamePoint(f) || s.inBurst(f) {
+func (d *Detector) requiredIncidents(f tables.Fingerprint) int {
+	if !d.crashesAtSamePoint(f) || d.inBurst(f) {
 		return weakEvidenceThreshold
 	}
 	return convictionThreshold
 }
 
 // crashesAtSamePoint reports whether two crashes happened at the same point of f.
-func (s *Detector) crashesAtSamePoint(f tables.Fingerprint) bool {
+func (d *Detector) crashesAtSamePoint(f tables.Fingerprint) bool {
 	var points []CrashPoint
-	for _, i := range s.incidents {
+	for _, i := range d.incidents {
 		c := i.find(f)
 		if c == nil || c.cleared {
 			continue
@@ -247,9 +247,9 @@
 
 // longestRun returns the longest time that f ran after its first token before a
 // crash.
-func (s *Detector) longestRun(f tables.Fingerprint) time.Duration {
+func (d *Detector) longestRun(f tables.Fingerprint) time.Duration {
 	var longest time.Duration
-	for _, i := range s.incidents {
+	for _, i := range d.incidents {
 		if c := i.find(f); c != nil && !c.cleared {
 			longest = max(longest, c.crashPoint.SinceFirstToken)
 		}
@@ -259,38 +259,38 @@
 
 // inBurst reports whether endpoints that did not run f crashed within
 // Options.BurstWindow of one that did.
-func (s *Detector) inBurst(f tables.Fingerprint) bool {
-	return s.unrelatedCrashes(f) >= minBurstCrashes
+func (d *Detector) inBurst(f tables.Fingerprint) bool {
+	return d.unrelatedCrashes(f) >= minBurstCrashes
 }
 
 // unrelatedCrashes counts the endpoints that crashed within Options.BurstWindow of
 // one that ran f, and that did not run f themselves.
-func (s *Detector) unrelatedCrashes(f tables.Fingerprint) int {
-	beside := 0
-	for _, other := range s.incidents {
-		if other.find(f) == nil && s.coincidesWith(other, f) {
-			beside++
+func (d *Detector) unrelatedCrashes(f tables.Fingerprint) int {
+	count := 0
+	for _, other := range d.incidents {
+		if other.find(f) == nil && d.coincidesWith(other, f) {
+			count++
 		}
 	}
-	return beside
+	return count
 }
 
 // settleDelay returns how long the conviction of f is delayed. Unrelated crashes
 // may come from a second poison request, and f may merely have run beside it twice.
 // The longer delay gives the second request time to crash without f.
-func (s *Detector) settleDelay(f tables.Fingerprint) time.Duration {
-	if s.unrelatedCrashes(f) > 0 {
-		return unrelatedCrashDelayFactor * s.options.SettleDelay
+func (d *Detector) settleDelay(f tables.Fingerprint) time.Duration {
+	if d.unrelatedCrashes(f) > 0 {
+		return unrelatedCrashDelayFactor * d.options.SettleDelay
 	}
-	return s.options.SettleDelay
+	return d.options.SettleDelay
 }
 
 // coincidesWith reports whether an incident happened within Options.BurstWindow of
 // one of f's.
-func (s *Detector) coincidesWith(other *incident, f tables.Fingerprint) bool {
-	for _, i := range s.incidents {
+func (d *Detector) coincidesWith(other *incident, f tables.Fingerprint) bool {
+	for _, i := range d.incidents {
 		c := i.find(f)
-		if c != nil && !c.cleared && (other.at-i.at).Abs() <= s.options.BurstWindow {
+		if c != nil && !c.cleared && (other.at-i.at).Abs() <= d.options.BurstWindow {
 			return true
 		}
 	}
@@ -302,15 +302,15 @@
 // has to wait for an endpoint of its own. Others that met two crashes are more
 // likely innocent, and their callers' streams would end for lack of such an
 // endpoint.
-func (s *Detector) isolation(c *candidate, count int, age time.Duration) Verdict {
+func (d *Detector) isolation(c *candidate, count int, age time.Duration) Verdict {
 	switch {
-	case count >= convictionThreshold && s.crashesAtSamePoint(c.fingerprint) && age < s.options.OwnershipWindow:
+	case count >= convictionThreshold && d.crashesAtSamePoint(c.fingerprint) && age < d.options.OwnershipWindow:
 		return ExclusiveOwned
-	case count >= convictionThreshold && s.crashesAtSamePoint(c.fingerprint):
+	case count >= convictionThreshold && d.crashesAtSamePoint(c.fingerprint):
 		return Exclusive
 	case !c.crashPoint.Likely:
 		return Allow
-	case age < s.options.OwnershipWindow:
+	case age < d.options.OwnershipWindow:
 		return AvoidSuspectsOwned
 	default:
 		return AvoidSuspects
@@ -320,22 +320,22 @@
 // evidenceScore returns the weight of the evidence against f: one for each
 // incident, one more for each incident with a likely crash point, and one more if
 // two crashes happened at the same point.
-func (s *Detector) evidenceScore(f tables.Fingerprint) int {
-	w := s.evidence[f]
-	strength := w.incidents + w.likely
-	if w.incidents >= convictionThreshold && s.crashesAtSamePoint(f) {
-		strength++
+func (d *Detector) evidenceScore(f tables.Fingerprint) int {
+	w := d.evidence[f]
+	score := w.incidents + w.likely
+	if w.incidents >= convictionThreshold && d.crashesAtSamePoint(f) {
+		score++
 	}
-	return strength
+	return score
 }
 
 // standsOut reports whether the evidence against f outweighs that against every
 // other candidate of an incident that is not cleared. If no candidate stands out,
 // their next runs, apart from each other, tell them apart.
-func (s *Detector) standsOut(i *incident, f tables.Fingerprint) bool {
-	own := s.evidenceScore(f)
+func (d *Detector) standsOut(i *incident, f tables.Fingerprint) bool {
+	own := d.evidenceScore(f)
 	for _, c := range i.candidates {
-		if c.fingerprint != f && !c.cleared && s.evidenceScore(c.fingerprint) >= own {
+		if c.fingerprint != f && !c.cleared && d.evidenceScore(c.fingerprint) >= own {
 			return false
 		}
 	}
@@ -344,9 +344,9 @@
 
 // hasConvictedCandidate reports whether one of the candidates is convicted. That
 // explains the incident, so the other candidates need no restriction because of it.
-func (s *Detector) hasConvictedCandidate(i *incident) bool {
+func (d *Detector) hasConvictedCandidate(i *incident) bool {
 	for _, c := range i.candidates {
-		if _, ok := s.convicted[c.fingerprint]; ok {
+		if _, ok := d.convicted[c.fingerprint]; ok {
 			return true
 		}
 	}
--- a/systems/quarantine/quarantine.go
+++ b/systems/quarantine/quarantine.go
@@ -168,9 +168,9 @@
 
 // matches reports whether two crashes happened at the same point of a request,
 // counted in tokens of the attempt or of the whole answer.
-func (m CrashPoint) matches(other CrashPoint) bool {
-	return m.Likely && other.Likely &&
-		(distance(m.AttemptTokens, other.AttemptTokens) <= crashPointTolerance || distance(m.AnswerTokens, other.AnswerTokens) <= crashPointTolerance)
+func (p CrashPoint) matches(other CrashPoint) bool {
+	return p.Likely && other.Likely &&
+		(distance(p.AttemptTokens, other.AttemptTokens) <= crashPointTolerance || distance(p.AnswerTokens, other.AnswerTokens) <= crashPointTolerance)
 }
 
 func distance(a, b int) int { return max(a-b, b-a) }
@@ -219,106 +219,106 @@
 	}
 }
 
-// SetRank sets the rank of this instance among all instances, with 0 <= rank < of.
+// SetRank sets the rank of this instance among all instances, with 0 <= rank < instances.
 // Endpoints are partitioned among the instances by hash; suspects run only at
 // endpoints that their instance owns, as far as their verdict demands it.
-func (s *Detector) SetRank(rank, of int) {
-	if rank >= 0 && rank < of {
-		s.rank, s.instances = rank, of
+func (d *Detector) SetRank(rank, instances int) {
+	if rank >= 0 && rank < instances {
+		d.rank, d.instances = rank, instances
 	}
 }
 
 // owns reports whether the endpoint belongs to this instance's partition.
-func (s *Detector) owns(endpoint tables.EndpointID) bool {
-	return s.instances == 1 || xxhash.Sum64String(string(endpoint))%uint64(s.instances) == uint64(s.rank)
+func (d *Detector) owns(endpoint tables.EndpointID) bool {
+	return d.instances == 1 || xxhash.Sum64String(string(endpoint))%uint64(d.instances) == uint64(d.rank)
 }
 
 // Started records the dispatch of an attempt.
-func (s *Detector) Started(now tables.Instant, id tables.AttemptID, incarnation Incarnation, f tables.Fingerprint) {
-	r := &attempt{fingerprint: f, incarnation: incarnation, verdict: s.Verdict(now, f)}
+func (d *Detector) Started(now tables.Instant, id tables.AttemptID, incarnation Incarnation, f tables.Fingerprint) {
+	r := &attempt{fingerprint: f, incarnation: incarnation, verdict: d.Verdict(now, f)}
 	if r.verdict != Allow {
-		r.safeAfter = s.longestRun(f) + s.options.OutliveMargin
+		r.safeAfter = d.longestRun(f) + d.options.OutliveMargin
 	}
-	s.attempts[id] = r
+	d.attempts[id] = r
 }
 
 // Accepted records which process of the endpoint runs the attempt.
-func (s *Detector) Accepted(id tables.AttemptID, boot tables.BootID) {
-	if r := s.attempts[id]; r != nil {
+func (d *Detector) Accepted(id tables.AttemptID, boot tables.BootID) {
+	if r := d.attempts[id]; r != nil {
 		r.incarnation.Boot = boot
 	}
 }
 
 // FirstToken records that an attempt has produced its first token.
-func (s *Detector) FirstToken(now tables.Instant, id tables.AttemptID) {
-	if r := s.attempts[id]; r != nil {
+func (d *Detector) FirstToken(now tables.Instant, id tables.AttemptID) {
+	if r := d.attempts[id]; r != nil {
 		r.firstToken = now
 	}
 }
 
 // Completed records that an attempt ran to its end, which clears its request.
-func (s *Detector) Completed(id tables.AttemptID) {
-	r := s.attempts[id]
+func (d *Detector) Completed(id tables.AttemptID) {
+	r := d.attempts[id]
 	if r == nil {
 		return
 	}
-	delete(s.attempts, id)
-	s.exonerate(r.fingerprint)
+	delete(d.attempts, id)
+	d.exonerate(r.fingerprint)
 }
 
 // Ended records the end of an attempt that says nothing about its request: the
 // attempt never started, or it was cancelled.
-func (s *Detector) Ended(id tables.AttemptID) { delete(s.attempts, id) }
+func (d *Detector) Ended(id tables.AttemptID) { delete(d.attempts, id) }
 
 // Interrupted records that an attempt broke off. The attempt remains a candidate
 // for Options.CrashDetectionLag, since the crash of its endpoint is often noticed a
 // little later. tokens counts the tokens of the attempt, position those of the
 // whole answer so far.
-func (s *Detector) Interrupted(now tables.Instant, id tables.AttemptID, tokens, position int) {
-	r := s.attempts[id]
+func (d *Detector) Interrupted(now tables.Instant, id tables.AttemptID, tokens, position int) {
+	r := d.attempts[id]
 	if r == nil || r.interruptedAt != 0 {
 		return
 	}
 	r.interruptedAt = max(now, 1)
 	r.attemptTokens, r.answerTokens = tokens, position
-	s.interrupted = append(s.interrupted, id)
-	s.expireInterrupted(now)
+	d.interrupted = append(d.interrupted, id)
+	d.expireInterrupted(now)
 }
 
 // expireInterrupted removes attempts that were interrupted more than
 // Options.CrashDetectionLag ago.
-func (s *Detector) expireInterrupted(now tables.Instant) {
-	kept := s.interrupted[:0]
-	for _, id := range s.interrupted {
-		r := s.attempts[id]
+func (d *Detector) expireInterrupted(now tables.Instant) {
+	kept := d.interrupted[:0]
+	for _, id := range d.interrupted {
+		r := d.attempts[id]
 		if r == nil {
 			continue
 		}
-		if now-r.interruptedAt > s.options.CrashDetectionLag {
-			delete(s.attempts, id)
+		if now-r.interruptedAt > d.options.CrashDetectionLag {
+			delete(d.attempts, id)
 			continue
 		}
 		kept = append(kept, id)
 	}
-	s.interrupted = kept
+	d.interrupted = kept
 }
 
 // Crashed records the crash of an endpoint process and returns the reports for the
 // other instances. It may be called again for the same process when more of its
 // attempts have been interrupted.
-func (s *Detector) Crashed(now tables.Instant, incarnation Incarnation) []Suspect {
-	s.expireInterrupted(now)
-	s.expire(now)
+func (d *Detector) Crashed(now tables.Instant, incarnation Incarnation) []Suspect {
+	d.expireInterrupted(now)
+	d.expire(now)
 	var reports []Suspect
-	for _, id := range s.attemptsOn(incarnation) {
-		r := s.attempts[id]
-		delete(s.attempts, id)
+	for _, id := range d.attemptsOn(incarnation) {
+		r := d.attempts[id]
+		delete(d.attempts, id)
 		point := CrashPoint{AttemptTokens: r.attemptTokens, AnswerTokens: r.answerTokens}
 		if r.firstToken != 0 {
 			point.SinceFirstToken = now - r.firstToken
 		}
-		point.Likely = point.SinceFirstToken < s.options.LikelyWindow
-		if s.addCandidate(now, incarnation, r.fingerprint, point) {
+		point.Likely = point.SinceFirstToken < d.options.LikelyWindow
+		if d.addCandidate(now, incarnation, r.fingerprint, point) {
 			reports = append(reports, Suspect{Fingerprint: r.fingerprint, Incarnation: incarnation, CrashPoint: point})
 		}
 	}
@@ -327,8 +327,8 @@
 
 // IncarnationOf returns the endpoint process that an attempt ran at. It is known
 // while the attempt runs, and for Options.CrashDetectionLag after its interruption.
-func (s *Detector) IncarnationOf(id tables.AttemptID) (incarnation Incarnation, known bool) {
-	r, known := s.attempts[id]
+func (d *Detector) IncarnationOf(id tables.AttemptID) (incarnation Incarnation, known bool) {
+	r, known := d.attempts[id]
 	if !known {
 		return Incarnation{}, false
 	}
@@ -338,9 +338,9 @@
 // attemptsOn returns the attempts of an endpoint process, sorted by ID so that the
 // order is fixed. An attempt that the endpoint has not yet answered has no boot ID
 // and counts for every process of the endpoint.
-func (s *Detector) attemptsOn(incarnation Incarnation) []tables.AttemptID {
+func (d *Detector) attemptsOn(incarnation Incarnation) []tables.AttemptID {
 	var ids []tables.AttemptID
-	for id, r := range s.attempts {
+	for id, r := range d.attempts {
 		if r.incarnation.Endpoint == incarnation.Endpoint && (r.incarnation.Boot == incarnation.Boot || r.incarnation.Boot == "") {
 			ids = append(ids, id)
 		}
@@ -350,31 +350,31 @@
 }
 
 // Merge applies a report of another instance.
-func (s *Detector) Merge(now tables.Instant, report Suspect) {
-	s.expire(now)
-	if report.Age > s.options.Retention {
+func (d *Detector) Merge(now tables.Instant, report Suspect) {
+	d.expire(now)
+	if report.Age > d.options.Retention {
 		return
 	}
 	if report.Convicted {
-		s.convict(now-report.Age, report.Fingerprint)
+		d.convict(now-report.Age, report.Fingerprint)
 		return
 	}
-	s.addCandidate(now-report.Age, report.Incarnation, report.Fingerprint, report.CrashPoint)
+	d.addCandidate(now-report.Age, report.Incarnation, report.Fingerprint, report.CrashPoint)
 }
 
 // Suspects returns all incidents and convictions as reports, for an instance that
 // has just started or has missed a report.
-func (s *Detector) Suspects(now tables.Instant) []Suspect {
-	s.expire(now)
+func (d *Detector) Suspects(now tables.Instant) []Suspect {
+	d.expire(now)
 	var all []Suspect
-	for _, i := range s.incidents {
+	for _, i := range d.incidents {
 		for _, c := range i.candidates {
 			if !c.cleared {
 				all = append(all, Suspect{Fingerprint: c.fingerprint, Incarnation: i.incarnation, CrashPoint: c.crashPoint, Age: now - i.at})
 			}
 		}
 	}
-	for f, at := range s.convicted {
+	for f, at := range d.convicted {
 		all = append(all, Suspect{Fingerprint: f, Convicted: true, Age: now - at})
 	}
 	return all
@@ -382,11 +382,11 @@
 
 // Admits reports whether an endpoint may take a request with this verdict, judged
 // by the attempts of this instance alone.
-func (s *Detector) Admits(now tables.Instant, endpoint tables.EndpointID, v Verdict) bool {
-	if v >= Defer || (v == AvoidSuspectsOwned || v == ExclusiveOwned) && !s.owns(endpoint) {
+func (d *Detector) Admits(now tables.Instant, endpoint tables.EndpointID, v Verdict) bool {
+	if v >= Defer || (v == AvoidSuspectsOwned || v == ExclusiveOwned) && !d.owns(endpoint) {
 		return false
 	}
-	for _, r := range s.attempts {
+	for _, r := range d.attempts {
 		if r.interruptedAt != 0 || r.incarnation.Endpoint != endpoint {
 			continue
 		}
@@ -405,4 +405,4 @@
 
 // Empty reports whether there is no incident and no conviction, so that every
 // verdict is Allow and every endpoint admits. It takes constant time.
-func (s *Detector) Empty() bool { return len(s.incidents) == 0 && len(s.convicted) == 0 }
+func (d *Detector) Empty() bool { return len(d.incidents) == 0 && len(d.convicted) == 0 }
--- a/systems/quarantine/simulation_test.go
+++ b/systems/quarantine/simulation_test.go
@@ -23,8 +23,8 @@
 	attempts  int
 	crashes   int
 	affected  int
-	refused   map[bool]int
-	answered  int
+	rejected  map[bool]int
+	completed int
 }
 
 type fakeEndpoint struct {
@@ -40,7 +40,7 @@
 
 type fakeRequest struct {
 	fingerprint  tables.Fingerprint
-	crashes      bool
+	isPoison     bool
 	instance     int
 	resends      int
 	attempt      tables.AttemptID
@@ -69,7 +69,7 @@
 )
 
 func newFleet(seed uint64, endpoints int) *fleet {
-	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), refused: map[bool]int{}}
+	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), rejected: map[bool]int{}}
 	for i := range f.instances {
 		f.instances[i] = New(Options{})
 		f.instances[i].SetRank(i, len(f.instances))
@@ -103,7 +103,7 @@
 
 func (f *fleet) submitPoison(fingerprint tables.Fingerprint, instance int) {
 	f.submit(&fakeRequest{
-		fingerprint: fingerprint, crashes: true, instance: instance, resends: 6,
+		fingerprint: fingerprint, isPoison: true, instance: instance, resends: 6,
 		duration: 30*time.Millisecond + time.Duration(f.rand.Int64N(int64(300*time.Millisecond))),
 	})
 }
@@ -126,13 +126,13 @@
 	case r.ended || f.now < r.notBefore:
 	case r.endpoint == nil:
 		f.place(r)
-	case f.now-r.started >= r.duration && r.crashes:
+	case f.now-r.started >= r.duration && r.isPoison:
 		f.crash(r.endpoint)
 	case f.now-r.started >= r.duration:
 		f.removeFromEndpoint(r)
 		f.instances[r.instance].Completed(r.attempt)
 		r.ended = true
-		f.answered++
+		f.completed++
 	case f.now-r.started == firstToken:
 		f.instances[r.instance].FirstToken(f.now, r.attempt)
 	}
@@ -142,7 +142,7 @@
 	s := f.instances[r.instance]
 	verdict := s.Verdict(f.now, r.fingerprint)
 	if verdict == Reject {
-		f.refused[r.crashes]++
+		f.rejected[r.isPoison]++
 		if r.resends--; r.resends <= 0 {
 			r.ended = true
 			return
@@ -225,11 +225,11 @@
 		// maxCrashes is the largest number of endpoints that may be lost.
 		maxCrashes int
 	}{
-		{"one, small fleet, idle", 9, 1, 1, 2},
-		{"one, small fleet, busy", 9, 1, 12, 2},
-		{"one, larger fleet, busy", 18, 1, 25, 2},
-		{"two at once", 9, 2, 12, 8},
-		{"two at once, larger", 18, 2, 25, 8},
+		{"one poison request, small idle fleet", 9, 1, 1, 2},
+		{"one poison request, small busy fleet", 9, 1, 12, 2},
+		{"one poison request, larger busy fleet", 18, 1, 25, 2},
+		{"two poison requests, small fleet", 9, 2, 12, 8},
+		{"two poison requests, larger fleet", 18, 2, 25, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			worst, total := 0, 0
@@ -242,12 +242,12 @@
 				}
 				f.run(30*time.Second, c.rate)
 				worst, total = max(worst, f.crashes), total+f.crashes
-				assert.Equal(t, f.refused[false], 0, "seed %d: innocents refused", seed)
-				assert.Assert(t, f.crashes <= c.maxCrashes, "seed %d: %d endpoints lost", seed, f.crashes)
-				assert.Assert(t, f.refused[true] > 0, "seed %d: never refused", seed)
+				assert.Equal(t, f.rejected[false], 0, "seed %d: innocent requests rejected", seed)
+				assert.Assert(t, f.crashes <= c.maxCrashes, "seed %d: %d endpoints crashed", seed, f.crashes)
+				assert.Assert(t, f.rejected[true] > 0, "seed %d: poison request never rejected", seed)
 			}
-			assert.Assert(t, total <= seeds*c.poisons*13/4, "%d endpoints lost over %d seeds", total, seeds)
-			t.Logf("endpoints lost: worst %d, mean %.2f over %d seeds", worst, float64(total)/seeds, seeds)
+			assert.Assert(t, total <= seeds*c.poisons*13/4, "%d endpoints crashed over %d seeds", total, seeds)
+			t.Logf("endpoints crashed: worst %d, mean %.2f over %d seeds", worst, float64(total)/seeds, seeds)
 		})
 	}
 }
@@ -257,7 +257,7 @@
 // rejected: an innocent request that meets two crashes at the same point cannot be
 // told from a poison request.
 func TestUnrelatedCrashesRarelyConvict(t *testing.T) {
-	refused, hit := 0, 0
+	rejected, affected := 0, 0
 	for seed := range uint64(50) {
 		f := newFleet(seed, 18)
 		f.run(5*time.Second, 25)
@@ -270,10 +270,10 @@
 			f.run(100*time.Millisecond, 25)
 		}
 		f.run(20*time.Second, 25)
-		refused, hit = refused+f.refused[false], hit+f.affected
+		rejected, affected = rejected+f.rejected[false], affected+f.affected
 	}
-	t.Logf("refused %d of %d that were hit by a crash", refused, hit)
-	assert.Assert(t, refused*100 <= hit, "refused %d of %d", refused, hit)
+	t.Logf("rejected %d of %d requests hit by a crash", rejected, affected)
+	assert.Assert(t, rejected*100 <= affected, "rejected %d of %d requests", rejected, affected)
 }
 
 // Guards against state that grows without bound or outlives its retention time, and
