--- a/systems/membership/hints.go
+++ b/systems/membership/hints.go
@@ -240,6 +240,7 @@
 	}
 }
 
+// encodeRateLimit returns the wire format of a rate limit, nil if it is unknown.
 func encodeRateLimit(l *RateLimit) *rpc.EndpointRateLimit {
 	if l == nil {
 		return nil
@@ -247,6 +248,7 @@
 	return &rpc.EndpointRateLimit{Limited: l.Limited, PerSecond: l.PerSecond, AgeMs: uint32(l.Age.Milliseconds())}
 }
 
+// decodeRateLimit decodes a rate limit, nil if it is unknown.
 func decodeRateLimit(l *rpc.EndpointRateLimit) *RateLimit {
 	if l == nil {
 		return nil
--- a/systems/membership/member_table.go
+++ b/systems/membership/member_table.go
@@ -39,26 +39,26 @@
 }
 
 // add inserts a member that is not in the table yet.
-func (r *memberTable) add(row *member) {
-	at, _ := r.find(row.Instance)
-	r.sorted = slices.Insert(r.sorted, at, row)
-	r.byID[row.Instance] = row
-	r.derivedValid = false
+func (t *memberTable) add(row *member) {
+	at, _ := t.find(row.Instance)
+	t.sorted = slices.Insert(t.sorted, at, row)
+	t.byID[row.Instance] = row
+	t.derivedValid = false
 }
 
 // remove deletes a member, if it is in the table.
-func (r *memberTable) remove(id tables.InstanceID) {
-	if at, found := r.find(id); found {
-		r.sorted = slices.Delete(r.sorted, at, at+1)
-		delete(r.byID, id)
-		r.derivedValid = false
+func (t *memberTable) remove(id tables.InstanceID) {
+	if at, found := t.find(id); found {
+		t.sorted = slices.Delete(t.sorted, at, at+1)
+		delete(t.byID, id)
+		t.derivedValid = false
 	}
 }
 
 // find returns the position of an instance in sorted, or the position to insert it
 // at.
-func (r *memberTable) find(id tables.InstanceID) (at int, found bool) {
-	return slices.BinarySearchFunc(r.sorted, id, func(row *member, id tables.InstanceID) int {
+func (t *memberTable) find(id tables.InstanceID) (at int, found bool) {
+	return slices.BinarySearchFunc(t.sorted, id, func(row *member, id tables.InstanceID) int {
 		return cmp.Compare(row.Instance, id)
 	})
 }
--- a/systems/membership/membership.go
+++ b/systems/membership/membership.go
@@ -150,6 +150,7 @@
 	retransmitMultiplier = 3
 )
 
+// setDefaults replaces zero fields by the defaults.
 func (c *Config) setDefaults() {
 	c.ProbeInterval = cmp.Or(c.ProbeInterval, defaultProbeInterval)
 	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, defaultProbeTimeout)
@@ -165,7 +166,8 @@
 	Config Config
 	// Seeds are addresses to join through. They are pinged unless a living member
 	// has the address.
-	Seeds      []netip.AddrPort
+	Seeds []netip.AddrPort
+	// RandomSeed seeds the order of probes and the choice of members and relays.
 	RandomSeed uint64
 	// UseSchedulers lets schedulers choose endpoints in groups of more than
 	// FullMeshLimit entry instances.
--- a/systems/membership/membership_bench_test.go
+++ b/systems/membership/membership_bench_test.go
@@ -11,17 +11,17 @@
 func BenchmarkSteadyState(b *testing.B) {
 	for _, n := range []int{9, 100, 340} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
-			w := newSimulation(b, n)
-			w.runUntil(5*time.Minute, "discover each other", w.allAlive)
-			w.run(5 * time.Second)
-			w.bytesSent, w.datagramsSent = 0, 0
+			sim := newSimulation(b, n)
+			sim.runUntil(5*time.Minute, "discover each other", sim.allAlive)
+			sim.run(5 * time.Second)
+			sim.bytesSent, sim.datagramsSent = 0, 0
 			b.ResetTimer()
 			for b.Loop() {
-				w.run(time.Second)
+				sim.run(time.Second)
 			}
 			all := float64(b.N) * float64(n)
-			b.ReportMetric(float64(w.bytesSent)/all, "bytes/s/instance")
-			b.ReportMetric(float64(w.datagramsSent)/all, "datagrams/s/instance")
+			b.ReportMetric(float64(sim.bytesSent)/all, "bytes/s/instance")
+			b.ReportMetric(float64(sim.datagramsSent)/all, "datagrams/s/instance")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/all, "cpu_us/s/instance")
 		})
 	}
@@ -34,11 +34,11 @@
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
 			var total time.Duration
 			for i := range b.N {
-				w := newSimulation(b, n)
-				w.runUntil(5*time.Minute, "discover each other", w.allAlive)
-				w.run(time.Duration(i%10) * tickInterval)
-				w.nodes[n-1].down = true
-				total += w.runUntil(5*time.Minute, "detect the stopped instance", func() bool { return w.allSee(n-1, Dead) })
+				sim := newSimulation(b, n)
+				sim.runUntil(5*time.Minute, "discover each other", sim.allAlive)
+				sim.run(time.Duration(i%10) * tickInterval)
+				sim.nodes[n-1].down = true
+				total += sim.runUntil(5*time.Minute, "detect the stopped instance", func() bool { return sim.allSee(n-1, Dead) })
 			}
 			b.ReportMetric(total.Seconds()/float64(b.N), "virtual_s/death")
 		})
--- a/systems/membership/membership_test.go
+++ b/systems/membership/membership_test.go
@@ -14,9 +14,9 @@
 // disagree on their shares of the load.
 func TestAllInstancesDiscoverEachOther(t *testing.T) {
 	for _, n := range []int{2, 9, 100} {
-		w := newSimulation(t, n)
-		w.runUntil(30*time.Second, "discover each other", w.allAlive)
-		assert.Equal(t, w.nodes[1].LoadShare(), 1/float64(n))
+		sim := newSimulation(t, n)
+		sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+		assert.Equal(t, sim.nodes[1].LoadShare(), 1/float64(n))
 	}
 }
 
@@ -24,33 +24,33 @@
 // limit must pass to the others soon, and no other instance may be declared dead
 // because of it.
 func TestStoppedInstanceIsDetected(t *testing.T) {
-	w := newSimulation(t, 9)
-	w.runUntil(30*time.Second, "discover each other", w.allAlive)
-	w.nodes[4].down = true
-	w.runUntil(30*time.Second, "detect the stopped instance", func() bool { return w.allSee(4, Dead) })
-	assert.Assert(t, w.allAlive())
+	sim := newSimulation(t, 9)
+	sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+	sim.nodes[4].down = true
+	sim.runUntil(30*time.Second, "detect the stopped instance", func() bool { return sim.allSee(4, Dead) })
+	assert.Assert(t, sim.allAlive())
 }
 
 // Guards against a leave that the others notice only through failure detection.
 func TestLeaveSpreadsPromptly(t *testing.T) {
-	w := newSimulation(t, 9)
-	w.runUntil(30*time.Second, "discover each other", w.allAlive)
-	w.send(w.nodes[4], w.nodes[4].Leave(w.now))
-	w.nodes[4].down = true
-	took := w.runUntil(30*time.Second, "learn of the leave", func() bool { return w.allSee(4, Left) })
+	sim := newSimulation(t, 9)
+	sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+	sim.send(sim.nodes[4], sim.nodes[4].Leave(sim.now))
+	sim.nodes[4].down = true
+	took := sim.runUntil(30*time.Second, "learn of the leave", func() bool { return sim.allSee(4, Left) })
 	assert.Assert(t, took <= 3*time.Second, "%v", took)
 }
 
 // All datagrams from one instance to one other are lost, in this direction only.
 // All other instances reach both, so neither may be declared dead.
 func TestOneWayLossBetweenTwoInstances(t *testing.T) {
-	w := newSimulation(t, 9)
-	w.runUntil(30*time.Second, "discover each other", w.allAlive)
-	w.dropped = func(from, to int) bool { return from == 2 && to == 5 }
+	sim := newSimulation(t, 9)
+	sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+	sim.dropped = func(from, to int) bool { return from == 2 && to == 5 }
 	for range 600 {
-		w.step()
-		for i := range w.nodes {
-			assert.Assert(t, w.state(i, 2) != Dead && w.state(i, 5) != Dead, "declared dead at %v", w.now)
+		sim.step()
+		for i := range sim.nodes {
+			assert.Assert(t, sim.state(i, 2) != Dead && sim.state(i, 5) != Dead, "declared dead at %v", sim.now)
 		}
 	}
 }
@@ -59,58 +59,58 @@
 // must not make them declare each other dead, and must be accepted again once it
 // receives datagrams.
 func TestInstanceWithoutInboundTrafficSpreadsNoSuspicion(t *testing.T) {
-	w := newSimulation(t, 9)
-	w.runUntil(30*time.Second, "discover each other", w.allAlive)
-	w.dropped = func(_, to int) bool { return to == 3 }
-	w.runUntil(time.Minute, "declare the isolated instance dead", func() bool { return w.allSee(3, Dead) })
+	sim := newSimulation(t, 9)
+	sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+	sim.dropped = func(_, to int) bool { return to == 3 }
+	sim.runUntil(time.Minute, "declare the isolated instance dead", func() bool { return sim.allSee(3, Dead) })
 	for range 600 {
-		w.step()
-		for i := range w.nodes {
-			for j := range w.nodes {
-				assert.Assert(t, i == 3 || j == 3 || w.state(i, j) != Dead, "%d considers %d dead", i, j)
+		sim.step()
+		for i := range sim.nodes {
+			for j := range sim.nodes {
+				assert.Assert(t, i == 3 || j == 3 || sim.state(i, j) != Dead, "%d considers %d dead", i, j)
 			}
 		}
 	}
-	w.dropped = func(int, int) bool { return false }
-	w.runUntil(time.Minute, "accept the instance again", w.allAlive)
+	sim.dropped = func(int, int) bool { return false }
+	sim.runUntil(time.Minute, "accept the instance again", sim.allAlive)
 }
 
 // Zones are partitioned for minutes and must rejoin, although none of the seeds is
 // in the second zone.
 func TestPartitionedZonesRejoin(t *testing.T) {
-	w := newSimulation(t, 9)
-	w.runUntil(30*time.Second, "discover each other", w.allAlive)
-	w.dropped = func(from, to int) bool { return (from < 3) != (to < 3) }
-	w.runUntil(2*time.Minute, "declare the other zone dead", func() bool { return w.state(8, 0) == Dead && w.state(0, 8) == Dead })
-	w.run(5 * time.Minute)
-	assert.Equal(t, w.state(3, 8), Alive)
-	w.dropped = func(int, int) bool { return false }
-	w.runUntil(2*time.Minute, "rejoin", w.allAlive)
+	sim := newSimulation(t, 9)
+	sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+	sim.dropped = func(from, to int) bool { return (from < 3) != (to < 3) }
+	sim.runUntil(2*time.Minute, "declare the other zone dead", func() bool { return sim.state(8, 0) == Dead && sim.state(0, 8) == Dead })
+	sim.run(5 * time.Minute)
+	assert.Equal(t, sim.state(3, 8), Alive)
+	sim.dropped = func(int, int) bool { return false }
+	sim.runUntil(2*time.Minute, "rejoin", sim.allAlive)
 }
 
 // All instances restart within one tick and request the full state from the same
 // seed.
 func TestSimultaneousRestart(t *testing.T) {
-	w := newSimulation(t, 100)
-	w.runUntil(time.Minute, "discover each other", w.allAlive)
-	for i := range w.nodes {
-		w.boot(i)
+	sim := newSimulation(t, 100)
+	sim.runUntil(time.Minute, "discover each other", sim.allAlive)
+	for i := range sim.nodes {
+		sim.boot(i)
 	}
-	w.runUntil(time.Minute, "rediscover each other", w.allAlive)
+	sim.runUntil(time.Minute, "rediscover each other", sim.allAlive)
 }
 
 // Every fifth datagram is lost. The suspicions that this causes must be refuted in
 // time.
 func TestRandomLossCausesNoFalseDeaths(t *testing.T) {
-	w := newSimulation(t, 30)
+	sim := newSimulation(t, 30)
 	random := rand.New(rand.NewPCG(1, 2))
-	w.runUntil(time.Minute, "discover each other", w.allAlive)
-	w.dropped = func(int, int) bool { return random.IntN(5) == 0 }
+	sim.runUntil(time.Minute, "discover each other", sim.allAlive)
+	sim.dropped = func(int, int) bool { return random.IntN(5) == 0 }
 	for range 3000 {
-		w.step()
-		for i := range w.nodes {
-			for j := range w.nodes {
-				assert.Assert(t, w.state(i, j) <= Suspect, "%d considers %d dead at %v", i, j, w.now)
+		sim.step()
+		for i := range sim.nodes {
+			for j := range sim.nodes {
+				assert.Assert(t, sim.state(i, j) <= Suspect, "%d considers %d dead at %v", i, j, sim.now)
 			}
 		}
 	}
@@ -119,14 +119,14 @@
 // An instance restarts with a lower boot number, since its wall clock was set back.
 // The others must not take it for its earlier process.
 func TestBootNumberRegression(t *testing.T) {
-	w := newSimulation(t, 5)
-	w.runUntil(30*time.Second, "discover each other", w.allAlive)
-	w.boots = 0
-	w.boot(3)
-	w.nodes[3].SetRevision(w.now, 7, time.Unix(1, 0))
-	w.runUntil(30*time.Second, "see the new process", func() bool {
-		row := w.nodes[1].members.byID[w.nodes[3].self.Instance]
-		return row.State == Alive && row.Revision == 7 && row.Boot == w.nodes[3].self.Boot
+	sim := newSimulation(t, 5)
+	sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+	sim.boots = 0
+	sim.boot(3)
+	sim.nodes[3].SetRevision(sim.now, 7, time.Unix(1, 0))
+	sim.runUntil(30*time.Second, "see the new process", func() bool {
+		row := sim.nodes[1].members.byID[sim.nodes[3].self.Instance]
+		return row.State == Alive && row.Revision == 7 && row.Boot == sim.nodes[3].self.Boot
 	})
 }
 
@@ -134,31 +134,31 @@
 // answers; once it stops, it is declared dead without waiting for the suspicion
 // timeout.
 func TestPlatformListShortensSuspicion(t *testing.T) {
-	w := newSimulation(t, 9)
-	w.runUntil(30*time.Second, "discover each other", w.allAlive)
-	for _, node := range w.nodes {
+	sim := newSimulation(t, 9)
+	sim.runUntil(30*time.Second, "discover each other", sim.allAlive)
+	for _, node := range sim.nodes {
 		var list []PlatformInstance
-		for i, other := range w.nodes {
+		for i, other := range sim.nodes {
 			list = append(list, PlatformInstance{Address: other.address, Leaving: i == 4})
 		}
 		node.SetPlatformList(list)
 	}
-	w.run(10 * time.Second)
-	assert.Assert(t, w.allAlive())
-	assert.Assert(t, w.nodes[0].Members()[4].Leaving)
-	w.nodes[4].down = true
-	took := w.runUntil(30*time.Second, "detect the stopped instance", func() bool { return w.allSee(4, Dead) })
-	assert.Assert(t, took < w.nodes[0].suspicionTimeout()+2*time.Second, "%v", took)
+	sim.run(10 * time.Second)
+	assert.Assert(t, sim.allAlive())
+	assert.Assert(t, sim.nodes[0].Members()[4].Leaving)
+	sim.nodes[4].down = true
+	took := sim.runUntil(30*time.Second, "detect the stopped instance", func() bool { return sim.allSee(4, Dead) })
+	assert.Assert(t, took < sim.nodes[0].suspicionTimeout()+2*time.Second, "%v", took)
 }
 
 // Guards against a revision that does not reach instances without a connection to a
 // control instance.
 func TestRevisionReachesAllInstances(t *testing.T) {
-	w := newSimulation(t, 30)
-	w.runUntil(time.Minute, "discover each other", w.allAlive)
-	w.send(w.nodes[7], w.nodes[7].SetRevision(w.now, 12, time.Unix(1, 0)))
-	w.runUntil(time.Minute, "learn of the new revision", func() bool {
-		for i, node := range w.nodes {
+	sim := newSimulation(t, 30)
+	sim.runUntil(time.Minute, "discover each other", sim.allAlive)
+	sim.send(sim.nodes[7], sim.nodes[7].SetRevision(sim.now, 12, time.Unix(1, 0)))
+	sim.runUntil(time.Minute, "learn of the new revision", func() bool {
+		for i, node := range sim.nodes {
 			if i != 7 && !node.newer.IsValid() {
 				return false
 			}
@@ -171,17 +171,17 @@
 // within one message delay; placements that do not fit into one datagram go into a
 // second one.
 func TestPlacementsReachEntryInstances(t *testing.T) {
-	w := newSimulation(t, 5)
-	w.runUntil(time.Minute, "discover each other", w.allAlive)
+	sim := newSimulation(t, 5)
+	sim.runUntil(time.Minute, "discover each other", sim.allAlive)
 	var placements []Placement
 	for block := range 100 {
 		placements = append(placements, Placement{Endpoint: "e1", Boot: "b", Block: tables.BlockHash(block)})
 	}
-	w.nodes[4].down = true
-	w.runUntil(time.Minute, "detect the stopped instance", func() bool { return w.allSee(4, Dead) })
-	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
-	w.run(time.Second)
-	for i, node := range w.nodes {
+	sim.nodes[4].down = true
+	sim.runUntil(time.Minute, "detect the stopped instance", func() bool { return sim.allSee(4, Dead) })
+	sim.send(sim.nodes[2], sim.nodes[2].SendHints(sim.now, Hints{Placements: placements}))
+	sim.run(time.Second)
+	for i, node := range sim.nodes {
 		want := 100
 		if i == 2 || i == 4 {
 			want = 0
@@ -195,23 +195,23 @@
 // notice, each zone would compute every prompt again. One relay in each other zone
 // forwards the placement, once.
 func TestPlacementsReachOtherZones(t *testing.T) {
-	w := newZonedSimulation(t, 3*FullMeshLimit, 3)
-	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
+	sim := newZonedSimulation(t, 3*FullMeshLimit, 3)
+	sim.runUntil(2*time.Minute, "discover each other", sim.allAlive)
 	placements := []Placement{{Endpoint: "e1", Block: 7}}
-	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
-	w.send(w.nodes[2], w.nodes[2].SendPlacementsToOtherZones(w.now, placements))
-	w.run(time.Second)
+	sim.send(sim.nodes[2], sim.nodes[2].SendHints(sim.now, Hints{Placements: placements}))
+	sim.send(sim.nodes[2], sim.nodes[2].SendPlacementsToOtherZones(sim.now, placements))
+	sim.run(time.Second)
 	relays := 0
-	for _, node := range w.nodes {
+	for _, node := range sim.nodes {
 		if !node.relay {
 			continue
 		}
 		relays++
-		w.send(node, node.SendHints(w.now, Hints{Placements: node.placements}))
+		sim.send(node, node.SendHints(sim.now, Hints{Placements: node.placements}))
 	}
 	assert.Equal(t, relays, 2)
-	w.run(time.Second)
-	for i, node := range w.nodes {
+	sim.run(time.Second)
+	for i, node := range sim.nodes {
 		if i != 2 {
 			assert.Equal(t, len(node.placements), 1, "instance %d", i)
 		}
@@ -223,12 +223,12 @@
 // group size.
 func TestTrafficDoesNotGrowWithGroupSize(t *testing.T) {
 	perSecond := func(n int) (bytes, datagrams float64) {
-		w := newSimulation(t, n)
-		w.runUntil(2*time.Minute, "discover each other", w.allAlive)
-		w.bytesSent, w.datagramsSent = 0, 0
-		w.run(20 * time.Second)
+		sim := newSimulation(t, n)
+		sim.runUntil(2*time.Minute, "discover each other", sim.allAlive)
+		sim.bytesSent, sim.datagramsSent = 0, 0
+		sim.run(20 * time.Second)
 		seconds := 20 * float64(n)
-		return float64(w.bytesSent) / seconds, float64(w.datagramsSent) / seconds
+		return float64(sim.bytesSent) / seconds, float64(sim.datagramsSent) / seconds
 	}
 	_, few := perSecond(40)
 	bytes, many := perSecond(160)
@@ -239,9 +239,9 @@
 // Guards against datagrams that are processed although they cannot be decoded or
 // have no sender.
 func TestMalformedDatagramIsRejected(t *testing.T) {
-	w := newSimulation(t, 2)
-	_, err := w.nodes[0].Receive(0, w.nodes[1].address, []byte{0xff})
+	sim := newSimulation(t, 2)
+	_, err := sim.nodes[0].Receive(0, sim.nodes[1].address, []byte{0xff})
 	assert.ErrorContains(t, err, "cannot be decoded")
-	_, err = w.nodes[0].Receive(0, w.nodes[1].address, nil)
+	_, err = sim.nodes[0].Receive(0, sim.nodes[1].address, nil)
 	assert.ErrorContains(t, err, "no sender")
 }
--- a/systems/membership/probe.go
+++ b/systems/membership/probe.go
@@ -38,6 +38,7 @@
 	sentAt    tables.Instant
 }
 
+// newFailureDetector returns a failure detector that has not probed yet.
 func newFailureDetector() failureDetector {
 	return failureDetector{indirectProbes: map[uint64]indirectProbe{}}
 }
@@ -50,12 +51,12 @@
 	budget := float64(m.config.SyncBytesPerSecond)
 	m.syncTokens = min(m.syncTokens+budget*elapsed.Seconds(), syncBurstSeconds*budget)
 	m.expire(now)
-	p := &m.detector
+	d := &m.detector
 	switch {
-	case p.rounds == 0 || now-p.startedAt >= m.config.ProbeInterval:
+	case d.rounds == 0 || now-d.startedAt >= m.config.ProbeInterval:
 		m.endProbe(now)
 		m.startProbe(now)
-	case p.target != nil && !p.acked && !p.indirectSent && now-p.startedAt >= m.config.ProbeTimeout:
+	case d.target != nil && !d.acked && !d.indirectSent && now-d.startedAt >= m.config.ProbeTimeout:
 		m.sendPingRequests()
 	}
 	return m.takeOutput()
@@ -63,34 +64,34 @@
 
 // startProbe pings the next target, and a member or seed that cannot be reached.
 func (m *Membership) startProbe(now tables.Instant) {
-	p := &m.detector
-	p.rounds++
-	p.startedAt = now
-	p.acked, p.indirectSent = false, false
-	p.target = m.nextTarget()
-	if p.target != nil {
-		p.sequence++
-		p.targetSequence = p.sequence
-		m.send(p.target.Address, datagramPing, p.targetSequence)
+	d := &m.detector
+	d.rounds++
+	d.startedAt = now
+	d.acked, d.indirectSent = false, false
+	d.target = m.nextTarget()
+	if d.target != nil {
+		d.sequence++
+		d.targetSequence = d.sequence
+		m.send(d.target.Address, datagramPing, d.targetSequence)
 	}
 	m.probeUnreachable()
 }
 
 // nextTarget returns the next member to probe, nil if there is none.
 func (m *Membership) nextTarget() *member {
-	p := &m.detector
+	d := &m.detector
 	for range 2 {
-		for len(p.probeOrder) > 0 {
-			row := m.members.byID[p.probeOrder[0]]
-			p.probeOrder = p.probeOrder[1:]
+		for len(d.probeOrder) > 0 {
+			row := m.members.byID[d.probeOrder[0]]
+			d.probeOrder = d.probeOrder[1:]
 			if row != nil && row != m.self && row.State <= Suspect {
 				return row
 			}
 		}
 		for _, row := range m.members.sorted {
-			p.probeOrder = append(p.probeOrder, row.Instance)
+			d.probeOrder = append(d.probeOrder, row.Instance)
 		}
-		m.random.Shuffle(len(p.probeOrder), func(i, j int) { p.probeOrder[i], p.probeOrder[j] = p.probeOrder[j], p.probeOrder[i] })
+		m.random.Shuffle(len(d.probeOrder), func(i, j int) { d.probeOrder[i], d.probeOrder[j] = d.probeOrder[j], d.probeOrder[i] })
 	}
 	return nil
 }
@@ -99,13 +100,13 @@
 // target and this instance may be lost, perhaps in one direction only, while the
 // target serves all other instances.
 func (m *Membership) sendPingRequests() {
-	p := &m.detector
-	p.indirectSent = true
-	for _, helper := range m.randomLiveMembers(m.config.IndirectProbes, p.target.Instance) {
-		m.sendPingRequest(helper.Address, datagramPingRequest, p.targetSequence, p.target.Address)
+	d := &m.detector
+	d.indirectSent = true
+	for _, helper := range m.randomLiveMembers(m.config.IndirectProbes, d.target.Instance) {
+		m.sendPingRequest(helper.Address, datagramPingRequest, d.targetSequence, d.target.Address)
 	}
 	// The loss may have hit only the first ping.
-	m.send(p.target.Address, datagramPing, p.targetSequence)
+	m.send(d.target.Address, datagramPing, d.targetSequence)
 }
 
 // endProbe suspects a target that acknowledged neither a direct nor an indirect
@@ -115,20 +116,20 @@
 // withholds its suspicions: otherwise one instance whose network card receives
 // nothing would make all others refute suspicions for as long as it lives.
 func (m *Membership) endProbe(now tables.Instant) {
-	p := &m.detector
-	if p.target == nil {
+	d := &m.detector
+	if d.target == nil {
 		return
 	}
-	if p.acked {
-		p.consecutiveFailures = 0
+	if d.acked {
+		d.consecutiveFailures = 0
 		return
 	}
-	p.consecutiveFailures++
-	if p.target.State != Alive {
+	d.consecutiveFailures++
+	if d.target.State != Alive {
 		return
 	}
-	m.setState(now, p.target, Suspect)
-	p.target.withheld = m.isLikelyIsolated()
+	m.setState(now, d.target, Suspect)
+	d.target.withheld = m.isLikelyIsolated()
 }
 
 // isLikelyIsolated reports whether so many probes failed in a row that this
@@ -167,20 +168,20 @@
 // members that have been dead or left for Config.DeadRetention, and indirect probes
 // that were not acknowledged within a protocol period.
 func (m *Membership) expire(now tables.Instant) {
-	suspectFor := m.suspicionTimeout()
-	var forgotten []tables.InstanceID
+	timeout := m.suspicionTimeout()
+	var expired []tables.InstanceID
 	for _, row := range m.members.sorted {
 		switch {
 		case row == m.self:
-		case row.State == Suspect && (now-row.stateChangedAt >= suspectFor || m.departed[row.Address]):
-			private := row.withheld && m.isLikelyIsolated()
+		case row.State == Suspect && (now-row.stateChangedAt >= timeout || m.departed[row.Address]):
+			withheld := row.withheld && m.isLikelyIsolated()
 			m.setState(now, row, Dead)
-			row.withheld = private
+			row.withheld = withheld
 		case row.State >= Dead && now-row.stateChangedAt >= m.config.DeadRetention:
-			forgotten = append(forgotten, row.Instance)
+			expired = append(expired, row.Instance)
 		}
 	}
-	for _, id := range forgotten {
+	for _, id := range expired {
 		m.members.remove(id)
 		m.version++
 	}
--- a/systems/membership/receive.go
+++ b/systems/membership/receive.go
@@ -116,13 +116,13 @@
 // handleAck completes the current probe, or forwards the acknowledgement to the
 // requester of an indirect probe.
 func (m *Membership) handleAck(sequence uint64) {
-	p := &m.detector
-	if p.target != nil && sequence == p.targetSequence {
-		p.acked = true
+	d := &m.detector
+	if d.target != nil && sequence == d.targetSequence {
+		d.acked = true
 		return
 	}
-	if r, found := p.indirectProbes[sequence]; found {
-		delete(p.indirectProbes, sequence)
+	if r, found := d.indirectProbes[sequence]; found {
+		delete(d.indirectProbes, sequence)
 		m.send(r.requester, datagramAck, r.sequence)
 	}
 }
--- a/systems/membership/schedulers.go
+++ b/systems/membership/schedulers.go
@@ -75,6 +75,7 @@
 	return all
 }
 
+// entryOf returns the instance and addresses of a member.
 func entryOf(row *member) EntryInstance {
 	return EntryInstance{Instance: row.Instance, Address: row.Address, Control: row.Control}
 }
@@ -94,16 +95,16 @@
 // schedulers, the hint receivers and the relays of other zones.
 func (m *Membership) refreshEntries() {
 	zones := m.liveEntriesByZone()
-	r := &m.members
-	r.entryCount, r.schedulers, r.hintReceivers, r.remoteGroups = 0, nil, nil, nil
-	r.entriesByZone = make(map[tables.Zone][]EntryInstance, len(zones))
+	t := &m.members
+	t.entryCount, t.schedulers, t.hintReceivers, t.remoteGroups = 0, nil, nil, nil
+	t.entriesByZone = make(map[tables.Zone][]EntryInstance, len(zones))
 	for zone, entries := range zones {
-		r.entryCount += len(entries)
+		t.entryCount += len(entries)
 		for _, row := range entries {
-			r.entriesByZone[zone] = append(r.entriesByZone[zone], entryOf(row))
+			t.entriesByZone[zone] = append(t.entriesByZone[zone], entryOf(row))
 		}
 	}
-	beyondFullMesh := r.entryCount > FullMeshLimit
+	beyondFullMesh := t.entryCount > FullMeshLimit
 	schedule := beyondFullMesh && m.useSchedulers
 	for zone, entries := range zones {
 		sameZone := zone == m.self.Zone
@@ -111,19 +112,19 @@
 			entries = electSchedulers(entries)
 		}
 		if beyondFullMesh && !sameZone {
-			r.remoteGroups = append(r.remoteGroups, entries)
+			t.remoteGroups = append(t.remoteGroups, entries)
 			continue
 		}
 		for _, row := range entries {
 			if schedule {
-				r.schedulers = append(r.schedulers, entryOf(row))
+				t.schedulers = append(t.schedulers, entryOf(row))
 			}
 			if row != m.self {
-				r.hintReceivers = append(r.hintReceivers, row.Address)
+				t.hintReceivers = append(t.hintReceivers, row.Address)
 			}
 		}
 	}
-	slices.SortFunc(r.remoteGroups, func(a, b []*member) int { return cmp.Compare(a[0].Zone, b[0].Zone) })
+	slices.SortFunc(t.remoteGroups, func(a, b []*member) int { return cmp.Compare(a[0].Zone, b[0].Zone) })
 }
 
 // EntriesByZone returns the living entry instances of each zone.
--- a/systems/membership/schedulers_test.go
+++ b/systems/membership/schedulers_test.go
@@ -23,10 +23,10 @@
 // which do not know of each other's choices, because their views elect different
 // schedulers.
 func TestZoneAgreesOnSchedulers(t *testing.T) {
-	w := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
+	sim := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
+	sim.runUntil(2*time.Minute, "discover each other", sim.allAlive)
 	byZone := map[tables.Zone][]EntryInstance{}
-	for _, node := range w.nodes {
+	for _, node := range sim.nodes {
 		zone := node.self.Zone
 		if byZone[zone] == nil {
 			byZone[zone] = node.Schedulers()
@@ -41,9 +41,9 @@
 // TestSmallGroupHasNoSchedulers guards against the extra hop to a scheduler in
 // groups where each instance hears of all choices anyway.
 func TestSmallGroupHasNoSchedulers(t *testing.T) {
-	w := newSimulationWithSchedulers(t, FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
-	for _, node := range w.nodes {
+	sim := newSimulationWithSchedulers(t, FullMeshLimit, 3, true)
+	sim.runUntil(2*time.Minute, "discover each other", sim.allAlive)
+	for _, node := range sim.nodes {
 		assert.Equal(t, len(node.Schedulers()), 0)
 		assert.Equal(t, node.HintReceiverCount(), FullMeshLimit-1)
 	}
@@ -52,16 +52,16 @@
 // TestDeadSchedulerIsReplaced guards against a zone that keeps sending requests to
 // a scheduler that is dead.
 func TestDeadSchedulerIsReplaced(t *testing.T) {
-	w := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
-	gone := w.nodes[0].Schedulers()[0].Instance
-	for i, node := range w.nodes {
+	sim := newSimulationWithSchedulers(t, 4*FullMeshLimit, 3, true)
+	sim.runUntil(2*time.Minute, "discover each other", sim.allAlive)
+	gone := sim.nodes[0].Schedulers()[0].Instance
+	for i, node := range sim.nodes {
 		if node.self.Instance == gone {
 			node.down = true
-			w.runUntil(time.Minute, "detect the stopped scheduler", func() bool { return w.allSee(i, Dead) })
+			sim.runUntil(time.Minute, "detect the stopped scheduler", func() bool { return sim.allSee(i, Dead) })
 		}
 	}
-	for _, node := range w.nodes {
+	for _, node := range sim.nodes {
 		for _, s := range node.Schedulers() {
 			assert.Assert(t, node.down || s.Instance != gone)
 		}
@@ -72,23 +72,23 @@
 // computes again because its schedulers did not receive the placement, and against
 // hints to instances that choose no endpoints.
 func TestPlacementsReachRemoteSchedulers(t *testing.T) {
-	w := newSimulationWithSchedulers(t, 3*FullMeshLimit, 3, true)
-	w.runUntil(2*time.Minute, "discover each other", w.allAlive)
+	sim := newSimulationWithSchedulers(t, 3*FullMeshLimit, 3, true)
+	sim.runUntil(2*time.Minute, "discover each other", sim.allAlive)
 	placements := []Placement{{Endpoint: "e1", Block: 7}}
-	w.send(w.nodes[2], w.nodes[2].SendHints(w.now, Hints{Placements: placements}))
-	w.send(w.nodes[2], w.nodes[2].SendPlacementsToOtherZones(w.now, placements))
-	w.run(time.Second)
+	sim.send(sim.nodes[2], sim.nodes[2].SendHints(sim.now, Hints{Placements: placements}))
+	sim.send(sim.nodes[2], sim.nodes[2].SendPlacementsToOtherZones(sim.now, placements))
+	sim.run(time.Second)
 	relays := 0
-	for _, node := range w.nodes {
+	for _, node := range sim.nodes {
 		if node.relay {
 			relays++
 			assert.Assert(t, node.isScheduler())
-			w.send(node, node.SendHints(w.now, Hints{Placements: node.placements}))
+			sim.send(node, node.SendHints(sim.now, Hints{Placements: node.placements}))
 		}
 	}
 	assert.Equal(t, relays, 2)
-	w.run(time.Second)
-	for i, node := range w.nodes {
+	sim.run(time.Second)
+	for i, node := range sim.nodes {
 		want := 0
 		if i != 2 && node.isScheduler() {
 			want = 1
--- a/systems/membership/simulation_test.go
+++ b/systems/membership/simulation_test.go
@@ -32,6 +32,7 @@
 	schedule bool
 }
 
+// node is one simulated instance and what it received.
 type node struct {
 	*Membership
 	index      int
@@ -42,6 +43,7 @@
 	newer      netip.AddrPort
 }
 
+// packet is a datagram on its way, due at the receiver at the given time.
 type packet struct {
 	due     time.Duration
 	from    *node
@@ -61,15 +63,15 @@
 // newSimulationWithSchedulers also sets whether schedulers choose endpoints in a
 // large group.
 func newSimulationWithSchedulers(t testing.TB, n, zones int, schedule bool) *simulation {
-	w := &simulation{t: t, zones: zones, schedule: schedule, nodeByAddress: map[netip.AddrPort]*node{}, dropped: func(int, int) bool { return false }}
+	s := &simulation{t: t, zones: zones, schedule: schedule, nodeByAddress: map[netip.AddrPort]*node{}, dropped: func(int, int) bool { return false }}
 	for i := range n {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 8082)
 		node := &node{index: i, address: address}
-		w.nodes = append(w.nodes, node)
-		w.nodeByAddress[address] = node
-		w.boot(i)
+		s.nodes = append(s.nodes, node)
+		s.nodeByAddress[address] = node
+		s.boot(i)
 	}
-	return w
+	return s
 }
 
 // boot starts instance i with a new boot number, for the first time or as a
--- a/systems/quarantine/incident.go
+++ b/systems/quarantine/incident.go
@@ -47,12 +47,12 @@
 		return false
 	}
 	i.candidates = append(i.candidates, candidate{fingerprint: f, crashPoint: point})
-	w := d.evidence[f]
-	w.incidents++
+	e := d.evidence[f]
+	e.incidents++
 	if point.Likely {
-		w.likely++
+		e.likely++
 	}
-	d.evidence[f] = w
+	d.evidence[f] = e
 	return true
 }
 
@@ -84,16 +84,16 @@
 
 // subtractEvidence takes one incident of a candidate out of its evidence.
 func (d *Detector) subtractEvidence(c candidate) {
-	w := d.evidence[c.fingerprint]
-	w.incidents--
+	e := d.evidence[c.fingerprint]
+	e.incidents--
 	if c.crashPoint.Likely {
-		w.likely--
+		e.likely--
 	}
-	if w.incidents <= 0 {
+	if e.incidents <= 0 {
 		delete(d.evidence, c.fingerprint)
 		return
 	}
-	d.evidence[c.fingerprint] = w
+	d.evidence[c.fingerprint] = e
 }
 
 // exonerate clears a request in all incidents.
@@ -321,9 +321,9 @@
 // incident, one more for each incident with a likely crash point, and one more if
 // two crashes happened at the same point.
 func (d *Detector) evidenceScore(f tables.Fingerprint) int {
-	w := d.evidence[f]
-	score := w.incidents + w.likely
-	if w.incidents >= convictionThreshold && d.crashesAtSamePoint(f) {
+	e := d.evidence[f]
+	score := e.incidents + e.likely
+	if e.incidents >= convictionThreshold && d.crashesAtSamePoint(f) {
 		score++
 	}
 	return score
--- a/systems/quarantine/quarantine.go
+++ b/systems/quarantine/quarantine.go
@@ -105,6 +105,7 @@
 	DefaultMaxConvictions    = 1024
 )
 
+// withDefaults returns the options with zero fields replaced by the defaults.
 func (o Options) withDefaults() Options {
 	setDefault(&o.LikelyWindow, DefaultLikelyWindow)
 	setDefault(&o.SettleDelay, DefaultSettleDelay)
--- a/systems/quarantine/simulation_test.go
+++ b/systems/quarantine/simulation_test.go
@@ -27,6 +27,8 @@
 	completed int
 }
 
+// fakeEndpoint is a simulated endpoint with the requests that it runs. It is down
+// until downAt after a crash.
 type fakeEndpoint struct {
 	id     tables.EndpointID
 	boot   int
@@ -38,6 +40,8 @@
 	return Incarnation{Endpoint: e.id, Boot: tables.BootID(fmt.Sprint(e.boot))}
 }
 
+// fakeRequest is a simulated request. A poison request crashes its endpoint after
+// duration, others complete after it.
 type fakeRequest struct {
 	fingerprint  tables.Fingerprint
 	isPoison     bool
@@ -52,6 +56,7 @@
 	ended        bool
 }
 
+// message is a report on its way to another instance.
 type message struct {
 	to      int
 	due     tables.Instant
@@ -68,6 +73,7 @@
 	slots        = 8
 )
 
+// newFleet returns a fleet with the given number of endpoints.
 func newFleet(seed uint64, endpoints int) *fleet {
 	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), rejected: map[bool]int{}}
 	for i := range f.instances {
@@ -80,6 +86,7 @@
 	return f
 }
 
+// run simulates the time d with the given rate of innocent requests per second.
 func (f *fleet) run(d time.Duration, innocent float64) {
 	for end := f.now + d; f.now < end; f.now += step {
 		if f.rand.Float64() < innocent*step.Seconds() {
@@ -101,6 +108,8 @@
 
 func (f *fleet) submit(r *fakeRequest) { f.requests = append(f.requests, r) }
 
+// submitPoison submits a request that crashes its endpoints. Its caller gives up
+// after six rejections.
 func (f *fleet) submitPoison(fingerprint tables.Fingerprint, instance int) {
 	f.submit(&fakeRequest{
 		fingerprint: fingerprint, isPoison: true, instance: instance, resends: 6,
@@ -108,6 +117,7 @@
 	})
 }
 
+// deliver hands over the reports that are due.
 func (f *fleet) deliver() {
 	kept := f.messages[:0]
 	for _, m := range f.messages {
@@ -121,6 +131,7 @@
 	f.messages = kept
 }
 
+// advance moves a request on by one step.
 func (f *fleet) advance(r *fakeRequest) {
 	switch {
 	case r.ended || f.now < r.notBefore:
@@ -138,9 +149,11 @@
 	}
 }
 
+// place dispatches a request to the least loaded endpoint that its verdict admits.
+// A rejected request is sent again through the next instance.
 func (f *fleet) place(r *fakeRequest) {
-	s := f.instances[r.instance]
-	verdict := s.Verdict(f.now, r.fingerprint)
+	d := f.instances[r.instance]
+	verdict := d.Verdict(f.now, r.fingerprint)
 	if verdict == Reject {
 		f.rejected[r.isPoison]++
 		if r.resends--; r.resends <= 0 {
@@ -151,9 +164,9 @@
 		r.notBefore = f.now + resendDelay
 		return
 	}
-	best := f.leastLoaded(s, verdict)
+	best := f.leastLoaded(d, verdict)
 	if best == nil {
-		best = f.leastLoaded(s, verdict.WithoutOwnership())
+		best = f.leastLoaded(d, verdict.WithoutOwnership())
 	}
 	if best == nil {
 		return
@@ -162,13 +175,15 @@
 	r.attempt = tables.AttemptID(fmt.Sprint(f.attempts))
 	r.endpoint, r.started = best, f.now
 	best.runs = append(best.runs, r)
-	s.Started(f.now, r.attempt, best.incarnation(), r.fingerprint)
+	d.Started(f.now, r.attempt, best.incarnation(), r.fingerprint)
 }
 
-func (f *fleet) leastLoaded(s *Detector, v Verdict) *fakeEndpoint {
+// leastLoaded returns the endpoint with the fewest requests that admits the
+// verdict, nil if there is none.
+func (f *fleet) leastLoaded(d *Detector, v Verdict) *fakeEndpoint {
 	var best *fakeEndpoint
 	for _, e := range f.endpoints {
-		if f.now < e.downAt || len(e.runs) >= slots || !s.Admits(f.now, e.id, v) {
+		if f.now < e.downAt || len(e.runs) >= slots || !d.Admits(f.now, e.id, v) {
 			continue
 		}
 		if best == nil || len(e.runs) < len(best.runs) {
@@ -178,6 +193,7 @@
 	return best
 }
 
+// removeFromEndpoint takes a request off its endpoint.
 func (f *fleet) removeFromEndpoint(r *fakeRequest) {
 	kept := r.endpoint.runs[:0]
 	for _, other := range r.endpoint.runs {
@@ -189,6 +205,8 @@
 	r.endpoint = nil
 }
 
+// crash restarts an endpoint, interrupts its requests and sends the reports of all
+// instances.
 func (f *fleet) crash(e *fakeEndpoint) {
 	f.crashes++
 	incarnation := e.incarnation()
@@ -202,11 +220,11 @@
 		f.instances[r.instance].Interrupted(f.now, r.attempt, tokens, r.answerTokens)
 		r.notBefore = f.now + 5*time.Millisecond
 	}
-	for from, s := range f.instances {
-		for _, told := range s.Crashed(f.now, incarnation) {
+	for from, d := range f.instances {
+		for _, report := range d.Crashed(f.now, incarnation) {
 			for to := range f.instances {
 				if to != from {
-					f.messages = append(f.messages, message{to: to, due: f.now + gossipDelay, suspect: told})
+					f.messages = append(f.messages, message{to: to, due: f.now + gossipDelay, suspect: report})
 				}
 			}
 		}
@@ -222,7 +240,7 @@
 		endpoints int
 		poisons   int
 		rate      float64
-		// maxCrashes is the largest number of endpoints that may be lost.
+		// maxCrashes is the largest number of endpoint crashes allowed.
 		maxCrashes int
 	}{
 		{"one poison request, small idle fleet", 9, 1, 1, 2},
@@ -279,49 +297,49 @@
 // Guards against state that grows without bound or outlives its retention time, and
 // against a wrong sequence of verdicts as the evidence grows.
 func TestStateIsBoundedAndExpires(t *testing.T) {
-	s := New(Options{MaxIncidents: 3, MaxConvictions: 2})
+	d := New(Options{MaxIncidents: 3, MaxConvictions: 2})
 	now := tables.Instant(0)
 	recordCrash := func(endpoint string, f tables.Fingerprint) {
 		id := tables.AttemptID(fmt.Sprint(endpoint, f))
-		life := Incarnation{Endpoint: tables.EndpointID(endpoint), Boot: "1"}
-		s.Started(now, id, life, f)
-		s.Interrupted(now, id, 0, 0)
-		s.Crashed(now, life)
+		incarnation := Incarnation{Endpoint: tables.EndpointID(endpoint), Boot: "1"}
+		d.Started(now, id, incarnation, f)
+		d.Interrupted(now, id, 0, 0)
+		d.Crashed(now, incarnation)
 	}
 	recordCrash("a", 1)
-	assert.Equal(t, s.Verdict(now, 1), AvoidSuspectsOwned)
+	assert.Equal(t, d.Verdict(now, 1), AvoidSuspectsOwned)
 	now += DefaultOwnershipWindow
-	assert.Equal(t, s.Verdict(now, 1), AvoidSuspects)
+	assert.Equal(t, d.Verdict(now, 1), AvoidSuspects)
 	recordCrash("b", 1)
-	assert.Equal(t, s.Verdict(now, 1), Defer)
+	assert.Equal(t, d.Verdict(now, 1), Defer)
 	now += DefaultSettleDelay
-	assert.Equal(t, s.Verdict(now, 1), Reject)
-	assert.Equal(t, s.Verdict(now, 2), Allow)
+	assert.Equal(t, d.Verdict(now, 1), Reject)
+	assert.Equal(t, d.Verdict(now, 2), Allow)
 
 	for i := range 10 {
 		recordCrash(fmt.Sprint("c", i), tables.Fingerprint(100+i))
-		s.Merge(now, Suspect{Fingerprint: tables.Fingerprint(200 + i), Convicted: true})
+		d.Merge(now, Suspect{Fingerprint: tables.Fingerprint(200 + i), Convicted: true})
 	}
-	assert.Equal(t, len(s.incidents), 3)
-	assert.Equal(t, len(s.evidence), 3)
-	assert.Equal(t, len(s.convicted), 2)
+	assert.Equal(t, len(d.incidents), 3)
+	assert.Equal(t, len(d.evidence), 3)
+	assert.Equal(t, len(d.convicted), 2)
 
 	now += DefaultRetention + 1
-	assert.Equal(t, s.Verdict(now, 209), Allow)
-	assert.Assert(t, s.Empty())
-	assert.Equal(t, len(s.evidence), 0)
+	assert.Equal(t, d.Verdict(now, 209), Allow)
+	assert.Assert(t, d.Empty())
+	assert.Equal(t, len(d.evidence), 0)
 }
 
 // A report of an old crash arrives after the request has completed elsewhere. It
 // must not make the request a suspect again.
 func TestLateReportDoesNotReviveClearedRequest(t *testing.T) {
-	s := New(Options{})
-	life := Incarnation{Endpoint: "a", Boot: "1"}
-	told := Suspect{Fingerprint: 7, Incarnation: life, CrashPoint: CrashPoint{Likely: true}}
-	s.Merge(1, told)
-	assert.Equal(t, s.Verdict(1, 7), AvoidSuspectsOwned)
-	s.Started(1, "x", Incarnation{Endpoint: "b", Boot: "1"}, 7)
-	s.Completed("x")
-	s.Merge(2, told)
-	assert.Equal(t, s.Verdict(2, 7), Allow)
+	d := New(Options{})
+	incarnation := Incarnation{Endpoint: "a", Boot: "1"}
+	report := Suspect{Fingerprint: 7, Incarnation: incarnation, CrashPoint: CrashPoint{Likely: true}}
+	d.Merge(1, report)
+	assert.Equal(t, d.Verdict(1, 7), AvoidSuspectsOwned)
+	d.Started(1, "x", Incarnation{Endpoint: "b", Boot: "1"}, 7)
+	d.Completed("x")
+	d.Merge(2, report)
+	assert.Equal(t, d.Verdict(2, 7), Allow)
 }
