--- a/systems/quarantine/quarantine.go
+++ b/systems/quarantine/quarantine.go
@@ -43,8 +43,7 @@
 	// owns. Without it, suspects of several instances would meet at the endpoint
 	// that has just restarted and is empty.
 	ExclusiveOwned
-	// Defer postpones the request. Whether it is convicted is known after the
-	// settle delay, see Options.SettleDelay.
+	// Defer postpones the request until its conviction is decided, see SettleDelay.
 	Defer
 	// Reject refuses the request until its conviction expires.
 	Reject
@@ -105,7 +104,7 @@
 	DefaultMaxConvictions    = 1024
 )
 
-// withDefaults returns the options with zero fields replaced by the defaults.
+// withDefaults fills in the defaults.
 func (o Options) withDefaults() Options {
 	setDefault(&o.LikelyWindow, DefaultLikelyWindow)
 	setDefault(&o.SettleDelay, DefaultSettleDelay)
@@ -127,8 +126,7 @@
 	}
 }
 
-// Incarnation is one process of an endpoint, from its start to its end. It crashes
-// at most once.
+// Incarnation is one process of an endpoint. It crashes at most once.
 type Incarnation struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
@@ -167,8 +165,7 @@
 // tokens: endpoints emit tokens in batches, and a crash loses the last ones.
 const crashPointTolerance = 4
 
-// matches reports whether two crashes happened at the same point of a request,
-// counted in tokens of the attempt or of the whole answer.
+// matches reports whether two crashes happened at the same point of a request.
 func (p CrashPoint) matches(other CrashPoint) bool {
 	return p.Likely && other.Likely &&
 		(distance(p.AttemptTokens, other.AttemptTokens) <= crashPointTolerance || distance(p.AnswerTokens, other.AnswerTokens) <= crashPointTolerance)
@@ -176,8 +173,7 @@
 
 func distance(a, b int) int { return max(a-b, b-a) }
 
-// attempt is an attempt that is running, or that was interrupted within
-// Options.CrashDetectionLag.
+// attempt is running, or was interrupted within Options.CrashDetectionLag.
 type attempt struct {
 	fingerprint tables.Fingerprint
 	incarnation Incarnation
@@ -220,9 +216,8 @@
 	}
 }
 
-// SetRank sets the rank of this instance among all instances, with 0 <= rank < instances.
-// Endpoints are partitioned among the instances by hash; suspects run only at
-// endpoints that their instance owns, as far as their verdict demands it.
+// SetRank sets this instance's rank, with 0 <= rank < instances. For suspects, the
+// endpoints are partitioned among the instances by hash.
 func (d *Detector) SetRank(rank, instances int) {
 	if rank >= 0 && rank < instances {
 		d.rank, d.instances = rank, instances
@@ -271,10 +266,9 @@
 // attempt never started, or it was cancelled.
 func (d *Detector) Ended(id tables.AttemptID) { delete(d.attempts, id) }
 
-// Interrupted records that an attempt broke off. The attempt remains a candidate
-// for Options.CrashDetectionLag, since the crash of its endpoint is often noticed a
-// little later. tokens counts the tokens of the attempt, position those of the
-// whole answer so far.
+// Interrupted records that an attempt broke off after tokens of its own, at position
+// tokens of the whole answer. It remains a candidate for Options.CrashDetectionLag,
+// since the crash of its endpoint is often noticed a little later.
 func (d *Detector) Interrupted(now tables.Instant, id tables.AttemptID, tokens, position int) {
 	r := d.attempts[id]
 	if r == nil || r.interruptedAt != 0 {
@@ -286,8 +280,7 @@
 	d.expireInterrupted(now)
 }
 
-// expireInterrupted removes attempts that were interrupted more than
-// Options.CrashDetectionLag ago.
+// expireInterrupted removes attempts interrupted before Options.CrashDetectionLag.
 func (d *Detector) expireInterrupted(now tables.Instant) {
 	kept := d.interrupted[:0]
 	for _, id := range d.interrupted {
@@ -326,8 +319,8 @@
 	return reports
 }
 
-// IncarnationOf returns the endpoint process that an attempt ran at. It is known
-// while the attempt runs, and for Options.CrashDetectionLag after its interruption.
+// IncarnationOf returns the endpoint process that an attempt ran at, known while it
+// runs and for Options.CrashDetectionLag after its interruption.
 func (d *Detector) IncarnationOf(id tables.AttemptID) (incarnation Incarnation, known bool) {
 	r, known := d.attempts[id]
 	if !known {
@@ -363,8 +356,7 @@
 	d.addCandidate(now-report.Age, report.Incarnation, report.Fingerprint, report.CrashPoint)
 }
 
-// Suspects returns all incidents and convictions as reports, for an instance that
-// has just started or has missed a report.
+// Suspects returns all reports, for an instance that started or missed a report.
 func (d *Detector) Suspects(now tables.Instant) []Suspect {
 	d.expire(now)
 	var all []Suspect
@@ -381,8 +373,7 @@
 	return all
 }
 
-// Admits reports whether an endpoint may take a request with this verdict, judged
-// by the attempts of this instance alone.
+// Admits reports whether an endpoint may take a request, by this instance's attempts.
 func (d *Detector) Admits(now tables.Instant, endpoint tables.EndpointID, v Verdict) bool {
 	if v >= Defer || (v == AvoidSuspectsOwned || v == ExclusiveOwned) && !d.owns(endpoint) {
 		return false
@@ -398,8 +389,7 @@
 	return true
 }
 
-// outlived reports whether the attempt has outlived the earlier crashes of its
-// request, see safeAfter.
+// outlived reports whether the attempt has outlived its request's crashes.
 func (r *attempt) outlived(now tables.Instant) bool {
 	return r.firstToken != 0 && now-r.firstToken > r.safeAfter
 }
