--- a/control/deployment/client.go
+++ b/control/deployment/client.go
@@ -31,15 +31,15 @@
 	Instance string
 	// Sources lists whom to follow, nearest first. It is asked again each time.
 	Sources func() []Source
-	// Document takes a document that is newer than the last of its name.
-	Document func(*rpc.Document)
-	// Weights takes when versions of weights were named; nil for nobody. It is
+	// OnDocument takes a document that is newer than the last of its name.
+	OnDocument func(*rpc.Document)
+	// OnWeightVersion takes when versions of weights were named; nil for nobody. It is
 	// called before Document is with the newest of them.
-	Weights func(*rpc.WeightsNamed)
-	// Fleet takes the endpoints whenever they have changed.
-	Fleet func(*fleet.Replica)
-	// Answered is told of each answer; nil for nobody.
-	Answered func(from Source, answer *rpc.FollowAnswer)
+	OnWeightVersion func(*rpc.WeightsNamed)
+	// OnEndpoints takes the endpoints whenever they have changed.
+	OnEndpoints func(*fleet.Replica)
+	// OnAnswer is told of each answer; nil for nobody.
+	OnAnswer func(from Source, answer *rpc.FollowAnswer)
 	// Now is a monotonic clock; nil for that of the process.
 	Now func() time.Duration
 	Log *zap.Logger
@@ -157,9 +157,9 @@
 // told of it. onWay is the time that the question and its answer took beside the
 // source's wait for news.
 func (c *Client) take(source Source, answer *rpc.FollowAnswer, onWay time.Duration) {
-	if c.options.Weights != nil {
+	if c.options.OnWeightVersion != nil {
 		for _, named := range answer.GetWeightsNamed() {
-			c.options.Weights(named)
+			c.options.OnWeightVersion(named)
 		}
 	}
 	for _, document := range answer.GetDocuments() {
@@ -171,15 +171,15 @@
 			zap.String("document", document.GetName()), zap.Uint64("number", document.GetNumber()),
 			zap.Int("bytes", len(document.GetContent())), zap.Duration("on_way", onWay),
 			zap.Duration("lag", time.Duration(answer.GetLagNanos())))
-		c.options.Document(document)
+		c.options.OnDocument(document)
 	}
 	if answer.GetFleet() != nil {
 		if err := c.fleet.Apply(answer.GetFleet()); err != nil {
 			events.EndpointUnreadable.Log(c.options.Log, zap.String("source", source.Name), zap.Error(err))
 		}
-		c.options.Fleet(c.fleet)
+		c.options.OnEndpoints(c.fleet)
 	}
-	if c.options.Answered != nil {
-		c.options.Answered(source, answer)
+	if c.options.OnAnswer != nil {
+		c.options.OnAnswer(source, answer)
 	}
 }
--- a/control/deployment/client_test.go
+++ b/control/deployment/client_test.go
@@ -67,9 +67,9 @@
 			}
 			return all
 		},
-		Document: func(d *rpc.Document) { *taken = append(*taken, d.GetNumber()) },
-		Fleet:    func(*fleet.Replica) {},
-		Log:      zap.NewNop(),
+		OnDocument:  func(d *rpc.Document) { *taken = append(*taken, d.GetNumber()) },
+		OnEndpoints: func(*fleet.Replica) {},
+		Log:         zap.NewNop(),
 	}), taken
 }
 
@@ -127,7 +127,7 @@
 	failing := &scriptedSource{answer: func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &gone{} }}
 	c, _ := follower(failing, &scriptedSource{answer: serve})
 	var known map[tables.EndpointID]fleet.Endpoint
-	c.options.Fleet = func(copied *fleet.Replica) { known = copied.Endpoints() }
+	c.options.OnEndpoints = func(copied *fleet.Replica) { known = copied.Endpoints() }
 	c.step(t.Context())
 	c.step(t.Context())
 	assert.Equal(t, len(known), 1)
--- a/control/deployment/pack.go
+++ b/control/deployment/compression.go
@@ -19,11 +19,11 @@
 // operators may send.
 const maxUnpacked = 64 << 20
 
-// TooLarge means that a document is larger than an instance takes.
-type TooLarge struct{ Limit int }
+// DocumentTooLargeError means that a document is larger than an instance takes.
+type DocumentTooLargeError struct{ Limit int }
 
 // Error names the limit.
-func (*TooLarge) Error() string { return "the document is too large" }
+func (*DocumentTooLargeError) Error() string { return "the document is too large" }
 
 // packer compresses documents for followers. Each change sends the whole document to
 // every one of them: over a slow link an operator's largest document would take
@@ -118,7 +118,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if len(content) > maxUnpacked {
-		return nil, trace.Wrap(&TooLarge{Limit: maxUnpacked})
+		return nil, trace.Wrap(&DocumentTooLargeError{Limit: maxUnpacked})
 	}
 	return content, nil
 }
--- a/control/deployment/pack_test.go
+++ b/control/deployment/compression_test.go
@@ -64,15 +64,15 @@
 func TestTheLargestDocumentFitsThroughASlowLink(t *testing.T) {
 	const linkBytesPerSecond = 7.5e6 / 8
 	service := NewService(Options{
-		Replica: single(t), Fleet: fleet.NewTable(1), GivesOrders: func() bool { return true },
+		Replica: single(t), Fleet: fleet.NewTable(1), HoldsOrderLease: func() bool { return true },
 		Now: func() tables.Instant { return 0 },
 	})
 	content := largestDocument(t)
-	assert.NilError(t, service.Put(t.Context(), ConfigurationName, 7, content))
+	assert.NilError(t, service.Put(t.Context(), ConfigurationDocument, 7, content))
 	source := &wireSource{Service: service}
 	c, _ := follower()
 	var taken []byte
-	c.options.Document = func(d *rpc.Document) { taken = d.GetContent() }
+	c.options.OnDocument = func(d *rpc.Document) { taken = d.GetContent() }
 	c.options.Sources = func() []Source { return []Source{{Name: "a", Deployment: source}} }
 	c.step(t.Context())
 	assert.Assert(t, bytes.Equal(taken, content))
--- a/control/deployment/service.go
+++ b/control/deployment/service.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// ConfigurationName is the document with the configuration.
-	ConfigurationName = "configuration"
-	weightsPrefix     = "weights/"
+	// ConfigurationDocument is the document with the configuration.
+	ConfigurationDocument = "configuration"
+	weightsPrefix         = "weights/"
 	// maxWait bounds the wait of one Follow.
 	maxWait = 10 * time.Second
 	// gatherPerEndpoint times the number of endpoints is how long changes of endpoints
@@ -36,12 +36,14 @@
 	gatherFrom = 50
 )
 
-// WeightsName is the document whose number is the version that a model should
+// WeightsDocument is the document whose number is the version that a model should
 // be served with.
-func WeightsName(model string) string { return weightsPrefix + model }
+func WeightsDocument(model string) string { return weightsPrefix + model }
 
-// ModelOf returns the model that a document names weights of.
-func ModelOf(document string) (string, bool) { return strings.CutPrefix(document, weightsPrefix) }
+// ModelOfWeightsDocument returns the model that a document names weights of.
+func ModelOfWeightsDocument(document string) (string, bool) {
+	return strings.CutPrefix(document, weightsPrefix)
+}
 
 // Service is the deployment's part of a control instance. It implements
 // rpc.Deployment and is safe for concurrent use.
@@ -63,8 +65,8 @@
 type Options struct {
 	Replica *server.Server
 	Fleet   *fleet.Table
-	// GivesOrders says whether this instance gives orders to endpoints now.
-	GivesOrders func() bool
+	// HoldsOrderLease says whether this instance gives orders to endpoints now.
+	HoldsOrderLease func() bool
 	// Now must go on while the machine is suspended.
 	Now func() tables.Instant
 	// After is time.After if it is nil.
@@ -76,7 +78,7 @@
 	if o.After == nil {
 		o.After = time.After
 	}
-	return &Service{replica: o.Replica, fleet: o.Fleet, givesOrders: o.GivesOrders, now: o.Now, after: o.After}
+	return &Service{replica: o.Replica, fleet: o.Fleet, givesOrders: o.HoldsOrderLease, now: o.Now, after: o.After}
 }
 
 // Run notes when versions of weights are named, until the context ends.
@@ -94,7 +96,7 @@
 
 // noteWeights takes the versions that the group has agreed on into the history.
 func (s *Service) noteWeights() {
-	wanted := s.Wanted()
+	wanted := s.TargetVersions()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -103,12 +105,12 @@
 	}
 }
 
-// Wanted lists the version that each model should be served with.
-func (s *Service) Wanted() map[string]uint64 {
+// TargetVersions lists the version that each model should be served with.
+func (s *Service) TargetVersions() map[string]uint64 {
 	wanted := map[string]uint64{}
 	s.replica.View(func(st *state.State) {
 		for _, document := range st.Documents() {
-			if model, ok := ModelOf(document.GetName()); ok {
+			if model, ok := ModelOfWeightsDocument(document.GetName()); ok {
 				wanted[model] = document.GetNumber()
 			}
 		}
@@ -128,11 +130,11 @@
 	return named
 }
 
-// Refused means that the control group would not take a document.
-type Refused struct{ Reason rpc.RefusalReason }
+// RefusedError means that the control group would not take a document.
+type RefusedError struct{ Reason rpc.RefusalReason }
 
 // Error gives the reason.
-func (e *Refused) Error() string { return "document refused: " + e.Reason.String() }
+func (e *RefusedError) Error() string { return "document refused: " + e.Reason.String() }
 
 // Put has the group agree on a document. It returns once a quorum holds it on
 // disk, or one with a higher number.
@@ -144,7 +146,7 @@
 		return trace.Wrap(err)
 	}
 	if refusal := result.GetRefusal(); refusal != nil {
-		return &Refused{Reason: refusal.GetReason()}
+		return &RefusedError{Reason: refusal.GetReason()}
 	}
 	return nil
 }
@@ -240,7 +242,7 @@
 		for _, document := range st.Documents() {
 			if have, known := request.GetDocuments()[document.GetName()]; !known || document.GetNumber() > have {
 				newer = append(newer, document)
-				if model, ok := ModelOf(document.GetName()); ok {
+				if model, ok := ModelOfWeightsDocument(document.GetName()); ok {
 					answer.WeightsNamed = append(answer.WeightsNamed, s.named(model, have)...)
 				}
 			}
--- a/control/deployment/service_test.go
+++ b/control/deployment/service_test.go
@@ -43,12 +43,12 @@
 	replica := single(t)
 	now := tables.Instant(0)
 	s := NewService(Options{
-		Replica: replica, Fleet: fleet.NewTable(1), GivesOrders: func() bool { return true },
+		Replica: replica, Fleet: fleet.NewTable(1), HoldsOrderLease: func() bool { return true },
 		Now: func() tables.Instant { return now },
 	})
 	for version := uint64(1); version <= 3; version++ {
 		now = time.Duration(version) * 3 * time.Second
-		assert.NilError(t, s.Put(t.Context(), WeightsName("m"), version, nil))
+		assert.NilError(t, s.Put(t.Context(), WeightsDocument("m"), version, nil))
 		s.noteWeights()
 	}
 	now = 20 * time.Second
@@ -62,7 +62,7 @@
 	}
 	assert.DeepEqual(t, ages, map[uint64]time.Duration{1: 17 * time.Second, 2: 14 * time.Second, 3: 11 * time.Second})
 
-	answer, err = s.Follow(t.Context(), &rpc.FollowRequest{Documents: map[string]uint64{WeightsName("m"): 2}})
+	answer, err = s.Follow(t.Context(), &rpc.FollowRequest{Documents: map[string]uint64{WeightsDocument("m"): 2}})
 	assert.NilError(t, err)
 	assert.Equal(t, len(answer.GetWeightsNamed()), 1)
 	assert.Equal(t, answer.GetWeightsNamed()[0].GetVersion(), uint64(3))
--- a/control/stale_source_test.go
+++ b/control/stale_source_test.go
@@ -91,8 +91,8 @@
 	g.t.Cleanup(r.disk.resume)
 	r.service = deployment.NewService(deployment.Options{
 		Replica: r.server, Fleet: fleet.NewTable(uint64(i) + 1),
-		GivesOrders: func() bool { return false },
-		Now:         func() tables.Instant { return 0 },
+		HoldsOrderLease: func() bool { return false },
+		Now:             func() tables.Instant { return 0 },
 	})
 	web := &http.Server{Handler: transport.NewHandler(r.server)}
 	go func() { _ = web.Serve(listener) }()
@@ -103,14 +103,14 @@
 func (g *documentGroup) put(i int, number uint64) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), time.Minute)
 	defer cancel()
-	assert.NilError(g.t, g.replicas[i].service.Put(ctx, deployment.ConfigurationName, number, nil))
+	assert.NilError(g.t, g.replicas[i].service.Put(ctx, deployment.ConfigurationDocument, number, nil))
 }
 
 // await waits until a replica has a document.
 func (g *documentGroup) await(i int, number uint64) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), time.Minute)
 	defer cancel()
-	have := map[string]uint64{deployment.ConfigurationName: number - 1}
+	have := map[string]uint64{deployment.ConfigurationDocument: number - 1}
 	for {
 		answer, err := g.replicas[i].service.Follow(ctx, &rpc.FollowRequest{Documents: have, WaitNanos: int64(time.Second)})
 		assert.NilError(g.t, err)
@@ -139,10 +139,10 @@
 		sources = append(sources, deployment.Source{Name: g.replicas[i].address, Deployment: g.replicas[i].service})
 	}
 	client := deployment.NewClient(deployment.ClientOptions{
-		Sources:  func() []deployment.Source { return sources },
-		Document: func(d *rpc.Document) { told <- d.GetNumber() },
-		Fleet:    func(*fleet.Replica) {},
-		Log:      zap.NewNop(),
+		Sources:     func() []deployment.Source { return sources },
+		OnDocument:  func(d *rpc.Document) { told <- d.GetNumber() },
+		OnEndpoints: func(*fleet.Replica) {},
+		Log:         zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(g.t.Context())
 	var running sync.WaitGroup
--- a/node/control.go
+++ b/node/control.go
@@ -72,7 +72,7 @@
 		Executor:          n.replica,
 		IsLeader:          func() bool { return n.replica.Status().IsLeader },
 		Fleet:             n.fleet,
-		TargetVersions:    func() map[string]uint64 { return n.deployment.Wanted() },
+		TargetVersions:    func() map[string]uint64 { return n.deployment.TargetVersions() },
 		Instance:          s.Instance,
 		Boot:              n.boot,
 		LeaseDuration:     min(s.Orders.Lease, ordersLease),
@@ -83,7 +83,7 @@
 		Log:               n.log,
 	})
 	n.deployment = deployment.NewService(deployment.Options{
-		Replica: n.replica, Fleet: n.fleet, GivesOrders: n.runner.HoldsLease, Now: boottime.Now,
+		Replica: n.replica, Fleet: n.fleet, HoldsOrderLease: n.runner.HoldsLease, Now: boottime.Now,
 	})
 	n.measureControl()
 	n.background.Go(func() { n.deployment.Run(n.stopping) })
@@ -154,11 +154,11 @@
 // followLeader takes over what the leader of the group knows of endpoints.
 func (n *Node) followLeader(ctx context.Context) {
 	client := deployment.NewClient(deployment.ClientOptions{
-		Instance: string(n.options.Settings.Instance),
-		Sources:  n.leaderSource,
-		Document: func(*rpc.Document) {}, // the replica has them
-		Fleet:    func(c *fleet.Replica) { n.fleet.Mirror(c.Endpoints()) },
-		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
+		Instance:    string(n.options.Settings.Instance),
+		Sources:     n.leaderSource,
+		OnDocument:  func(*rpc.Document) {}, // the replica has them
+		OnEndpoints: func(c *fleet.Replica) { n.fleet.Mirror(c.Endpoints()) },
+		OnAnswer: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.followed.Store(int64(n.now()))
 			}
--- a/node/entry.go
+++ b/node/entry.go
@@ -55,14 +55,14 @@
 	})
 	n.schedules = schedule.NewServer(n.entry, n.now)
 	n.follow = deployment.NewClient(deployment.ClientOptions{
-		Instance: string(s.Instance),
-		Sources:  n.controlSources,
-		Document: n.takeDocument,
-		Weights: func(named *rpc.WeightsNamed) {
+		Instance:   string(s.Instance),
+		Sources:    n.controlSources,
+		OnDocument: n.takeDocument,
+		OnWeightVersion: func(named *rpc.WeightsNamed) {
 			n.entry.RecordWeightsVersion(named.GetModel(), named.GetVersion(), time.Duration(named.GetAgeNanos()))
 		},
-		Fleet: func(c *fleet.Replica) { n.entry.SetEndpoints(c.Endpoints()) },
-		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
+		OnEndpoints: func(c *fleet.Replica) { n.entry.SetEndpoints(c.Endpoints()) },
+		OnAnswer: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.entry.RecordControlSync(time.Duration(answer.GetLagNanos()))
 			}
@@ -87,12 +87,12 @@
 
 // takeDocument puts a newer document in force.
 func (n *Node) takeDocument(document *rpc.Document) {
-	if model, ok := deployment.ModelOf(document.GetName()); ok {
+	if model, ok := deployment.ModelOfWeightsDocument(document.GetName()); ok {
 		n.entry.RecordWeightsVersion(model, document.GetNumber(), 0)
 		events.WeightsWanted.Log(n.log, zap.String("model", model), zap.Uint64("weights", document.GetNumber()))
 		return
 	}
-	if document.GetName() != deployment.ConfigurationName {
+	if document.GetName() != deployment.ConfigurationDocument {
 		return
 	}
 	table, err := n.options.Platform.ParseConfiguration(document.GetContent())
--- a/node/kvstores.go
+++ b/node/kvstores.go
@@ -72,7 +72,7 @@
 	var number uint64
 	var content []byte
 	n.replica.View(func(st *state.State) {
-		if document := st.Document(deployment.ConfigurationName); document != nil {
+		if document := st.Document(deployment.ConfigurationDocument); document != nil {
 			number, content = document.GetNumber(), document.GetContent()
 		}
 	})
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -220,18 +220,18 @@
 	w := newWorld(t)
 	status, _ := w.get("/a/x")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
-	w.put(0, deployment.ConfigurationName, 3, "/a/")
+	w.put(0, deployment.ConfigurationDocument, 3, "/a/")
 	w.until("/a/x", 200, "weights 1")
 
-	w.put(1, deployment.ConfigurationName, 5, "/bcd/")
+	w.put(1, deployment.ConfigurationDocument, 5, "/bcd/")
 	w.until("/a/x", 404, "")
 	w.until("/bcd/x", 200, "")
-	w.put(2, deployment.ConfigurationName, 4, "/ab/")
-	content, err := w.controls[2].deployment.Newest(t.Context(), deployment.ConfigurationName)
+	w.put(2, deployment.ConfigurationDocument, 4, "/ab/")
+	content, err := w.controls[2].deployment.Newest(t.Context(), deployment.ConfigurationDocument)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "/bcd/")
 
-	w.put(0, deployment.WeightsName("m"), 2, "")
+	w.put(0, deployment.WeightsDocument("m"), 2, "")
 	w.until("/bcd/x", 200, "weights 2")
 
 	lost := 0
@@ -241,7 +241,7 @@
 		}
 	}
 	w.controls[lost].Stop()
-	w.put((lost+1)%3, deployment.WeightsName("m"), 3, "")
+	w.put((lost+1)%3, deployment.WeightsDocument("m"), 3, "")
 	w.until("/bcd/x", 200, "weights 3")
 	w.platform.mu.Lock()
 	fences := w.platform.fences
@@ -256,18 +256,18 @@
 // acknowledged.
 func TestAnEmptiedControlInstanceJoinsAgain(t *testing.T) {
 	w := newWorld(t)
-	w.put(0, deployment.ConfigurationName, 3, "/a/")
+	w.put(0, deployment.ConfigurationDocument, 3, "/a/")
 	w.controls[1].Stop()
 	again := *w.settings[1]
 	again.Data, again.New = t.TempDir(), false
 	w.controls[1] = w.start(&again)
-	w.put(0, deployment.ConfigurationName, 5, "/bcd/")
+	w.put(0, deployment.ConfigurationDocument, 5, "/bcd/")
 	deadline := time.Now().Add(30 * time.Second)
 	for !w.controls[1].replica.Status().IsVoter {
 		assert.Assert(t, time.Now().Before(deadline), "it does not vote")
 		time.Sleep(10 * time.Millisecond)
 	}
-	content, err := w.controls[1].deployment.Newest(t.Context(), deployment.ConfigurationName)
+	content, err := w.controls[1].deployment.Newest(t.Context(), deployment.ConfigurationDocument)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "/bcd/")
 }
@@ -276,7 +276,7 @@
 // cut off there: the instance stops sending it any.
 func TestAnEndpointThatLeavesGetsNothing(t *testing.T) {
 	w := newWorld(t)
-	w.put(0, deployment.ConfigurationName, 3, "/a/")
+	w.put(0, deployment.ConfigurationDocument, 3, "/a/")
 	w.until("/a/x", 200, "")
 	w.platform.mu.Lock()
 	w.platform.draining = true
