--- a/router/completion.go
+++ b/router/completion.go
@@ -151,7 +151,7 @@
 // requeue queues a request for its next attempt.
 func (r *Router) requeue(now tables.Instant, row *tables.RequestRow) {
 	row.NotBefore = now + retry.Backoff(max(row.Retries, 1))
-	row.StartBy = now + admission.Patience(row.Profile)
+	row.StartBy = now + admission.DefaultMaxWait(row.Profile)
 	if row.Request.Deadline > 0 {
 		row.StartBy = min(row.StartBy, row.Request.Deadline)
 	}
--- a/router/queues.go
+++ b/router/queues.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		row.StartBy = admission.StartBy(row, 0)
-		if refusal, ok := c.backlog[row.Organisation].Check(now, row.StartBy-now); !ok {
+		if refusal, ok := c.backlog[row.Organisation].Admit(now, row.StartBy-now); !ok {
 			r.recordShed(now, row)
 			r.refuse(row.Request, refusal)
 			r.finish(row)
@@ -112,7 +112,7 @@
 	flow := row.Organisation
 	c.queues[flow].Add(waiting.Item{Row: row, GroupKey: key, StartBy: row.StartBy})
 	c.scheduler.Add(flow)
-	c.backlog[flow].Queued(now, row.StartBy-now)
+	c.backlog[flow].Enqueued(now, row.StartBy-now)
 }
 
 // dequeue removes a request from the queue of its class, if it is queued.
@@ -124,7 +124,7 @@
 	c := &r.classes[row.Priority]
 	c.queues[row.Organisation].Remove(row, row.QueueGroup)
 	c.scheduler.Remove(row.Organisation)
-	c.backlog[row.Organisation].Left()
+	c.backlog[row.Organisation].Dequeued()
 }
 
 // serveClass places queued requests of a class, flow by flow in fair-share
--- a/systems/admission/admission.go
+++ b/systems/admission/admission.go
@@ -26,16 +26,16 @@
 	// minRetryAfter and maxRetryAfter bound the time to try again.
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Minute
-	// MaxWaiting bounds the requests held of one organisation in one class, for
+	// MaxQueued bounds the requests held of one organisation in one class, for
 	// memory's sake.
-	MaxWaiting = 5000
+	MaxQueued = 5000
 	// minWaiting is the queue length below which no prediction is made: a short
 	// queue says nothing of the rate at which it empties.
 	minWaiting = 8
 )
 
-// Patience is how long a request may be held whose profile names no wait.
-func Patience(p *tables.Profile) time.Duration {
+// DefaultMaxWait is how long a request may be held whose profile names no wait.
+func DefaultMaxWait(p *tables.Profile) time.Duration {
 	return max(minPatience, min(maxPatience, p.Timeout/patiencePart))
 }
 
@@ -44,7 +44,7 @@
 func StartBy(row *tables.RequestRow, service time.Duration) tables.Instant {
 	wait := row.Profile.MaxWait
 	if wait <= 0 {
-		wait = Patience(row.Profile)
+		wait = DefaultMaxWait(row.Profile)
 	}
 	by := row.SubmittedAt + wait
 	if row.Request.Deadline > 0 {
@@ -67,8 +67,8 @@
 	since tables.Instant
 }
 
-// Queued counts a request that begins to wait, for at most the given time.
-func (b *Backlog) Queued(now tables.Instant, wait time.Duration) {
+// Enqueued counts a request that begins to wait, for at most the given time.
+func (b *Backlog) Enqueued(now tables.Instant, wait time.Duration) {
 	if b.waiting == 0 {
 		b.since = now
 	}
@@ -76,8 +76,8 @@
 	b.waiting++
 }
 
-// Left counts a request that no longer waits.
-func (b *Backlog) Left() { b.waiting-- }
+// Dequeued counts a request that no longer waits.
+func (b *Backlog) Dequeued() { b.waiting-- }
 
 // Started counts a request that was dispatched.
 func (b *Backlog) Started(now tables.Instant) {
@@ -93,12 +93,12 @@
 	return b.started * max(0, 1-passed)
 }
 
-// Waiting is the number of requests held.
-func (b *Backlog) Waiting() int { return b.waiting }
+// Length is the number of requests held.
+func (b *Backlog) Length() int { return b.waiting }
 
-// Wait predicts how long a request that comes now would be held: the queue
+// PredictedWait predicts how long a request that comes now would be held: the queue
 // over the rate at which its requests have lately started.
-func (b *Backlog) Wait(now tables.Instant) time.Duration {
+func (b *Backlog) PredictedWait(now tables.Instant) time.Duration {
 	if b.waiting < minWaiting {
 		return 0
 	}
@@ -106,11 +106,11 @@
 	return time.Duration(float64(b.waiting) / rate * float64(time.Second))
 }
 
-// Check says whether a new request can be expected to start within wait. If
+// Admit says whether a new request can be expected to start within wait. If
 // not it returns when to try again.
-func (b *Backlog) Check(now tables.Instant, wait time.Duration) (tables.Refusal, bool) {
-	predicted := b.Wait(now)
-	full := b.waiting >= MaxWaiting
+func (b *Backlog) Admit(now tables.Instant, wait time.Duration) (tables.Refusal, bool) {
+	predicted := b.PredictedWait(now)
+	full := b.waiting >= MaxQueued
 	settled := now-b.since >= b.window
 	if !full && (predicted <= wait || !settled) {
 		return tables.Refusal{}, true
@@ -121,5 +121,5 @@
 // RetryAfter is when a request that can wait so long has a chance again: when
 // the queue that is there now will have gone down to what it can wait for.
 func (b *Backlog) RetryAfter(now tables.Instant, wait time.Duration) time.Duration {
-	return min(maxRetryAfter, max(minRetryAfter, b.Wait(now)-wait))
+	return min(maxRetryAfter, max(minRetryAfter, b.PredictedWait(now)-wait))
 }
--- a/systems/admission/admission_test.go
+++ b/systems/admission/admission_test.go
@@ -18,18 +18,18 @@
 	const wait = 2 * time.Second
 	for i := range 1000 {
 		now += 10 * time.Millisecond
-		if _, ok := b.Check(now, wait); ok {
-			b.Queued(now, wait)
+		if _, ok := b.Admit(now, wait); ok {
+			b.Enqueued(now, wait)
 		}
-		if i%10 == 0 && b.Waiting() > 0 {
-			b.Left()
+		if i%10 == 0 && b.Length() > 0 {
+			b.Dequeued()
 			b.Started(now)
 		}
 	}
-	refusal, ok := b.Check(now, wait)
+	refusal, ok := b.Admit(now, wait)
 	assert.Assert(t, !ok)
 	assert.Equal(t, refusal.Code, tables.CodeOverloaded)
-	drains := time.Duration(b.Waiting()) * 100 * time.Millisecond
+	drains := time.Duration(b.Length()) * 100 * time.Millisecond
 	off := (refusal.RetryAfter + wait - drains).Abs()
 	assert.Assert(t, off < drains/3, "retry after %v and waited %v, drains in %v", refusal.RetryAfter, wait, drains)
 }
@@ -37,9 +37,9 @@
 func TestAShortQueueRefusesNobody(t *testing.T) {
 	var b admission.Backlog
 	for range 5 {
-		b.Queued(time.Second, time.Second)
+		b.Enqueued(time.Second, time.Second)
 	}
-	_, ok := b.Check(time.Minute, time.Second)
+	_, ok := b.Admit(time.Minute, time.Second)
 	assert.Assert(t, ok)
 }
 
