--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -48,7 +48,7 @@
 	assert.Assert(t, r.ready(t))
 	done := make(chan error, 1)
 	go func() { done <- r.server.Drain(t.Context()) }()
-	for r.server.gate.State() != drain.Announced {
+	for r.server.gate.State() != drain.LameDuck {
 		time.Sleep(time.Millisecond)
 	}
 	assert.Assert(t, !r.ready(t))
@@ -58,7 +58,7 @@
 
 	<-now
 	now <- time.Second
-	for r.server.gate.State() != drain.Closing {
+	for r.server.gate.State() != drain.Draining {
 		time.Sleep(time.Millisecond)
 	}
 	refused := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p"}`)
--- a/entry/gate/gate.go
+++ b/entry/gate/gate.go
@@ -28,7 +28,7 @@
 // New returns an open gate. Serve is how long new requests are still served
 // after a drain has begun.
 func New(serve time.Duration) *Gate {
-	return &Gate{machine: drain.Machine{Serve: serve}, idle: make(chan struct{}, 1)}
+	return &Gate{machine: drain.Machine{LameDuckPeriod: serve}, idle: make(chan struct{}, 1)}
 }
 
 // Enter counts a request in and returns how many are open. The count comes
@@ -36,7 +36,7 @@
 // sure that none slips in. Whatever it returns, Leave must follow.
 func (g *Gate) Enter() (open int64, admitted bool) {
 	open = g.open.Add(1)
-	return open, g.State().Admits()
+	return open, g.State().AcceptsRequests()
 }
 
 // Leave counts a request out.
@@ -63,7 +63,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if g.tick(now()) == drain.Ended {
+		if g.tick(now()) == drain.Stopped {
 			return nil
 		}
 		if wait := g.wait(now()); wait > 0 {
@@ -73,7 +73,7 @@
 		case <-timer.C:
 		case <-g.idle:
 		case <-ctx.Done():
-			g.change((*drain.Machine).Abandon)
+			g.change((*drain.Machine).Abort)
 			g.tick(now())
 			return trace.Wrap(ctx.Err())
 		}
@@ -98,5 +98,5 @@
 func (g *Gate) wait(now tables.Instant) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.machine.Wait(now)
+	return g.machine.NextTransition(now)
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -278,7 +278,7 @@
 	<-started
 	drainErr := make(chan error, 1)
 	go func() { drainErr <- h.server.Drain(t.Context()) }()
-	for h.server.Ready() || h.server.gate.State().Admits() {
+	for h.server.Ready() || h.server.gate.State().AcceptsRequests() {
 		time.Sleep(time.Millisecond)
 	}
 	late := h.send(t, "POST", "/once/y", "")
--- a/systems/drain/drain.go
+++ b/systems/drain/drain.go
@@ -18,21 +18,21 @@
 const (
 	// Serving: ready, and every request is served.
 	Serving State = iota
-	// Announced: not ready, but new requests are still served. The balancer's
+	// LameDuck: not ready, but new requests are still served. The balancer's
 	// checks and its open connections lag behind; without this step requests
 	// already on their way would be refused.
-	Announced
-	// Closing: new requests are refused, open ones go on.
-	Closing
-	// Ended: the process may exit.
-	Ended
+	LameDuck
+	// Draining: new requests are refused, open ones go on.
+	Draining
+	// Stopped: the process may exit.
+	Stopped
 )
 
 // Machine is the state of one instance. The zero value with Serve set is ready
 // to use.
 type Machine struct {
-	// Serve is how long the instance stays Announced.
-	Serve time.Duration
+	// LameDuckPeriod is how long the instance stays Announced.
+	LameDuckPeriod time.Duration
 
 	state     State
 	announced tables.Instant
@@ -41,26 +41,26 @@
 // Begin starts the drain; later calls change nothing.
 func (m *Machine) Begin(now tables.Instant) {
 	if m.state == Serving {
-		m.state = Announced
+		m.state = LameDuck
 		m.announced = now
 	}
 }
 
-// Abandon ends the drain at once: the operator has signalled a second time or
+// Abort ends the drain at once: the operator has signalled a second time or
 // the platform's patience is over. Open requests are cut.
-func (m *Machine) Abandon() {
+func (m *Machine) Abort() {
 	if m.state != Serving {
-		m.state = Ended
+		m.state = Stopped
 	}
 }
 
 // Tick takes the number of open requests and gives the state.
 func (m *Machine) Tick(now tables.Instant, open int) State {
-	if m.state == Announced && now-m.announced >= m.Serve {
-		m.state = Closing
+	if m.state == LameDuck && now-m.announced >= m.LameDuckPeriod {
+		m.state = Draining
 	}
-	if m.state == Closing && open == 0 {
-		m.state = Ended
+	if m.state == Draining && open == 0 {
+		m.state = Stopped
 	}
 	return m.state
 }
@@ -68,17 +68,17 @@
 // State gives the state as of the last Tick.
 func (m *Machine) State() State { return m.state }
 
-// Wait is how long nothing changes unless a request ends; it is zero when there
+// NextTransition is how long nothing changes unless a request ends; it is zero when there
 // is nothing to wait for but that.
-func (m *Machine) Wait(now tables.Instant) time.Duration {
-	if m.state != Announced {
+func (m *Machine) NextTransition(now tables.Instant) time.Duration {
+	if m.state != LameDuck {
 		return 0
 	}
-	return max(m.Serve-(now-m.announced), 0)
+	return max(m.LameDuckPeriod-(now-m.announced), 0)
 }
 
 // Ready says whether the balancer should send callers here.
 func (s State) Ready() bool { return s == Serving }
 
-// Admits says whether a new request is served.
-func (s State) Admits() bool { return s <= Announced }
+// AcceptsRequests says whether a new request is served.
+func (s State) AcceptsRequests() bool { return s <= LameDuck }
--- a/systems/drain/drain_test.go
+++ b/systems/drain/drain_test.go
@@ -8,28 +8,28 @@
 )
 
 func TestDrainPassesThroughItsStates(t *testing.T) {
-	m := Machine{Serve: 5 * time.Second}
+	m := Machine{LameDuckPeriod: 5 * time.Second}
 	assert.Equal(t, m.Tick(time.Second, 0), Serving)
 	assert.Assert(t, m.State().Ready())
 
 	m.Begin(10 * time.Second)
-	assert.Equal(t, m.Tick(10*time.Second, 0), Announced)
+	assert.Equal(t, m.Tick(10*time.Second, 0), LameDuck)
 	assert.Assert(t, !m.State().Ready())
-	assert.Assert(t, m.State().Admits())
+	assert.Assert(t, m.State().AcceptsRequests())
 	m.Begin(14 * time.Second)
-	assert.Equal(t, m.Wait(14*time.Second), time.Second)
+	assert.Equal(t, m.NextTransition(14*time.Second), time.Second)
 
-	assert.Equal(t, m.Tick(15*time.Second, 2), Closing)
-	assert.Assert(t, !m.State().Admits())
-	assert.Equal(t, m.Tick(time.Hour, 1), Closing)
-	assert.Equal(t, m.Tick(time.Hour, 0), Ended)
+	assert.Equal(t, m.Tick(15*time.Second, 2), Draining)
+	assert.Assert(t, !m.State().AcceptsRequests())
+	assert.Equal(t, m.Tick(time.Hour, 1), Draining)
+	assert.Equal(t, m.Tick(time.Hour, 0), Stopped)
 }
 
 func TestSecondSignalEndsTheDrain(t *testing.T) {
-	m := Machine{Serve: 5 * time.Second}
-	m.Abandon()
+	m := Machine{LameDuckPeriod: 5 * time.Second}
+	m.Abort()
 	assert.Equal(t, m.Tick(0, 0), Serving)
 	m.Begin(0)
-	m.Abandon()
-	assert.Equal(t, m.Tick(0, 7), Ended)
+	m.Abort()
+	assert.Equal(t, m.Tick(0, 7), Stopped)
 }
