--- a/router/completion.go
+++ b/router/completion.go
@@ -228,7 +228,7 @@
 	c := &r.classes[row.Priority]
 	refusal := tables.Refusal{Code: tables.CodeOverloaded, RetryAfter: c.backlog[row.Organisation].RetryAfter(now, row.StartBy-row.SubmittedAt)}
 	switch {
-	case r.organisations.rows[row.Organisation].limiter.Full(r.trafficShare):
+	case r.organisations.rows[row.Organisation].limiter.AtConcurrencyLimit(r.trafficShare):
 		refusal.Code = tables.CodeOrganisationLimit
 	case !r.hasEligibleEndpoint(now, row):
 		refusal.Code = tables.CodeNoEndpoint
@@ -247,7 +247,7 @@
 	r.dequeue(row)
 	if row.HoldsConcurrencySlot {
 		row.HoldsConcurrencySlot = false
-		r.organisations.rows[row.Organisation].limiter.Stop()
+		r.organisations.rows[row.Organisation].limiter.Release()
 	}
 	r.removeIfDone(row)
 }
--- a/router/queues.go
+++ b/router/queues.go
@@ -77,7 +77,7 @@
 }
 
 func (r *Router) startNewRequest(now tables.Instant, row *tables.RequestRow) bool {
-	if r.organisations.rows[row.Organisation].limiter.Full(r.trafficShare) {
+	if r.organisations.rows[row.Organisation].limiter.AtConcurrencyLimit(r.trafficShare) {
 		return false
 	}
 	if !r.tryPlace(now, row, false) {
@@ -111,7 +111,7 @@
 	c := &r.classes[row.Priority]
 	flow := row.Organisation
 	c.queues[flow].Add(waiting.Item{Row: row, GroupKey: key, StartBy: row.StartBy})
-	c.scheduler.Add(flow)
+	c.scheduler.Enqueue(flow)
 	c.backlog[flow].Enqueued(now, row.StartBy-now)
 }
 
@@ -123,7 +123,7 @@
 	row.Queued = false
 	c := &r.classes[row.Priority]
 	c.queues[row.Organisation].Remove(row, row.QueueGroup)
-	c.scheduler.Remove(row.Organisation)
+	c.scheduler.Dequeue(row.Organisation)
 	c.backlog[row.Organisation].Dequeued()
 }
 
@@ -149,7 +149,7 @@
 
 // serveFlow places one queued request of a flow.
 func (r *Router) serveFlow(now tables.Instant, c *priorityClass, flow fairness.Flow) bool {
-	if r.organisations.rows[flow].limiter.Full(r.trafficShare) {
+	if r.organisations.rows[flow].limiter.AtConcurrencyLimit(r.trafficShare) {
 		r.failedPlacements++
 		return false
 	}
@@ -182,7 +182,7 @@
 	r.overload.recordWork(now, cost, row.Profile.MaxWait > 0)
 	if !row.HoldsConcurrencySlot {
 		row.HoldsConcurrencySlot = true
-		r.organisations.rows[row.Organisation].limiter.Start()
+		r.organisations.rows[row.Organisation].limiter.Acquire()
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -252,7 +252,7 @@
 	}
 	next := max(now, r.nextTimers)
 	for i := range r.classes {
-		if r.classes[i].scheduler.Active() > 0 {
+		if r.classes[i].scheduler.ActiveFlows() > 0 {
 			next = min(next, max(now, r.nextServe))
 		}
 	}
--- a/router/timers.go
+++ b/router/timers.go
@@ -37,7 +37,7 @@
 			r.refreshTurnovers(now, p)
 		}
 	}
-	if r.classes[tables.Urgent].scheduler.Waiting() >= overloadQueueLength {
+	if r.classes[tables.Urgent].scheduler.QueueLength() >= overloadQueueLength {
 		r.overload.trigger(now)
 	}
 	r.refuseOverdue(now)
--- a/systems/fairness/fairness.go
+++ b/systems/fairness/fairness.go
@@ -37,8 +37,8 @@
 	s.flows[f].weight = max(weight, 1e-6)
 }
 
-// Add counts a request that begins to wait.
-func (s *Scheduler) Add(f Flow) {
+// Enqueue counts a request that begins to wait.
+func (s *Scheduler) Enqueue(f Flow) {
 	w := &s.flows[f]
 	w.waiting++
 	s.waiting++
@@ -48,8 +48,8 @@
 	}
 }
 
-// Remove counts a request that no longer waits, for whatever reason.
-func (s *Scheduler) Remove(f Flow) {
+// Dequeue counts a request that no longer waits, for whatever reason.
+func (s *Scheduler) Dequeue(f Flow) {
 	w := &s.flows[f]
 	w.waiting--
 	s.waiting--
@@ -107,8 +107,8 @@
 	return a < b
 }
 
-// Waiting is the number of waiting requests.
-func (s *Scheduler) Waiting() int { return s.waiting }
+// QueueLength is the number of waiting requests.
+func (s *Scheduler) QueueLength() int { return s.waiting }
 
-// Active is the number of flows with waiting requests.
-func (s *Scheduler) Active() int { return len(s.active) }
+// ActiveFlows is the number of flows with waiting requests.
+func (s *Scheduler) ActiveFlows() int { return len(s.active) }
--- a/systems/fairness/fairness_test.go
+++ b/systems/fairness/fairness_test.go
@@ -65,7 +65,7 @@
 			if rapid.Bool().Draw(t, "arrives") {
 				f := rapid.IntRange(0, flows-1).Draw(t, "flow")
 				n.add(f)
-				s.Add(fairness.Flow(f))
+				s.Enqueue(fairness.Flow(f))
 				continue
 			}
 			want := n.next()
@@ -77,7 +77,7 @@
 			assert.Equal(t, int(got), want)
 			cost := float64(rapid.IntRange(1, 1000).Draw(t, "cost"))
 			s.Charge(got, cost)
-			s.Remove(got)
+			s.Dequeue(got)
 			n.serve(want, cost)
 		}
 	})
@@ -90,19 +90,19 @@
 	s.SetWeight(0, 1)
 	s.SetWeight(1, 1)
 	for range 1000 {
-		s.Add(0)
+		s.Enqueue(0)
 	}
 	serve := func() fairness.Flow {
 		f, ok := s.Next(func(fairness.Flow) bool { return false })
 		assert.Assert(t, ok)
 		s.Charge(f, 10)
-		s.Remove(f)
+		s.Dequeue(f)
 		return f
 	}
 	for range 50 {
 		serve()
 	}
-	s.Add(1)
+	s.Enqueue(1)
 	first, second := serve(), serve()
 	assert.Assert(t, first == 1 || second == 1, "%d %d", first, second)
 }
@@ -129,13 +129,13 @@
 	var l fairness.Limiter
 	l.Configure(0, 10)
 	running := 0
-	for !l.Full(0.25) {
-		l.Start()
+	for !l.AtConcurrencyLimit(0.25) {
+		l.Acquire()
 		running++
 	}
 	assert.Equal(t, running, 3)
-	l.Stop()
-	assert.Assert(t, !l.Full(0.25))
+	l.Release()
+	assert.Assert(t, !l.AtConcurrencyLimit(0.25))
 }
 
 var _ fairness.Flow = tables.FlowIndex(0)
--- a/systems/fairness/limit.go
+++ b/systems/fairness/limit.go
@@ -52,14 +52,14 @@
 	return time.Duration((1 - l.tokens) / rate * float64(time.Second))
 }
 
-// Start counts a request that is dispatched, Stop one that is over.
-func (l *Limiter) Start() { l.running++ }
+// Acquire counts a request that is dispatched, Stop one that is over.
+func (l *Limiter) Acquire() { l.running++ }
 
-// Stop counts a request that is over.
-func (l *Limiter) Stop() { l.running-- }
+// Release counts a request that is over.
+func (l *Limiter) Release() { l.running-- }
 
-// Full says whether as many requests run as may.
-func (l *Limiter) Full(share float64) bool {
+// AtConcurrencyLimit says whether as many requests run as may.
+func (l *Limiter) AtConcurrencyLimit(share float64) bool {
 	if l.concurrent <= 0 {
 		return false
 	}
