--- a/router/completion.go
+++ b/router/completion.go
@@ -53,14 +53,14 @@
 	switch result {
 	case Completed:
 		row.LastProgress = now
-		health.Succeeded(&row.Health)
+		health.RecordSuccess(&row.Health)
 	case Interrupted:
-		health.Failed(now, &row.Health)
+		health.RecordFailure(now, &row.Health)
 	case NotStarted:
 		// Work that runs at most once also ends as NotStarted when its claim is
 		// not granted. That is no evidence against the endpoint.
 		if a.Request.Profile.Idempotent {
-			health.Failed(now, &row.Health)
+			health.RecordFailure(now, &row.Health)
 		}
 	case Unreachable:
 		health.Eject(now, &row.Health)
--- a/router/timers.go
+++ b/router/timers.go
@@ -28,7 +28,7 @@
 	r.cacheIndex.Sweep(now, sweepBucketsPerRun)
 	for i := range r.endpoints.Len() {
 		row := r.endpoints.Row(tables.EndpointIndex(i))
-		health.Renew(now, &row.Health)
+		health.EndEjection(now, &row.Health)
 		row.Load.Remote.Advance(now)
 	}
 	if now >= r.nextTurnover {
@@ -80,7 +80,7 @@
 }
 
 func (r *Router) isHung(now tables.Instant, a *tables.AttemptRow) bool {
-	return health.Hanging(now, r.endpoints.Row(a.Endpoint).LastProgress, a)
+	return health.IsHung(now, r.endpoints.Row(a.Endpoint).LastProgress, a)
 }
 
 // refuseOverdue ends the queued requests whose start-by time has passed.
@@ -100,7 +100,7 @@
 func (r *Router) checkAttempts(now tables.Instant, row *tables.RequestRow) {
 	for _, a := range row.Attempts {
 		if r.isHung(now, a) && row.Profile.Idempotent {
-			health.Failed(now, &r.endpoints.Row(a.Endpoint).Health)
+			health.RecordFailure(now, &r.endpoints.Row(a.Endpoint).Health)
 			r.abort(now, a)
 			continue
 		}
--- a/systems/health/health.go
+++ b/systems/health/health.go
@@ -23,8 +23,8 @@
 	hangMargin = 5 * time.Second
 )
 
-// Succeeded takes in an attempt that was answered.
-func Succeeded(h *tables.Health) {
+// RecordSuccess takes in an attempt that was answered.
+func RecordSuccess(h *tables.Health) {
 	h.ConsecutiveFailures = 0
 	if h.State != tables.Probation {
 		return
@@ -36,9 +36,9 @@
 	}
 }
 
-// Failed takes in an attempt that broke or could not be started. An endpoint on
+// RecordFailure takes in an attempt that broke or could not be started. An endpoint on
 // probation is ejected again by one failure.
-func Failed(now tables.Instant, h *tables.Health) {
+func RecordFailure(now tables.Instant, h *tables.Health) {
 	h.ConsecutiveFailures++
 	if h.State == tables.Probation || h.ConsecutiveFailures >= failuresToEject {
 		Eject(now, h)
@@ -57,20 +57,20 @@
 	h.ConsecutiveFailures = 0
 }
 
-// Renew puts an ejected endpoint on probation when its time is over.
-func Renew(now tables.Instant, h *tables.Health) {
+// EndEjection puts an ejected endpoint on probation when its time is over.
+func EndEjection(now tables.Instant, h *tables.Health) {
 	if h.State == tables.Ejected && now >= h.EjectedUntil {
 		h.State = tables.Probation
 		h.ProbationSuccesses = 0
 	}
 }
 
-// Hanging says whether an attempt has waited for its first token, without any
+// IsHung says whether an attempt has waited for its first token, without any
 // sign of progress from its endpoint, so much longer than expected that the
 // endpoint must be taken to hang. A connection to an engine that hangs stays
 // open and breaks nothing; only what does not happen shows it. An attempt that
 // waits while more urgent ones are answered does not hang.
-func Hanging(now, progress tables.Instant, a *tables.AttemptRow) bool {
+func IsHung(now, progress tables.Instant, a *tables.AttemptRow) bool {
 	if a.FirstTokenAt != 0 || a.Aborted {
 		return false
 	}
--- a/systems/health/health_test.go
+++ b/systems/health/health_test.go
@@ -22,11 +22,11 @@
 		assert.Assert(t, out > last)
 		last = out
 		now = h.EjectedUntil
-		health.Renew(now, &h)
+		health.EndEjection(now, &h)
 		assert.Equal(t, h.State, tables.Probation)
 	}
 	for range 3 {
-		health.Succeeded(&h)
+		health.RecordSuccess(&h)
 	}
 	assert.Equal(t, h.State, tables.Healthy)
 	health.Eject(now, &h)
@@ -35,15 +35,15 @@
 
 func TestOneFailureEjectsOnProbationOnly(t *testing.T) {
 	h := tables.Health{State: tables.Probation}
-	health.Failed(time.Second, &h)
+	health.RecordFailure(time.Second, &h)
 	assert.Equal(t, h.State, tables.Ejected)
 	h = tables.Health{}
-	health.Failed(time.Second, &h)
-	health.Succeeded(&h)
-	health.Failed(time.Second, &h)
-	health.Failed(time.Second, &h)
+	health.RecordFailure(time.Second, &h)
+	health.RecordSuccess(&h)
+	health.RecordFailure(time.Second, &h)
+	health.RecordFailure(time.Second, &h)
 	assert.Equal(t, h.State, tables.Healthy)
-	health.Failed(time.Second, &h)
+	health.RecordFailure(time.Second, &h)
 	assert.Equal(t, h.State, tables.Ejected)
 }
 
@@ -51,7 +51,7 @@
 // before it. The endpoint does not hang, and must not be taken out.
 func TestProgressForOthersIsNotHanging(t *testing.T) {
 	a := &tables.AttemptRow{DispatchedAt: time.Second, ExpectedTTFT: time.Second}
-	assert.Assert(t, !health.Hanging(9*time.Second, 0, a))
-	assert.Assert(t, health.Hanging(15*time.Second, 0, a))
-	assert.Assert(t, !health.Hanging(15*time.Second, 14*time.Second, a))
+	assert.Assert(t, !health.IsHung(9*time.Second, 0, a))
+	assert.Assert(t, health.IsHung(15*time.Second, 0, a))
+	assert.Assert(t, !health.IsHung(15*time.Second, 14*time.Second, a))
 }
