--- a/router/router.go
+++ b/router/router.go
@@ -65,7 +65,7 @@
 	cacheIndex    *cacheview.View
 	matches       cacheview.Matches
 	gossip        placementQueue
-	prefixCounter hotness.Counter
+	prefixCounter hotness.Sketch
 	// homeHitRatio is the moving average of the fraction of a prefix that its
 	// home endpoint had cached although the cache index knew of none of it.
 	homeHitRatio float64
@@ -168,7 +168,7 @@
 		return
 	}
 	r.requests[request.ID] = row
-	r.prefixCounter.Seen(now, request.Blocks)
+	r.prefixCounter.Add(now, request.Blocks)
 	r.updateDepthStats(request)
 	r.retryBudget.Deposit()
 	r.newRequests = append(r.newRequests, row)
--- a/systems/hotness/hotness.go
+++ b/systems/hotness/hotness.go
@@ -16,8 +16,8 @@
 	depth = 3
 	// width is the number of counters of each depth: 16 Ki, 192 KB in all.
 	width = 1 << 14
-	// Window is the time constant of the decay.
-	Window = 20 * time.Second
+	// TimeConstant is the time constant of the decay.
+	TimeConstant = 20 * time.Second
 	// steps is how often within Window all counters are lowered.
 	steps = 8
 )
@@ -25,14 +25,14 @@
 // keep is the part of a counter that one step leaves: e^(-1/steps).
 const keep = 0.8824969
 
-// Counter counts blocks. It is not safe for concurrent use.
-type Counter struct {
+// Sketch counts blocks. It is not safe for concurrent use.
+type Sketch struct {
 	counts  [depth][width]float32
 	decayed tables.Instant
 }
 
-// Seen counts one request for each block.
-func (c *Counter) Seen(now tables.Instant, blocks []tables.BlockHash) {
+// Add counts one request for each block.
+func (c *Sketch) Add(now tables.Instant, blocks []tables.BlockHash) {
 	c.decay(now)
 	for _, hash := range blocks {
 		for d := range depth {
@@ -43,7 +43,7 @@
 
 // Count is the decayed number of requests for a block; a steady rate of r a
 // second gives r times Window.
-func (c *Counter) Count(hash tables.BlockHash) float64 {
+func (c *Sketch) Count(hash tables.BlockHash) float64 {
 	least := c.counts[0][slot(hash, 0)]
 	for d := 1; d < depth; d++ {
 		least = min(least, c.counts[d][slot(hash, d)])
@@ -52,16 +52,16 @@
 }
 
 // Rate is the requests per second for a block.
-func (c *Counter) Rate(hash tables.BlockHash) float64 { return c.Count(hash) / Window.Seconds() }
+func (c *Sketch) Rate(hash tables.BlockHash) float64 { return c.Count(hash) / TimeConstant.Seconds() }
 
 func slot(hash tables.BlockHash, d int) uint64 {
 	return placement.Mix(uint64(hash)+uint64(d)*0x9e3779b97f4a7c15) & (width - 1)
 }
 
-func (c *Counter) decay(now tables.Instant) {
-	const step = Window / steps
+func (c *Sketch) decay(now tables.Instant) {
+	const step = TimeConstant / steps
 	for c.decayed+step <= now {
-		if now-c.decayed > 8*Window {
+		if now-c.decayed > 8*TimeConstant {
 			c.counts = [depth][width]float32{}
 			c.decayed = now
 			return
--- a/systems/hotness/hotness_test.go
+++ b/systems/hotness/hotness_test.go
@@ -11,26 +11,26 @@
 )
 
 func TestRateFollowsUpAndDown(t *testing.T) {
-	var c hotness.Counter
+	var c hotness.Sketch
 	now := time.Duration(0)
 	for range 1000 {
 		now += 100 * time.Millisecond
-		c.Seen(now, []tables.BlockHash{42})
+		c.Add(now, []tables.BlockHash{42})
 	}
 	assert.Assert(t, c.Rate(42) > 8 && c.Rate(42) < 12, "%v", c.Rate(42))
-	now += 3 * hotness.Window
-	c.Seen(now, nil)
+	now += 3 * hotness.TimeConstant
+	c.Add(now, nil)
 	assert.Assert(t, c.Rate(42) < 1, "%v", c.Rate(42))
-	now += 100 * hotness.Window
-	c.Seen(now, nil)
+	now += 100 * hotness.TimeConstant
+	c.Add(now, nil)
 	assert.Equal(t, c.Rate(42), 0.0)
 }
 
 func TestCountIsNeverTooLow(t *testing.T) {
-	var c hotness.Counter
+	var c hotness.Sketch
 	for i := range tables.BlockHash(40000) {
-		c.Seen(time.Second, []tables.BlockHash{i * 7919})
+		c.Add(time.Second, []tables.BlockHash{i * 7919})
 	}
-	c.Seen(time.Second, []tables.BlockHash{1, 1, 1})
+	c.Add(time.Second, []tables.BlockHash{1, 1, 1})
 	assert.Assert(t, c.Count(1) >= 3)
 }
