--- a/dispatch/cache_directory.go
+++ b/dispatch/cache_directory.go
@@ -218,7 +218,7 @@
 		if row.Draining {
 			continue
 		}
-		if best == nil || placement.Mix(row.hash^last) > placement.Mix(best.hash^last) {
+		if best == nil || placement.Mix64(row.hash^last) > placement.Mix64(best.hash^last) {
 			best = row
 		}
 	}
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -198,7 +198,7 @@
 // tieBreaker returns a small pseudorandom cost that differs between instances and
 // requests, so that they do not all choose the same one of several equal endpoints.
 func (d *Dispatcher) tieBreaker(row *endpointRow) float64 {
-	hash := placement.Mix(row.hash ^ d.options.Seed ^ d.decisions*0x9e3779b97f4a7c15)
+	hash := placement.Mix64(row.hash ^ d.options.Seed ^ d.decisions*0x9e3779b97f4a7c15)
 	return tieBreakCost * float64(hash>>40) / (1 << 24)
 }
 
--- a/dispatch/prompt_view.go
+++ b/dispatch/prompt_view.go
@@ -89,7 +89,7 @@
 		if row.Draining || row.Loading || row.Weights[r.Model] != v.version || row.currentFailureScore(now) > maxHomeFailureScore || row.absentFor(now) > 0 {
 			continue
 		}
-		if hash := placement.Mix(row.hash ^ uint64(part)); v.home == nil || hash > v.homeHash {
+		if hash := placement.Mix64(row.hash ^ uint64(part)); v.home == nil || hash > v.homeHash {
 			v.home, v.homeHash = row, hash
 		}
 	}
--- a/internal/datagram/calls.go
+++ b/internal/datagram/calls.go
@@ -120,5 +120,5 @@
 }
 
 func draw(id tables.InstanceID, key uint64) uint64 {
-	return placement.Mix(placement.Mix(xxhash.Sum64String(string(id))) ^ key)
+	return placement.Mix64(placement.Mix64(xxhash.Sum64String(string(id))) ^ key)
 }
--- a/measure/baseline.go
+++ b/measure/baseline.go
@@ -149,7 +149,7 @@
 	}
 	best, highest := 0, uint64(0)
 	for _, i := range usable {
-		h := placement.Mix(key ^ xxhash.Sum64String(string(b.config.Endpoints[i].ID)))
+		h := placement.Mix64(key ^ xxhash.Sum64String(string(b.config.Endpoints[i].ID)))
 		if h >= highest {
 			best, highest = i, h
 		}
--- a/node/readerselection.go
+++ b/node/readerselection.go
@@ -45,7 +45,7 @@
 	var picked tables.InstanceID
 	var best uint64
 	for _, one := range candidates {
-		if draw := placement.Mix(hash ^ one.hash); picked == "" || draw > best {
+		if draw := placement.Mix64(hash ^ one.hash); picked == "" || draw > best {
 			picked, best = one.instance, draw
 		}
 	}
--- a/parts/parts.go
+++ b/parts/parts.go
@@ -36,7 +36,7 @@
 // KeyAt returns the key of the part when computed with the given version of the weights.
 // Parts computed with another version must not be used.
 func (id ID) KeyAt(version uint64) Key {
-	return Key(placement.Mix(uint64(id) ^ version*0x9e3779b97f4a7c15))
+	return Key(placement.Mix64(uint64(id) ^ version*0x9e3779b97f4a7c15))
 }
 
 // saltPrefix starts each cache salt of this system.
--- a/router/explain.go
+++ b/router/explain.go
@@ -12,7 +12,7 @@
 	At tables.Instant `json:"at_nanoseconds"`
 	// Endpoint is the chosen endpoint; empty while the request waits.
 	Endpoint   tables.EndpointID  `json:"endpoint,omitempty"`
-	Candidates []placement.Report `json:"candidates"`
+	Candidates []placement.CandidateReport `json:"candidates"`
 }
 
 // explanationRing is a ring buffer of the newest explanations, indexed by
--- a/router/placement.go
+++ b/router/placement.go
@@ -57,7 +57,7 @@
 // one reference speed for all endpoints. At the endpoint's own speed, a fast
 // endpoint would look like a cheap place for another copy of the prefix, and
 // copies evict each other.
-var recomputeWeights = [placement.Preferences]float64{
+var recomputeWeights = [placement.PreferenceCount]float64{
 	tables.PreferBalanced:   5,
 	tables.PreferFirstToken: 5,
 	tables.PreferReuse:      10,
@@ -71,12 +71,12 @@
 			leaving.Filter{}, serves.Filter{}, health.Filter{}, tried.Filter{}, capacity.Filter{}, idle.Filter{},
 			quarantineFilter{suspects: suspects},
 		},
-		Scorers: []placement.Weighted{
+		Scorers: []placement.WeightedScorer{
 			{Scorer: recompute.Scorer{}, Weights: recomputeWeights},
-			{Scorer: compute.Scorer{}, Weights: [placement.Preferences]float64{1, 1, 1}},
-			{Scorer: queue.Scorer{}, Weights: [placement.Preferences]float64{1, 1, 1}},
-			{Scorer: eviction.Scorer{}, Weights: [placement.Preferences]float64{0.5, 0, 1}},
-			{Scorer: zone.Scorer{}, Weights: [placement.Preferences]float64{1, 1, 1}},
+			{Scorer: compute.Scorer{}, Weights: [placement.PreferenceCount]float64{1, 1, 1}},
+			{Scorer: queue.Scorer{}, Weights: [placement.PreferenceCount]float64{1, 1, 1}},
+			{Scorer: eviction.Scorer{}, Weights: [placement.PreferenceCount]float64{0.5, 0, 1}},
+			{Scorer: zone.Scorer{}, Weights: [placement.PreferenceCount]float64{1, 1, 1}},
 		},
 	}
 }
@@ -91,7 +91,7 @@
 	candidates := r.candidates(&q)
 	choice := r.picker.Pick(&q, candidates)
 	if choice.Endpoint == tables.NoEndpoint && !r.suspects.Empty() {
-		q.AnyOwner = true
+		q.IgnoreOwnership = true
 		choice = r.picker.Pick(&q, candidates)
 	}
 	if choice.Endpoint == tables.NoEndpoint || r.shouldWait(&q, &choice) {
@@ -117,8 +117,8 @@
 		return false
 	}
 	if q.Request.Profile.MaxWait <= 0 || q.Promoted {
-		ahead := choice.Row.Load.PrefillTokensAhead(dispatchPriority(q), &q.Mix) / choice.PrefillRate()
-		return q.WaitWeight*(ahead+delayImposedWeight*compute.Delay(q, &choice.Candidate)) > maxQueueSeconds
+		ahead := choice.Row.Load.PrefillTokensAhead(dispatchPriority(q), &q.PriorityMix) / choice.PrefillRate()
+		return q.WaitWeight*(ahead+delayImposedWeight*compute.ImposedDelay(q, &choice.Candidate)) > maxQueueSeconds
 	}
 	if r.shouldBatch(q, choice) {
 		return true
@@ -194,10 +194,10 @@
 		Request: row,
 		Weights: r.weights[row.Profile.Model],
 		Zone:    r.options.Zone,
-		Spread:  placement.Mix(r.options.Seed + r.lastAttempt),
-		Share:   r.trafficShare,
+		TieBreakSeed:  placement.Mix64(r.options.Seed + r.lastAttempt),
+		TrafficShare:   r.trafficShare,
 		Hedge:   hedge,
-		Mix:     r.priorityMix,
+		PriorityMix:     r.priorityMix,
 
 		WaitWeight: waitWeight(row.Profile),
 		Promoted:   isPromoted(now, row),
@@ -256,7 +256,7 @@
 // expectedFirstToken returns the expected time from dispatch to the first
 // token.
 func expectedFirstToken(q *placement.Query, c *placement.Candidate) time.Duration {
-	seconds := queue.Wait(q, c) + c.UncachedTokens(q)/c.PrefillRate()
+	seconds := queue.ExpectedWait(q, c) + c.UncachedTokens(q)/c.PrefillRate()
 	return time.Duration(seconds * float64(time.Second))
 }
 
--- a/router/pools.go
+++ b/router/pools.go
@@ -93,7 +93,7 @@
 		p.capacity += row.Slots()
 		members = append(members, homes.Member{ID: row.Endpoint.ID, Index: row.Index, Weight: hashWeight(&row.Endpoint)})
 	}
-	if old := r.pools[key]; old != nil && old.homes.Same(members) {
+	if old := r.pools[key]; old != nil && old.homes.HasMembers(members) {
 		p.homes = old.homes
 		return p
 	}
@@ -126,13 +126,13 @@
 	if len(blocks) > 0 {
 		r.cacheIndex.Match(q.Now, blocks, &r.matches)
 	}
-	q.MeanTurnover = p.meanTurnover
+	q.MeanTurnoverSeconds = p.meanTurnover
 	home, depth, assumedHitRatio := r.homeEndpoint(q, p)
 	for i, index := range p.members {
 		c := placement.Candidate{Row: r.endpoints.Row(index)}
 		if len(blocks) > 0 {
 			c.KnownTokens = r.matches.Blocks(index) * prefix.BlockTokens
-			c.Turnover = p.turnovers[i]
+			c.TurnoverSeconds = p.turnovers[i]
 		}
 		c.CachedTokens = c.KnownTokens
 		if index == home {
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -20,7 +20,7 @@
 		return true
 	}
 	verdict := f.suspects.Verdict(q.Now, q.Request.Request.Fingerprint)
-	if q.AnyOwner {
+	if q.IgnoreOwnership {
 		verdict = verdict.WithoutOwnership()
 	}
 	return f.suspects.Admits(q.Now, c.Row.Endpoint.ID, verdict)
--- a/router/queues.go
+++ b/router/queues.go
@@ -100,7 +100,7 @@
 // privateGroup returns a unique queue group for a failed request, so that it
 // does not delay requests that can be placed.
 func privateGroup(row *tables.RequestRow) tables.BlockHash {
-	return tables.BlockHash(placement.Mix(uint64(row.SubmittedAt) + uint64(row.Retries)<<56))
+	return tables.BlockHash(placement.Mix64(uint64(row.SubmittedAt) + uint64(row.Retries)<<56))
 }
 
 // enqueue adds a request to the queue of its class.
--- a/systems/hotness/hotness.go
+++ b/systems/hotness/hotness.go
@@ -55,7 +55,7 @@
 func (c *Sketch) Rate(hash tables.BlockHash) float64 { return c.Count(hash) / TimeConstant.Seconds() }
 
 func slot(hash tables.BlockHash, d int) uint64 {
-	return placement.Mix(uint64(hash)+uint64(d)*0x9e3779b97f4a7c15) & (width - 1)
+	return placement.Mix64(uint64(hash)+uint64(d)*0x9e3779b97f4a7c15) & (width - 1)
 }
 
 func (c *Sketch) decay(now tables.Instant) {
--- a/systems/placement/explain.go
+++ b/systems/placement/explain.go
@@ -2,20 +2,20 @@
 
 import "github.com/carawaystile/carawaystile/tables"
 
-// Part is one scorer's weighted share of a candidate's cost.
-type Part struct {
+// CostTerm is one scorer's weighted share of a candidate's cost.
+type CostTerm struct {
 	Name    string  `json:"name"`
-	Seconds float64 `json:"seconds"`
+	CostSeconds float64 `json:"seconds"`
 }
 
-// Report describes one candidate for people.
-type Report struct {
+// CandidateReport describes one candidate for people.
+type CandidateReport struct {
 	Endpoint tables.EndpointID `json:"endpoint"`
-	// Dropped names the filter that dropped the candidate, if one did.
-	Dropped      string  `json:"dropped,omitempty"`
+	// RejectedBy names the filter that dropped the candidate, if one did.
+	RejectedBy      string  `json:"dropped,omitempty"`
 	CachedTokens int     `json:"cached_tokens"`
-	Seconds      float64 `json:"seconds"`
-	Parts        []Part  `json:"parts,omitempty"`
+	CostSeconds      float64 `json:"seconds"`
+	CostTerms        []CostTerm  `json:"parts,omitempty"`
 }
 
 // MaxReports is how many candidates Explain describes: those of the lowest
@@ -24,7 +24,7 @@
 
 // Explain appends reports on candidates that Pick has been over to dst, whose
 // memory is reused.
-func (p *Picker) Explain(dst []Report, q *Query, candidates []Candidate) []Report {
+func (p *Picker) Explain(dst []CandidateReport, q *Query, candidates []Candidate) []CandidateReport {
 	var best [MaxReports]*Candidate
 	n := 0
 	for i := range candidates {
@@ -56,27 +56,27 @@
 	if (a.dropped == 0) != (b.dropped == 0) {
 		return a.dropped == 0
 	}
-	return a.dropped == 0 && a.Score < b.Score
+	return a.dropped == 0 && a.Cost < b.Cost
 }
 
 // grow lengthens dst by one report, keeping the memory of its parts.
-func grow(dst []Report) []Report {
+func grow(dst []CandidateReport) []CandidateReport {
 	if len(dst) < cap(dst) {
 		return dst[:len(dst)+1]
 	}
-	return append(dst, Report{})
+	return append(dst, CandidateReport{})
 }
 
-func (p *Picker) describe(r *Report, q *Query, c *Candidate) {
-	*r = Report{Endpoint: c.Row.Endpoint.ID, CachedTokens: int(c.CachedTokens), Parts: r.Parts[:0]}
+func (p *Picker) describe(r *CandidateReport, q *Query, c *Candidate) {
+	*r = CandidateReport{Endpoint: c.Row.Endpoint.ID, CachedTokens: int(c.CachedTokens), CostTerms: r.CostTerms[:0]}
 	if c.dropped = p.drop(q, c); c.dropped != 0 {
-		r.Dropped = p.Filters[c.dropped-1].Name()
+		r.RejectedBy = p.Filters[c.dropped-1].Name()
 		return
 	}
 	for i := range p.Scorers {
 		s := &p.Scorers[i]
 		seconds := s.Weights[q.Request.Profile.Prefer] * s.Scorer.Score(q, c)
-		r.Seconds += seconds
-		r.Parts = append(r.Parts, Part{Name: s.Scorer.Name(), Seconds: seconds})
+		r.CostSeconds += seconds
+		r.CostTerms = append(r.CostTerms, CostTerm{Name: s.Scorer.Name(), CostSeconds: seconds})
 	}
 }
--- a/systems/placement/filter/health/health.go
+++ b/systems/placement/filter/health/health.go
@@ -6,10 +6,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// ProbationAttempts is how many own attempts an endpoint on probation may have
+// MaxProbationAttempts is how many own attempts an endpoint on probation may have
 // at once. A crashed endpoint looks idle when it returns; without the limit
 // all waiting work would go to it in one moment, before it has proved itself.
-const ProbationAttempts = 2
+const MaxProbationAttempts = 2
 
 // Filter keeps healthy endpoints, and those on probation up to a limit.
 type Filter struct{}
@@ -23,7 +23,7 @@
 	case tables.Ejected:
 		return false
 	case tables.Probation:
-		return c.Row.Load.LocalAttempts < ProbationAttempts
+		return c.Row.Load.LocalAttempts < MaxProbationAttempts
 	default:
 		return true
 	}
--- a/systems/placement/homes/homes.go
+++ b/systems/placement/homes/homes.go
@@ -58,7 +58,7 @@
 func (t *Table) enter(m Member, best []float64) {
 	seed := xxhash.Sum64String(string(m.ID))
 	for slot := range t.slots {
-		draw := draw(placement.Mix(seed+uint64(slot)*0x9e3779b97f4a7c15), m.Weight)
+		draw := draw(placement.Mix64(seed+uint64(slot)*0x9e3779b97f4a7c15), m.Weight)
 		if draw > best[slot] {
 			best[slot] = draw
 			t.slots[slot] = m.Index
@@ -77,12 +77,12 @@
 // belongs first, rank 1 where it overflows to, and so on. Ranks may repeat a
 // member. It returns tables.NoEndpoint while there are no members.
 func (t *Table) Home(hash tables.BlockHash, rank int) tables.EndpointIndex {
-	mixed := placement.Mix(uint64(hash) + uint64(rank)*0xd1342543de82ef95)
+	mixed := placement.Mix64(uint64(hash) + uint64(rank)*0xd1342543de82ef95)
 	return t.slots[mixed&uint64(len(t.slots)-1)]
 }
 
-// Same says whether the table was filled for exactly these members.
-func (t *Table) Same(members []Member) bool {
+// HasMembers says whether the table was filled for exactly these members.
+func (t *Table) HasMembers(members []Member) bool {
 	if len(members) != len(t.members) {
 		return false
 	}
--- a/systems/placement/homes/homes_test.go
+++ b/systems/placement/homes/homes_test.go
@@ -45,6 +45,6 @@
 
 func TestNoMembersNoHome(t *testing.T) {
 	assert.Equal(t, homes.New(nil).Home(1, 0), tables.NoEndpoint)
-	assert.Assert(t, homes.New(members(3)).Same(members(3)))
-	assert.Assert(t, !homes.New(members(3)).Same(members(4)))
+	assert.Assert(t, homes.New(members(3)).HasMembers(members(3)))
+	assert.Assert(t, !homes.New(members(3)).HasMembers(members(4)))
 }
--- a/systems/placement/placement.go
+++ b/systems/placement/placement.go
@@ -18,26 +18,26 @@
 	Weights tables.WeightsVersion
 	// Zone is where this instance stands.
 	Zone tables.Zone
-	// Spread is the seed of the choice between equals. It differs between
+	// TieBreakSeed is the seed of the choice between equals. It differs between
 	// instances, so that they do not all take the first of the list.
-	Spread uint64
-	// Share is this instance's part of all traffic, above 0 and at most 1.
-	Share float64
-	// Mix is the part of each priority in the prefill work of this instance.
-	Mix [tables.PriorityCount]float64
+	TieBreakSeed uint64
+	// TrafficShare is this instance's part of all traffic, above 0 and at most 1.
+	TrafficShare float64
+	// PriorityMix is the part of each priority in the prefill work of this instance.
+	PriorityMix [tables.PriorityCount]float64
 	// WaitWeight is how much a second of waiting counts: 1 for work that cannot
 	// wait, less for work that can.
 	WaitWeight float64
-	// MeanTurnover is the mean of the candidates' turnovers, in seconds.
-	MeanTurnover float64
+	// MeanTurnoverSeconds is the mean of the candidates' turnovers, in seconds.
+	MeanTurnoverSeconds float64
 	// Promoted is set for held work that has waited so long that it no longer
 	// yields.
 	Promoted bool
 	// LastChance is set for a request that has waited almost as long as it may.
 	LastChance bool
-	// AnyOwner is set when no endpoint can be had among those that fall to this
+	// IgnoreOwnership is set when no endpoint can be had among those that fall to this
 	// instance for requests suspected of crashing endpoints.
-	AnyOwner bool
+	IgnoreOwnership bool
 	// Hedge is set for a second attempt beside a slow one.
 	Hedge bool
 }
@@ -52,13 +52,13 @@
 	// HomeTokens is how much of the prompt belongs to this endpoint by hashing,
 	// whether it is held there yet or not.
 	HomeTokens float64
-	// Turnover is the time in which the endpoint's cache is filled once over, in
+	// TurnoverSeconds is the time in which the endpoint's cache is filled once over, in
 	// seconds.
-	Turnover float64
-	// Score is the cost, or as much of it as was needed to see that another is
+	TurnoverSeconds float64
+	// Cost is the cost, or as much of it as was needed to see that another is
 	// better; dropped is the position, plus 1, of the filter that dropped the
 	// candidate.
-	Score   float64
+	Cost   float64
 	dropped int
 }
 
@@ -94,14 +94,14 @@
 	Score(q *Query, c *Candidate) float64
 }
 
-// Weighted is a scorer with its weight for each preference.
-type Weighted struct {
+// WeightedScorer is a scorer with its weight for each preference.
+type WeightedScorer struct {
 	Scorer  Scorer
-	Weights [Preferences]float64
+	Weights [PreferenceCount]float64
 }
 
-// Preferences is the number of values of tables.Preference.
-const Preferences = 3
+// PreferenceCount is the number of values of tables.Preference.
+const PreferenceCount = 3
 
 // Choice is the outcome for one query.
 type Choice struct {
@@ -113,7 +113,7 @@
 // most should come first.
 type Picker struct {
 	Filters []Filter
-	Scorers []Weighted
+	Scorers []WeightedScorer
 }
 
 // Pick returns the cheapest candidate, or tables.NoEndpoint in the choice when
@@ -142,11 +142,11 @@
 func (p *Picker) consider(q *Query, c *Candidate, best *Choice) {
 	limit := math.Inf(1)
 	if best.Endpoint != tables.NoEndpoint {
-		limit = best.Score
+		limit = best.Cost
 	}
 	c.dropped = 0
-	c.Score = p.cost(q, c, limit)
-	if c.Score >= limit {
+	c.Cost = p.cost(q, c, limit)
+	if c.Cost >= limit {
 		return
 	}
 	c.dropped = p.drop(q, c)
@@ -189,12 +189,12 @@
 // it all instances would send their next request to the same endpoint whenever
 // one lagging report shows it as the least loaded.
 func spread(q *Query, c *Candidate) float64 {
-	h := Mix(q.Spread ^ uint64(c.Row.Index)*0x9e3779b97f4a7c15)
+	h := Mix64(q.TieBreakSeed ^ uint64(c.Row.Index)*0x9e3779b97f4a7c15)
 	return spreadBand * float64(h>>40) / (1 << 24)
 }
 
-// Mix scatters the bits of x.
-func Mix(x uint64) uint64 {
+// Mix64 scatters the bits of x.
+func Mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/systems/placement/placement_test.go
+++ b/systems/placement/placement_test.go
@@ -61,9 +61,9 @@
 		}
 		p := placement.Picker{
 			Filters: []placement.Filter{filter{tab}},
-			Scorers: []placement.Weighted{
-				{Scorer: scorer{tab, 0}, Weights: [placement.Preferences]float64{2, 2, 2}},
-				{Scorer: scorer{tab, 1}, Weights: [placement.Preferences]float64{1, 1, 1}},
+			Scorers: []placement.WeightedScorer{
+				{Scorer: scorer{tab, 0}, Weights: [placement.PreferenceCount]float64{2, 2, 2}},
+				{Scorer: scorer{tab, 1}, Weights: [placement.PreferenceCount]float64{1, 1, 1}},
 			},
 		}
 		q := &placement.Query{Request: &tables.RequestRow{Request: &tables.Request{}, Profile: &tables.Profile{}}}
--- a/systems/placement/score/compute/compute.go
+++ b/systems/placement/score/compute/compute.go
@@ -21,13 +21,13 @@
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
 	score := q.WaitWeight * c.UncachedTokens(q) / c.PrefillRate()
 	if q.Request.Profile.MaxWait <= 0 {
-		score += Delay(q, c)
+		score += ImposedDelay(q, c)
 	}
 	return score
 }
 
-// Delay is the wait in seconds that the request's prefill means for others.
-func Delay(q *placement.Query, c *placement.Candidate) float64 {
+// ImposedDelay is the wait in seconds that the request's prefill means for others.
+func ImposedDelay(q *placement.Query, c *placement.Candidate) float64 {
 	busy := min(c.Row.Load.BusyFraction, maxBusy)
 	return busy / (1 - busy) * c.UncachedTokens(q) / c.PrefillRate()
 }
--- a/systems/placement/score/eviction/eviction.go
+++ b/systems/placement/score/eviction/eviction.go
@@ -19,9 +19,9 @@
 // Score weighs the uncached tokens by how quickly the cache turns over against
 // the mean of the candidates.
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
-	if c.Turnover <= 0 || q.MeanTurnover <= 0 {
+	if c.TurnoverSeconds <= 0 || q.MeanTurnoverSeconds <= 0 {
 		return 0
 	}
-	pressure := min(maxPressure, q.MeanTurnover/c.Turnover)
+	pressure := min(maxPressure, q.MeanTurnoverSeconds/c.TurnoverSeconds)
 	return c.UncachedTokens(q) / placement.DefaultPrefillRate * pressure
 }
--- a/systems/placement/score/queue/queue.go
+++ b/systems/placement/score/queue/queue.go
@@ -7,8 +7,8 @@
 	"github.com/carawaystile/carawaystile/systems/placement"
 )
 
-// DefaultService is the time an attempt is taken to run before any has ended.
-const DefaultService = 2 * time.Second
+// DefaultServiceTime is the time an attempt is taken to run before any has ended.
+const DefaultServiceTime = 2 * time.Second
 
 // Scorer gives the expected wait before the request's own prefill begins, in
 // seconds from 0 up: the prefill work ahead of it, and the wait for a slot.
@@ -20,12 +20,12 @@
 // Score adds own dispatches, counted exactly, to what the last report said of
 // others.
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
-	return q.WaitWeight * Wait(q, c)
+	return q.WaitWeight * ExpectedWait(q, c)
 }
 
-// Wait is the expected wait in seconds.
-func Wait(q *placement.Query, c *placement.Candidate) float64 {
-	prefill := c.Row.Load.PrefillTokensAhead(q.Request.Priority, &q.Mix) / c.PrefillRate()
+// ExpectedWait is the expected wait in seconds.
+func ExpectedWait(q *placement.Query, c *placement.Candidate) float64 {
+	prefill := c.Row.Load.PrefillTokensAhead(q.Request.Priority, &q.PriorityMix) / c.PrefillRate()
 	return prefill + slotWait(c)
 }
 
@@ -37,7 +37,7 @@
 	}
 	service := c.Row.Throughput.MeanServiceTime
 	if service <= 0 {
-		service = DefaultService
+		service = DefaultServiceTime
 	}
 	return float64(excess) / float64(slots) * service.Seconds()
 }
--- a/systems/placement/score/zone/zone.go
+++ b/systems/placement/score/zone/zone.go
@@ -3,9 +3,9 @@
 
 import "github.com/carawaystile/carawaystile/systems/placement"
 
-// CrossZone is the cost of leaving the zone in seconds. Zones are well under a
+// CrossZoneCost is the cost of leaving the zone in seconds. Zones are well under a
 // millisecond apart, so that it only decides between near equals.
-const CrossZone = 0.002
+const CrossZoneCost = 0.002
 
 // Scorer gives 0 within the zone of this instance and CrossZone outside.
 type Scorer struct{}
@@ -18,5 +18,5 @@
 	if c.Row.Endpoint.Zone == q.Zone {
 		return 0
 	}
-	return CrossZone
+	return CrossZoneCost
 }
