--- a/router/estimates.go
+++ b/router/estimates.go
@@ -38,7 +38,7 @@
 func (r *Router) recordFirstToken(now tables.Instant, a *tables.AttemptRow, cachedTokens int) {
 	row := r.endpoints.Row(a.Endpoint)
 	if a.Boot == row.Boot {
-		r.cacheIndex.Learn(a.Endpoint, a.KnownTokens, cachedTokens)
+		r.cacheIndex.RecordCachedTokens(a.Endpoint, a.KnownTokens, cachedTokens)
 	}
 	if a.HomeTokens > 0 && a.KnownTokens == 0 {
 		hitRatio := min(1, float64(cachedTokens)/float64(a.HomeTokens))
@@ -90,7 +90,7 @@
 	}
 	if a.FirstTokenAt == 0 && a.Boot == row.Boot {
 		known := min(len(a.Request.Request.Blocks), a.KnownTokens/prefix.BlockTokens)
-		r.cacheIndex.Forget(a.Endpoint, a.Request.Request.Blocks[known:])
+		r.cacheIndex.RemoveBlocks(a.Endpoint, a.Request.Request.Blocks[known:])
 	}
 }
 
--- a/router/observe.go
+++ b/router/observe.go
@@ -30,7 +30,7 @@
 	case EntryPeers:
 		if in.Share > 0 && in.Share <= 1 {
 			r.trafficShare = in.Share
-			r.cacheIndex.SetShare(in.Share)
+			r.cacheIndex.SetTrafficShare(in.Share)
 		}
 		r.suspects.SetRank(in.Rank, in.Count)
 	case PeerSuspect:
@@ -120,7 +120,7 @@
 		return
 	}
 	r.cacheInfoAt = now
-	r.cacheIndex.Event(now, row.Index, cacheview.Event{Sequence: in.Sequence, Stored: in.Stored, Evicted: in.Evicted})
+	r.cacheIndex.ApplyEvent(now, row.Index, cacheview.Event{Sequence: in.Sequence, Stored: in.Stored, Evicted: in.Evicted})
 }
 
 // observePeerPlacement adds another instance's placement to the cache index,
@@ -132,7 +132,7 @@
 		return
 	}
 	r.cacheInfoAt = now
-	r.cacheIndex.Peer(now, row.Index, in.Block)
+	r.cacheIndex.RecordPeerReport(now, row.Index, in.Block)
 }
 
 func (r *Router) observeAttemptStarted(now tables.Instant, in AttemptStarted) {
--- a/router/placement.go
+++ b/router/placement.go
@@ -240,7 +240,7 @@
 	incarnation := quarantine.Incarnation{Endpoint: endpoint.Endpoint.ID, Boot: endpoint.Boot}
 	r.suspects.Started(q.Now, attempt.ID, incarnation, row.Request.Fingerprint)
 	r.gossip.add(endpoint, row.Request.Blocks, &choice.Candidate)
-	r.cacheIndex.Placed(q.Now, choice.Endpoint, row.Request.Blocks)
+	r.cacheIndex.RecordPlacement(q.Now, choice.Endpoint, row.Request.Blocks)
 	r.actions = append(r.actions, Dispatch{
 		Request:    row.Request.ID,
 		Attempt:    attempt.ID,
--- a/router/pools.go
+++ b/router/pools.go
@@ -131,7 +131,7 @@
 	for i, index := range p.members {
 		c := placement.Candidate{Row: r.endpoints.Row(index)}
 		if len(blocks) > 0 {
-			c.KnownTokens = r.matches.Blocks(index) * prefix.BlockTokens
+			c.KnownTokens = r.matches.ExpectedBlocks(index) * prefix.BlockTokens
 			c.TurnoverSeconds = p.turnovers[i]
 		}
 		c.CachedTokens = c.KnownTokens
--- a/router/router.go
+++ b/router/router.go
@@ -62,7 +62,7 @@
 	overload      overloadState
 	suspects      *quarantine.Detector
 	picker        placement.Picker
-	cacheIndex    *cacheview.View
+	cacheIndex    *cacheview.Index
 	matches       cacheview.Matches
 	gossip        placementQueue
 	prefixCounter hotness.Sketch
@@ -108,7 +108,7 @@
 		requests:           make(map[tables.RequestID]*tables.RequestRow),
 		attempts:           make(map[tables.AttemptID]*tables.AttemptRow),
 		picker:             newPicker(suspects),
-		cacheIndex:         cacheview.New(cacheview.Options{Rows: options.CacheIndexEntries}),
+		cacheIndex:         cacheview.New(cacheview.Options{Entries: options.CacheIndexEntries}),
 		homeHitRatio:       initialHomeHitRatio,
 		depthStats:         make(map[tables.ProfileName]*depthStats),
 		meanUncachedTokens: prefix.BlockTokens,
--- a/systems/cacheview/cacheview.go
+++ b/systems/cacheview/cacheview.go
@@ -22,8 +22,8 @@
 	maxAge = 1 << 14
 
 	bucketRows = 8
-	// BytesPerRow is the memory of one row.
-	BytesPerRow = 8
+	// BytesPerEntry is the memory of one row.
+	BytesPerEntry = 8
 
 	// wideFrom is how many homes a block may have within its bucket; with more
 	// it moves to a wide set, which has room for every endpoint.
@@ -36,12 +36,12 @@
 
 // Options are the sizes of a View.
 type Options struct {
-	// Rows is how many (block, endpoint) pairs fit, rounded up to a power of
+	// Entries is how many (block, endpoint) pairs fit, rounded up to a power of
 	// two; 0 means 1 Mi.
-	Rows int
-	// WideSets is how many blocks may be held by more endpoints than fit into
+	Entries int
+	// DenseSets is how many blocks may be held by more endpoints than fit into
 	// one bucket; 0 means 512. Each takes 4 bytes for each endpoint.
-	WideSets int
+	DenseSets int
 }
 
 // homeID numbers one life of one endpoint's cache. Dropping everything known
@@ -63,8 +63,8 @@
 
 type bucket [bucketRows]row
 
-// View is the knowledge of one instance. It is not safe for concurrent use.
-type View struct {
+// Index is the knowledge of one instance. It is not safe for concurrent use.
+type Index struct {
 	buckets []bucket
 	shift   uint
 	homes   []home
@@ -80,12 +80,12 @@
 }
 
 // New returns an empty view.
-func New(options Options) *View {
-	rows := options.Rows
+func New(options Options) *Index {
+	rows := options.Entries
 	if rows <= 0 {
 		rows = defaultEntries
 	}
-	wide := options.WideSets
+	wide := options.DenseSets
 	if wide <= 0 {
 		wide = defaultWideSets
 	}
@@ -95,7 +95,7 @@
 		buckets *= 2
 		shift--
 	}
-	return &View{
+	return &Index{
 		buckets: make([]bucket, buckets),
 		shift:   shift,
 		homes:   make([]home, 1),
@@ -104,16 +104,16 @@
 	}
 }
 
-// Bytes is the memory of the rows.
-func (v *View) Bytes() int { return len(v.buckets) * bucketRows * BytesPerRow }
+// MemoryBytes is the memory of the rows.
+func (v *Index) MemoryBytes() int { return len(v.buckets) * bucketRows * BytesPerEntry }
 
-// SetShare tells the part of all placements that this instance makes; the
+// SetTrafficShare tells the part of all placements that this instance makes; the
 // pressure on caches is worked out from it while there are no events.
-func (v *View) SetShare(share float64) { v.share = share }
+func (v *Index) SetTrafficShare(share float64) { v.share = share }
 
 // SetEndpoint declares an endpoint and the blocks that its cache can hold; 0
 // means not known.
-func (v *View) SetEndpoint(index tables.EndpointIndex, capacity int) {
+func (v *Index) SetEndpoint(index tables.EndpointIndex, capacity int) {
 	for int(index) >= len(v.current) {
 		v.current = append(v.current, noHome)
 	}
@@ -125,7 +125,7 @@
 
 // Reset drops all rows of an endpoint at once, because its process is another
 // one or serves other weights.
-func (v *View) Reset(index tables.EndpointIndex) {
+func (v *Index) Reset(index tables.EndpointIndex) {
 	old := v.current[index]
 	capacity := v.homes[old].capacity
 	v.homes[old].live = false
@@ -134,7 +134,7 @@
 	v.homes[v.current[index]].capacity = capacity
 }
 
-func (v *View) newHome(index tables.EndpointIndex) homeID {
+func (v *Index) newHome(index tables.EndpointIndex) homeID {
 	id := homeID(len(v.homes))
 	switch {
 	case len(v.free) > 0:
@@ -153,7 +153,7 @@
 }
 
 // clear empties the rows and frees all retired numbers.
-func (v *View) clear() {
+func (v *Index) clear() {
 	clear(v.buckets)
 	for i := range v.wide {
 		v.wide[i].used = false
@@ -169,13 +169,13 @@
 
 func ageDuration(age uint16) time.Duration { return time.Duration(age) << stampShift }
 
-func (v *View) bucketOf(hash tables.BlockHash) (*bucket, uint32) {
+func (v *Index) bucketOf(hash tables.BlockHash) (*bucket, uint32) {
 	mixed := uint64(hash) * 0x9e3779b97f4a7c15
 	return &v.buckets[mixed>>v.shift], uint32(mixed) ^ uint32(hash>>32)
 }
 
 // add makes or refreshes a row. It reports whether the row is new.
-func (v *View) add(now uint16, id homeID, hash tables.BlockHash) bool {
+func (v *Index) add(now uint16, id homeID, hash tables.BlockHash) bool {
 	b, tag := v.bucketOf(hash)
 	same := 0
 	free := -1
@@ -209,7 +209,7 @@
 }
 
 // victim is the position in a full bucket of a dead or else the oldest row.
-func (v *View) victim(b *bucket, now uint16) int {
+func (v *Index) victim(b *bucket, now uint16) int {
 	oldest, position := -1, 0
 	for i := range b {
 		age := int(ageOf(now, b[i].stamp))
@@ -227,14 +227,14 @@
 }
 
 // release frees what a row that is about to be overwritten points to.
-func (v *View) release(e *row) {
+func (v *Index) release(e *row) {
 	if e.home == wideHome {
 		v.wide[e.stamp].used = false
 	}
 	*e = row{}
 }
 
-func (v *View) remove(id homeID, hash tables.BlockHash) {
+func (v *Index) remove(id homeID, hash tables.BlockHash) {
 	b, tag := v.bucketOf(hash)
 	for i := range b {
 		e := &b[i]
@@ -254,7 +254,7 @@
 
 // Sweep looks at n buckets and clears rows that are dead or too old to have a
 // meaning. Called often enough it keeps stamps from wrapping.
-func (v *View) Sweep(now tables.Instant, n int) {
+func (v *Index) Sweep(now tables.Instant, n int) {
 	stamp := stampOf(now)
 	for range min(n, len(v.buckets)) {
 		v.sweepBucket(&v.buckets[v.cursor], stamp)
@@ -266,7 +266,7 @@
 	}
 }
 
-func (v *View) sweepBucket(b *bucket, now uint16) {
+func (v *Index) sweepBucket(b *bucket, now uint16) {
 	for i := range b {
 		e := &b[i]
 		switch {
@@ -284,10 +284,10 @@
 
 // endSweep frees the numbers that were retired before the sweep began: no row
 // can name them any more.
-func (v *View) endSweep() {
+func (v *Index) endSweep() {
 	v.free = append(v.free, v.former...)
 	v.former, v.retired = v.retired, v.former[:0]
 }
 
-// Buckets is how many steps of Sweep go once around.
-func (v *View) Buckets() int { return len(v.buckets) }
+// BucketCount is how many steps of Sweep go once around.
+func (v *Index) BucketCount() int { return len(v.buckets) }
--- a/systems/cacheview/cacheview_test.go
+++ b/systems/cacheview/cacheview_test.go
@@ -60,7 +60,7 @@
 // enough with exactly the rows of a set that forgets nothing.
 func TestViewAgreesWithSets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := cacheview.New(cacheview.Options{Rows: 1 << 14})
+		v := cacheview.New(cacheview.Options{Entries: 1 << 14})
 		n := &naive{}
 		for at := range endpoints {
 			v.SetEndpoint(tables.EndpointIndex(at), 1000)
@@ -77,7 +77,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2:
 				blocks := rapid.SliceOfN(block, 0, 4).Draw(t, "placed")
-				v.Placed(now, index, blocks)
+				v.RecordPlacement(now, index, blocks)
 				for _, hash := range blocks {
 					n.held[at][hash] = true
 				}
@@ -87,15 +87,15 @@
 					Stored:   rapid.SliceOfN(block, 0, 3).Draw(t, "stored"),
 					Evicted:  rapid.SliceOfN(block, 0, 3).Draw(t, "evicted"),
 				}
-				v.Event(now, index, e)
+				v.ApplyEvent(now, index, e)
 				n.event(at, e)
 			case 6:
 				hash := block.Draw(t, "peer")
-				v.Peer(now, index, hash)
+				v.RecordPeerReport(now, index, hash)
 				n.held[at][hash] = true
 			case 7:
 				blocks := rapid.SliceOfN(block, 0, 4).Draw(t, "forgotten")
-				v.Forget(index, blocks)
+				v.RemoveBlocks(index, blocks)
 				for _, hash := range blocks {
 					delete(n.held[at], hash)
 				}
@@ -103,7 +103,7 @@
 				v.Reset(index)
 				n.reset(at)
 			case 9:
-				v.Sweep(now, rapid.IntRange(1, v.Buckets()).Draw(t, "sweep"))
+				v.Sweep(now, rapid.IntRange(1, v.BucketCount()).Draw(t, "sweep"))
 			}
 		}
 		prompt := rapid.SliceOfN(block, 0, 6).Draw(t, "prompt")
@@ -111,17 +111,17 @@
 		v.Match(now, prompt, &m)
 		for at := range endpoints {
 			want := n.depth(at, prompt)
-			got := m.Blocks(tables.EndpointIndex(at))
+			got := m.ExpectedBlocks(tables.EndpointIndex(at))
 			assert.Equal(t, got > 0, want > 0, "endpoint %d: got %v, want %d", at, got, want)
 			assert.Assert(t, got <= float64(want)+1e-6, "endpoint %d: got %v, want %d", at, got, want)
 		}
 	})
 }
 
-func expected(v *cacheview.View, now tables.Instant, at tables.EndpointIndex, blocks ...tables.BlockHash) float64 {
+func expected(v *cacheview.Index, now tables.Instant, at tables.EndpointIndex, blocks ...tables.BlockHash) float64 {
 	var m cacheview.Matches
 	v.Match(now, blocks, &m)
-	return m.Blocks(at)
+	return m.ExpectedBlocks(at)
 }
 
 // An instance loses cache events on the way. Evictions among them leave rows
@@ -131,18 +131,18 @@
 func TestLostEventsLowerConfidence(t *testing.T) {
 	v := cacheview.New(cacheview.Options{})
 	v.SetEndpoint(0, 20)
-	v.Event(time.Second, 0, cacheview.Event{Sequence: 1, Stored: []tables.BlockHash{7}})
+	v.ApplyEvent(time.Second, 0, cacheview.Event{Sequence: 1, Stored: []tables.BlockHash{7}})
 	now := time.Second
 	hash := tables.BlockHash(1000)
 	for sequence := range uint64(100) {
 		now += 100 * time.Millisecond
 		hash++
-		v.Event(now, 0, cacheview.Event{Sequence: 2 + sequence, Stored: []tables.BlockHash{hash}, Evicted: []tables.BlockHash{hash - 20}})
+		v.ApplyEvent(now, 0, cacheview.Event{Sequence: 2 + sequence, Stored: []tables.BlockHash{hash}, Evicted: []tables.BlockHash{hash - 20}})
 	}
 	before := expected(v, now, 0, 7)
 	assert.Assert(t, before > 0.8, "an eviction would have been announced: %v", before)
 	now += 100 * time.Millisecond
-	v.Event(now, 0, cacheview.Event{Sequence: 140})
+	v.ApplyEvent(now, 0, cacheview.Event{Sequence: 140})
 	after := expected(v, now+100*time.Millisecond, 0, 7)
 	assert.Assert(t, after < 0.5*before, "before %v, after %v", before, after)
 }
@@ -152,25 +152,25 @@
 func TestRowsWithoutEventsDecayUnderPressure(t *testing.T) {
 	v := cacheview.New(cacheview.Options{})
 	v.SetEndpoint(0, 50)
-	v.Placed(time.Second, 0, []tables.BlockHash{7})
+	v.RecordPlacement(time.Second, 0, []tables.BlockHash{7})
 	hash := tables.BlockHash(1000)
 	now := time.Second
 	for range 200 {
 		now += 100 * time.Millisecond
 		hash++
-		v.Placed(now, 0, []tables.BlockHash{hash})
+		v.RecordPlacement(now, 0, []tables.BlockHash{hash})
 	}
 	assert.Equal(t, expected(v, now, 0, 7), 0.0)
 	assert.Assert(t, expected(v, now, 0, hash) > 0.5)
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	v := cacheview.New(cacheview.Options{Rows: 64})
+	v := cacheview.New(cacheview.Options{Entries: 64})
 	v.SetEndpoint(0, 10)
-	size := v.Bytes()
+	size := v.MemoryBytes()
 	for i := range 10000 {
-		v.Peer(time.Second, 0, tables.BlockHash(i*7919))
+		v.RecordPeerReport(time.Second, 0, tables.BlockHash(i*7919))
 	}
-	assert.Equal(t, v.Bytes(), size)
-	assert.Equal(t, size, 64*cacheview.BytesPerRow)
+	assert.Equal(t, v.MemoryBytes(), size)
+	assert.Equal(t, size, 64*cacheview.BytesPerEntry)
 }
--- a/systems/cacheview/home.go
+++ b/systems/cacheview/home.go
@@ -147,6 +147,6 @@
 
 // Turnover is the time in which an endpoint's cache is filled once over, at
 // most an hour.
-func (v *View) Turnover(now tables.Instant, index tables.EndpointIndex) time.Duration {
+func (v *Index) Turnover(now tables.Instant, index tables.EndpointIndex) time.Duration {
 	return v.homes[v.current[index]].trust(now).turnover
 }
--- a/systems/cacheview/learn.go
+++ b/systems/cacheview/learn.go
@@ -2,9 +2,9 @@
 
 import "github.com/carawaystile/carawaystile/tables"
 
-// Placed records that a prompt was sent to an endpoint, which will hold its
+// RecordPlacement records that a prompt was sent to an endpoint, which will hold its
 // blocks unless the attempt fails.
-func (v *View) Placed(now tables.Instant, index tables.EndpointIndex, blocks []tables.BlockHash) {
+func (v *Index) RecordPlacement(now tables.Instant, index tables.EndpointIndex, blocks []tables.BlockHash) {
 	id := v.current[index]
 	stamp := stampOf(now)
 	fresh := 0
@@ -19,21 +19,21 @@
 	}
 }
 
-// Peer records that another instance says an endpoint holds a block.
-func (v *View) Peer(now tables.Instant, index tables.EndpointIndex, hash tables.BlockHash) {
+// RecordPeerReport records that another instance says an endpoint holds a block.
+func (v *Index) RecordPeerReport(now tables.Instant, index tables.EndpointIndex, hash tables.BlockHash) {
 	v.add(stampOf(now), v.current[index], hash)
 }
 
-// Forget removes blocks that an attempt should have brought and did not.
-func (v *View) Forget(index tables.EndpointIndex, blocks []tables.BlockHash) {
+// RemoveBlocks removes blocks that an attempt should have brought and did not.
+func (v *Index) RemoveBlocks(index tables.EndpointIndex, blocks []tables.BlockHash) {
 	for _, hash := range blocks {
 		v.remove(v.current[index], hash)
 	}
 }
 
-// Learn compares the cached tokens that were expected of an endpoint with
+// RecordCachedTokens compares the cached tokens that were expected of an endpoint with
 // those that it found.
-func (v *View) Learn(index tables.EndpointIndex, expected, found int) {
+func (v *Index) RecordCachedTokens(index tables.EndpointIndex, expected, found int) {
 	if expected <= 0 {
 		return
 	}
@@ -50,12 +50,12 @@
 	Evicted  []tables.BlockHash
 }
 
-// Event applies a cache event. Events may be late, lost, duplicated and
+// ApplyEvent applies a cache event. Events may be late, lost, duplicated and
 // reordered. A jump in the sequence widens the doubt in all rows of the
 // endpoint. A duplicate is ignored. An event that was overtaken by a later one
 // only removes rows: had it stored a block that the later one evicted, a row
 // made now would be wrong and nothing would ever correct it.
-func (v *View) Event(now tables.Instant, index tables.EndpointIndex, e Event) {
+func (v *Index) ApplyEvent(now tables.Instant, index tables.EndpointIndex, e Event) {
 	id := v.current[index]
 	h := &v.homes[id]
 	h.eventAt = now
@@ -83,7 +83,7 @@
 	return recent << by
 }
 
-func (v *View) apply(now tables.Instant, id homeID, e Event) {
+func (v *Index) apply(now tables.Instant, id homeID, e Event) {
 	for _, hash := range e.Evicted {
 		v.remove(id, hash)
 	}
@@ -96,7 +96,7 @@
 	h.evicted += learnEvent * (float64(len(e.Evicted)) - h.evicted)
 }
 
-func (v *View) lateEvent(id homeID, h *home, e Event) {
+func (v *Index) lateEvent(id homeID, h *home, e Event) {
 	back := h.sequence - e.Sequence
 	if back >= 64 || h.recent&(1<<back) != 0 {
 		return
--- a/systems/cacheview/match.go
+++ b/systems/cacheview/match.go
@@ -5,16 +5,16 @@
 // Matches says how much of one prompt each endpoint is expected to hold. It is
 // reused from prompt to prompt.
 type Matches struct {
-	// Found lists the endpoints that are believed to hold any block.
-	Found  []tables.EndpointIndex
+	// Endpoints lists the endpoints that are believed to hold any block.
+	Endpoints  []tables.EndpointIndex
 	blocks []float32
 	round  []uint32
 	trusts []trust
 	now    uint32
 }
 
-// Blocks is the expected number of outermost blocks held by the endpoint.
-func (m *Matches) Blocks(index tables.EndpointIndex) float64 {
+// ExpectedBlocks is the expected number of outermost blocks held by the endpoint.
+func (m *Matches) ExpectedBlocks(index tables.EndpointIndex) float64 {
 	if int(index) >= len(m.round) || m.round[index] != m.now {
 		return 0
 	}
@@ -27,7 +27,7 @@
 		m.blocks = append(m.blocks, 0)
 		m.trusts = append(m.trusts, trust{})
 	}
-	m.Found = m.Found[:0]
+	m.Endpoints = m.Endpoints[:0]
 	m.now++
 	if m.now == 0 {
 		clear(m.round)
@@ -38,7 +38,7 @@
 // Match fills m for the blocks of a prompt, outermost first. An engine cannot
 // hold a block without those before it, so a row for a deep block vouches for
 // the whole prefix; the expectation is the best of depth times confidence.
-func (v *View) Match(now tables.Instant, blocks []tables.BlockHash, m *Matches) {
+func (v *Index) Match(now tables.Instant, blocks []tables.BlockHash, m *Matches) {
 	m.begin(len(v.current))
 	stamp := stampOf(now)
 	for depth := len(blocks); depth > 0; depth-- {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (v *View) matchWide(now tables.Instant, stamp uint16, s *wideSet, depth int, m *Matches) {
+func (v *Index) matchWide(now tables.Instant, stamp uint16, s *wideSet, depth int, m *Matches) {
 	for i := range s.rows {
 		if r := &s.rows[i]; r.home != noHome {
 			v.matchRow(now, stamp, r.home, r.stamp, depth, m)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (v *View) matchRow(now tables.Instant, stamp uint16, id homeID, made uint16, depth int, m *Matches) {
+func (v *Index) matchRow(now tables.Instant, stamp uint16, id homeID, made uint16, depth int, m *Matches) {
 	h := &v.homes[id]
 	if !h.live {
 		return
@@ -75,7 +75,7 @@
 		m.round[at] = m.now
 		m.blocks[at] = 0
 		m.trusts[at] = h.trust(now)
-		m.Found = append(m.Found, at)
+		m.Endpoints = append(m.Endpoints, at)
 	}
 	if float32(depth) <= m.blocks[at] {
 		return
--- a/systems/cacheview/wide.go
+++ b/systems/cacheview/wide.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func (s *wideSet) sweep(v *View, now uint16) {
+func (s *wideSet) sweep(v *Index, now uint16) {
 	for i := range s.rows {
 		r := &s.rows[i]
 		if r.home != noHome && (!v.homes[r.home].live || ageOf(now, r.stamp) > maxAge) {
@@ -43,7 +43,7 @@
 
 // widen moves a block's rows out of its bucket into a wide set. It fails when
 // all sets are in use.
-func (v *View) widen(b *bucket, tag uint32, now uint16) bool {
+func (v *Index) widen(b *bucket, tag uint32, now uint16) bool {
 	at := -1
 	for i := range v.wide {
 		if !v.wide[i].used {
