--- a/router/explain.go
+++ b/router/explain.go
@@ -11,7 +11,7 @@
 	// At is the reading of the router's clock at the decision.
 	At tables.Instant `json:"at_nanoseconds"`
 	// Endpoint is the chosen endpoint; empty while the request waits.
-	Endpoint   tables.EndpointID  `json:"endpoint,omitempty"`
+	Endpoint   tables.EndpointID           `json:"endpoint,omitempty"`
 	Candidates []placement.CandidateReport `json:"candidates"`
 }
 
--- a/router/placement.go
+++ b/router/placement.go
@@ -190,14 +190,14 @@
 
 func (r *Router) newQuery(now tables.Instant, row *tables.RequestRow, hedge bool) placement.Query {
 	q := placement.Query{
-		Now:     now,
-		Request: row,
-		Weights: r.weights[row.Profile.Model],
-		Zone:    r.options.Zone,
-		TieBreakSeed:  placement.Mix64(r.options.Seed + r.lastAttempt),
-		TrafficShare:   r.trafficShare,
-		Hedge:   hedge,
-		PriorityMix:     r.priorityMix,
+		Now:          now,
+		Request:      row,
+		Weights:      r.weights[row.Profile.Model],
+		Zone:         r.options.Zone,
+		TieBreakSeed: placement.Mix64(r.options.Seed + r.lastAttempt),
+		TrafficShare: r.trafficShare,
+		Hedge:        hedge,
+		PriorityMix:  r.priorityMix,
 
 		WaitWeight: waitWeight(row.Profile),
 		Promoted:   isPromoted(now, row),
--- a/systems/cacheview/match.go
+++ b/systems/cacheview/match.go
@@ -6,11 +6,11 @@
 // reused from prompt to prompt.
 type Matches struct {
 	// Endpoints lists the endpoints that are believed to hold any block.
-	Endpoints  []tables.EndpointIndex
-	blocks []float32
-	round  []uint32
-	trusts []trust
-	now    uint32
+	Endpoints []tables.EndpointIndex
+	blocks    []float32
+	round     []uint32
+	trusts    []trust
+	now       uint32
 }
 
 // ExpectedBlocks is the expected number of outermost blocks held by the endpoint.
--- a/systems/placement/explain.go
+++ b/systems/placement/explain.go
@@ -4,7 +4,7 @@
 
 // CostTerm is one scorer's weighted share of a candidate's cost.
 type CostTerm struct {
-	Name    string  `json:"name"`
+	Name        string  `json:"name"`
 	CostSeconds float64 `json:"seconds"`
 }
 
@@ -12,10 +12,10 @@
 type CandidateReport struct {
 	Endpoint tables.EndpointID `json:"endpoint"`
 	// RejectedBy names the filter that dropped the candidate, if one did.
-	RejectedBy      string  `json:"dropped,omitempty"`
-	CachedTokens int     `json:"cached_tokens"`
-	CostSeconds      float64 `json:"seconds"`
-	CostTerms        []CostTerm  `json:"parts,omitempty"`
+	RejectedBy   string     `json:"dropped,omitempty"`
+	CachedTokens int        `json:"cached_tokens"`
+	CostSeconds  float64    `json:"seconds"`
+	CostTerms    []CostTerm `json:"parts,omitempty"`
 }
 
 // MaxReports is how many candidates Explain describes: those of the lowest
--- a/systems/placement/placement.go
+++ b/systems/placement/placement.go
@@ -58,7 +58,7 @@
 	// Cost is the cost, or as much of it as was needed to see that another is
 	// better; dropped is the position, plus 1, of the filter that dropped the
 	// candidate.
-	Cost   float64
+	Cost    float64
 	dropped int
 }
 
