--- a/router/completion.go
+++ b/router/completion.go
@@ -53,14 +53,14 @@
 	switch result {
 	case Completed:
 		row.LastProgress = now
-		health.Succeeded(&row.Health)
+		health.RecordSuccess(&row.Health)
 	case Interrupted:
-		health.Failed(now, &row.Health)
+		health.RecordFailure(now, &row.Health)
 	case NotStarted:
 		// Work that runs at most once also ends as NotStarted when its claim is
 		// not granted. That is no evidence against the endpoint.
 		if a.Request.Profile.Idempotent {
-			health.Failed(now, &row.Health)
+			health.RecordFailure(now, &row.Health)
 		}
 	case Unreachable:
 		health.Eject(now, &row.Health)
@@ -151,7 +151,7 @@
 // requeue queues a request for its next attempt.
 func (r *Router) requeue(now tables.Instant, row *tables.RequestRow) {
 	row.NotBefore = now + retry.Backoff(max(row.Retries, 1))
-	row.StartBy = now + admission.Patience(row.Profile)
+	row.StartBy = now + admission.DefaultMaxWait(row.Profile)
 	if row.Request.Deadline > 0 {
 		row.StartBy = min(row.StartBy, row.Request.Deadline)
 	}
@@ -228,7 +228,7 @@
 	c := &r.classes[row.Priority]
 	refusal := tables.Refusal{Code: tables.CodeOverloaded, RetryAfter: c.backlog[row.Organisation].RetryAfter(now, row.StartBy-row.SubmittedAt)}
 	switch {
-	case r.organisations.rows[row.Organisation].limiter.Full(r.trafficShare):
+	case r.organisations.rows[row.Organisation].limiter.AtConcurrencyLimit(r.trafficShare):
 		refusal.Code = tables.CodeOrganisationLimit
 	case !r.hasEligibleEndpoint(now, row):
 		refusal.Code = tables.CodeNoEndpoint
@@ -247,7 +247,7 @@
 	r.dequeue(row)
 	if row.HoldsConcurrencySlot {
 		row.HoldsConcurrencySlot = false
-		r.organisations.rows[row.Organisation].limiter.Stop()
+		r.organisations.rows[row.Organisation].limiter.Release()
 	}
 	r.removeIfDone(row)
 }
--- a/router/queues.go
+++ b/router/queues.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		row.StartBy = admission.StartBy(row, 0)
-		if refusal, ok := c.backlog[row.Organisation].Check(now, row.StartBy-now); !ok {
+		if refusal, ok := c.backlog[row.Organisation].Admit(now, row.StartBy-now); !ok {
 			r.recordShed(now, row)
 			r.refuse(row.Request, refusal)
 			r.finish(row)
@@ -77,7 +77,7 @@
 }
 
 func (r *Router) startNewRequest(now tables.Instant, row *tables.RequestRow) bool {
-	if r.organisations.rows[row.Organisation].limiter.Full(r.trafficShare) {
+	if r.organisations.rows[row.Organisation].limiter.AtConcurrencyLimit(r.trafficShare) {
 		return false
 	}
 	if !r.tryPlace(now, row, false) {
@@ -100,7 +100,7 @@
 // privateGroup returns a unique queue group for a failed request, so that it
 // does not delay requests that can be placed.
 func privateGroup(row *tables.RequestRow) tables.BlockHash {
-	return tables.BlockHash(placement.Mix(uint64(row.SubmittedAt) + uint64(row.Retries)<<56))
+	return tables.BlockHash(placement.Mix64(uint64(row.SubmittedAt) + uint64(row.Retries)<<56))
 }
 
 // enqueue adds a request to the queue of its class.
@@ -111,8 +111,8 @@
 	c := &r.classes[row.Priority]
 	flow := row.Organisation
 	c.queues[flow].Add(waiting.Item{Row: row, GroupKey: key, StartBy: row.StartBy})
-	c.scheduler.Add(flow)
-	c.backlog[flow].Queued(now, row.StartBy-now)
+	c.scheduler.Enqueue(flow)
+	c.backlog[flow].Enqueued(now, row.StartBy-now)
 }
 
 // dequeue removes a request from the queue of its class, if it is queued.
@@ -123,8 +123,8 @@
 	row.Queued = false
 	c := &r.classes[row.Priority]
 	c.queues[row.Organisation].Remove(row, row.QueueGroup)
-	c.scheduler.Remove(row.Organisation)
-	c.backlog[row.Organisation].Left()
+	c.scheduler.Dequeue(row.Organisation)
+	c.backlog[row.Organisation].Dequeued()
 }
 
 // serveClass places queued requests of a class, flow by flow in fair-share
@@ -149,7 +149,7 @@
 
 // serveFlow places one queued request of a flow.
 func (r *Router) serveFlow(now tables.Instant, c *priorityClass, flow fairness.Flow) bool {
-	if r.organisations.rows[flow].limiter.Full(r.trafficShare) {
+	if r.organisations.rows[flow].limiter.AtConcurrencyLimit(r.trafficShare) {
 		r.failedPlacements++
 		return false
 	}
@@ -182,7 +182,7 @@
 	r.overload.recordWork(now, cost, row.Profile.MaxWait > 0)
 	if !row.HoldsConcurrencySlot {
 		row.HoldsConcurrencySlot = true
-		r.organisations.rows[row.Organisation].limiter.Start()
+		r.organisations.rows[row.Organisation].limiter.Acquire()
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -62,10 +62,10 @@
 	overload      overloadState
 	suspects      *quarantine.Detector
 	picker        placement.Picker
-	cacheIndex    *cacheview.View
+	cacheIndex    *cacheview.Index
 	matches       cacheview.Matches
 	gossip        placementQueue
-	prefixCounter hotness.Counter
+	prefixCounter hotness.Sketch
 	// homeHitRatio is the moving average of the fraction of a prefix that its
 	// home endpoint had cached although the cache index knew of none of it.
 	homeHitRatio float64
@@ -108,7 +108,7 @@
 		requests:           make(map[tables.RequestID]*tables.RequestRow),
 		attempts:           make(map[tables.AttemptID]*tables.AttemptRow),
 		picker:             newPicker(suspects),
-		cacheIndex:         cacheview.New(cacheview.Options{Rows: options.CacheIndexEntries}),
+		cacheIndex:         cacheview.New(cacheview.Options{Entries: options.CacheIndexEntries}),
 		homeHitRatio:       initialHomeHitRatio,
 		depthStats:         make(map[tables.ProfileName]*depthStats),
 		meanUncachedTokens: prefix.BlockTokens,
@@ -168,7 +168,7 @@
 		return
 	}
 	r.requests[request.ID] = row
-	r.prefixCounter.Seen(now, request.Blocks)
+	r.prefixCounter.Add(now, request.Blocks)
 	r.updateDepthStats(request)
 	r.retryBudget.Deposit()
 	r.newRequests = append(r.newRequests, row)
@@ -252,7 +252,7 @@
 	}
 	next := max(now, r.nextTimers)
 	for i := range r.classes {
-		if r.classes[i].scheduler.Active() > 0 {
+		if r.classes[i].scheduler.ActiveFlows() > 0 {
 			next = min(next, max(now, r.nextServe))
 		}
 	}
