--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -18,10 +18,10 @@
 func NewReplica() *Replica { return &Replica{rows: map[tables.EndpointID]Endpoint{}} }
 
 // Position is what the source needs to know to send the next difference.
-func (c *Replica) Position() (source, version uint64) { return c.source, c.version }
+func (r *Replica) Position() (source, version uint64) { return r.source, r.version }
 
 // RequestFullUpdate asks the next source for all endpoints.
-func (c *Replica) RequestFullUpdate() { c.source = 0 }
+func (r *Replica) RequestFullUpdate() { r.source = 0 }
 
 // Apply brings the copy up to date. Endpoints that cannot be read are left out
 // and reported; the others hold.
@@ -29,19 +29,19 @@
 // A full answer may come from another control instance whose list is older.
 // What was known of an endpoint's draining and weights stays, so that a change
 // of source sends no work to an endpoint that is already known to leave.
-func (c *Replica) Apply(update *rpc.Fleet) error {
+func (r *Replica) Apply(update *rpc.Fleet) error {
 	if update == nil {
 		return nil
 	}
-	known := c.rows
+	known := r.rows
 	if update.GetFull() {
-		c.rows = make(map[tables.EndpointID]Endpoint, len(update.GetEndpoints()))
+		r.rows = make(map[tables.EndpointID]Endpoint, len(update.GetEndpoints()))
 	}
-	var bad []error
+	var errs []error
 	for _, in := range update.GetEndpoints() {
 		e, err := decode(in)
 		if err != nil {
-			bad = append(bad, err)
+			errs = append(errs, err)
 			continue
 		}
 		if before, ok := known[e.ID]; ok && before.StartUnixMilli == e.StartUnixMilli {
@@ -50,15 +50,15 @@
 				e.Weights[model] = max(e.Weights[model], version)
 			}
 		}
-		c.rows[e.ID] = e
+		r.rows[e.ID] = e
 	}
 	for _, id := range update.GetRemoved() {
-		delete(c.rows, tables.EndpointID(id))
+		delete(r.rows, tables.EndpointID(id))
 	}
-	c.source, c.version = update.GetSource(), update.GetVersion()
-	return errors.Join(bad...)
+	r.source, r.version = update.GetSource(), update.GetVersion()
+	return errors.Join(errs...)
 }
 
 // Endpoints returns the endpoints; the caller may keep the map but not change
 // the endpoints' weights.
-func (c *Replica) Endpoints() map[tables.EndpointID]Endpoint { return maps.Clone(c.rows) }
+func (r *Replica) Endpoints() map[tables.EndpointID]Endpoint { return maps.Clone(r.rows) }
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -10,9 +10,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// maxRemoved bounds the removals that are remembered for differences; a copy
+// maxTombstones bounds the removals that are remembered for differences; a copy
 // that is further behind gets all endpoints.
-const maxRemoved = 512
+const maxTombstones = 512
 
 // Table is a control instance's view of all endpoints. It is safe for
 // concurrent use.
@@ -20,22 +20,22 @@
 	source uint64
 
 	mu sync.Mutex
-	// filled is set once the table was taken over from the list or from another instance.
-	filled  bool
+	// synced is set once the table was taken over from the list or from another instance.
+	synced  bool
 	version uint64
 	rows    map[tables.EndpointID]*row
-	// changes lists rows by the version of their change. Those that have changed again since
+	// changeLog lists rows by the version of their change. Those that have changed again since
 	// stand there more than once, and only the last one counts.
-	changes []change
-	removed []removal
-	// reaches is the oldest version that differences can start from.
-	reaches uint64
+	changeLog []change
+	tombstones []tombstone
+	// oldestDeltaBase is the oldest version that differences can start from.
+	oldestDeltaBase uint64
 	changed chan struct{}
-	// updates are those that were asked for since the last change, by the version that they
+	// cachedDeltas are those that were asked for since the last change, by the version that they
 	// start from, and full is the one with all endpoints. Followers share them: most ask for
 	// the same.
-	updates map[uint64]*rpc.Fleet
-	full    *rpc.Fleet
+	cachedDeltas map[uint64]*rpc.Fleet
+	cachedFull    *rpc.Fleet
 }
 
 type row struct {
@@ -49,7 +49,7 @@
 	version uint64
 }
 
-type removal struct {
+type tombstone struct {
 	id      tables.EndpointID
 	version uint64
 }
@@ -58,7 +58,7 @@
 // of control instances: versions of two tables cannot be compared.
 func NewTable(source uint64) *Table {
 	return &Table{
-		source: source, rows: map[tables.EndpointID]*row{}, changed: make(chan struct{}), updates: map[uint64]*rpc.Fleet{},
+		source: source, rows: map[tables.EndpointID]*row{}, changed: make(chan struct{}), cachedDeltas: map[uint64]*rpc.Fleet{},
 	}
 }
 
@@ -68,11 +68,11 @@
 func (t *Table) ApplyList(listed []Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	changed := t.fill()
+	changed := t.markSynced()
 	seen := make(map[tables.EndpointID]bool, len(listed))
 	for _, e := range listed {
 		seen[e.ID] = true
-		changed = t.put(t.merged(e)) || changed
+		changed = t.upsert(t.merge(e)) || changed
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.rows)) {
 		if !seen[id] {
@@ -80,17 +80,17 @@
 			changed = true
 		}
 	}
-	t.announce(changed)
+	t.commit(changed)
 }
 
-// fill notes that the table holds what others know, and says whether it did not before.
-func (t *Table) fill() (first bool) {
-	first = !t.filled
-	t.filled = true
+// markSynced notes that the table holds what others know, and says whether it did not before.
+func (t *Table) markSynced() (first bool) {
+	first = !t.synced
+	t.synced = true
 	return first
 }
 
-func (t *Table) merged(listed Endpoint) Endpoint {
+func (t *Table) merge(listed Endpoint) Endpoint {
 	e := listed.Clone()
 	known := t.rows[e.ID]
 	if known == nil || known.StartUnixMilli != e.StartUnixMilli && e.StartUnixMilli != 0 {
@@ -106,32 +106,32 @@
 
 // RecordWeights notes which version of a model an endpoint has said it serves.
 func (t *Table) RecordWeights(id tables.EndpointID, model string, version uint64) {
-	t.change(id, func(e *Endpoint) { e.Weights[model] = max(e.Weights[model], version) })
+	t.mutate(id, func(e *Endpoint) { e.Weights[model] = max(e.Weights[model], version) })
 }
 
 // SetLoading notes whether an order is being carried out at an endpoint.
 func (t *Table) SetLoading(id tables.EndpointID, loading bool) {
-	t.change(id, func(e *Endpoint) { e.Loading = loading })
+	t.mutate(id, func(e *Endpoint) { e.Loading = loading })
 }
 
 // Mirror takes over the endpoints of the instance that gives orders, what it
 // says of orders included.
-func (t *Table) Mirror(others map[tables.EndpointID]Endpoint) {
+func (t *Table) Mirror(leaderEndpoints map[tables.EndpointID]Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	changed := t.fill()
-	for _, id := range slices.Sorted(maps.Keys(others)) {
-		e := t.merged(others[id])
-		e.Loading = others[id].Loading
-		changed = t.put(e) || changed
+	changed := t.markSynced()
+	for _, id := range slices.Sorted(maps.Keys(leaderEndpoints)) {
+		e := t.merge(leaderEndpoints[id])
+		e.Loading = leaderEndpoints[id].Loading
+		changed = t.upsert(e) || changed
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.rows)) {
-		if _, present := others[id]; !present {
+		if _, present := leaderEndpoints[id]; !present {
 			t.remove(id)
 			changed = true
 		}
 	}
-	t.announce(changed)
+	t.commit(changed)
 }
 
 // ClearLoading notes that nobody is known to give orders now.
@@ -143,13 +143,13 @@
 		if r.Loading {
 			e := r.Clone()
 			e.Loading = false
-			changed = t.put(e) || changed
+			changed = t.upsert(e) || changed
 		}
 	}
-	t.announce(changed)
+	t.commit(changed)
 }
 
-func (t *Table) change(id tables.EndpointID, f func(*Endpoint)) {
+func (t *Table) mutate(id tables.EndpointID, f func(*Endpoint)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.rows[id]
@@ -158,55 +158,55 @@
 	}
 	e := known.Clone()
 	f(&e)
-	t.announce(t.put(e))
+	t.commit(t.upsert(e))
 }
 
-// put replaces a row under the next version and says whether it differs.
-func (t *Table) put(e Endpoint) bool {
+// upsert replaces a row under the next version and says whether it differs.
+func (t *Table) upsert(e Endpoint) bool {
 	known := t.rows[e.ID]
 	if known != nil && known.Equal(&e) {
 		return false
 	}
 	if known == nil || known.version != t.version+1 {
-		t.noteChange(e.ID)
+		t.logChange(e.ID)
 	}
 	t.rows[e.ID] = &row{Endpoint: e, version: t.version + 1}
 	return true
 }
 
-// sparedChanges is how many outdated entries of changes are kept at least.
-const sparedChanges = 64
+// minStaleLogEntries is how many outdated entries of changes are kept at least.
+const minStaleLogEntries = 64
 
-// noteChange lists a row as changed in the next version.
-func (t *Table) noteChange(id tables.EndpointID) {
-	if len(t.changes) > 2*len(t.rows)+sparedChanges {
-		t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.isLast(c) })
+// logChange lists a row as changed in the next version.
+func (t *Table) logChange(id tables.EndpointID) {
+	if len(t.changeLog) > 2*len(t.rows)+minStaleLogEntries {
+		t.changeLog = slices.DeleteFunc(t.changeLog, func(c change) bool { return !t.isCurrent(c) })
 	}
-	t.changes = append(t.changes, change{id: id, version: t.version + 1})
+	t.changeLog = append(t.changeLog, change{id: id, version: t.version + 1})
 }
 
-// isLast says whether a change is the last one of a row that is still there.
-func (t *Table) isLast(c change) bool {
+// isCurrent says whether a change is the last one of a row that is still there.
+func (t *Table) isCurrent(c change) bool {
 	r := t.rows[c.id]
 	return r != nil && r.version == c.version
 }
 
 func (t *Table) remove(id tables.EndpointID) {
 	delete(t.rows, id)
-	t.removed = append(t.removed, removal{id: id, version: t.version + 1})
-	if len(t.removed) > maxRemoved {
-		t.reaches = t.removed[0].version
-		t.removed = t.removed[1:]
+	t.tombstones = append(t.tombstones, tombstone{id: id, version: t.version + 1})
+	if len(t.tombstones) > maxTombstones {
+		t.oldestDeltaBase = t.tombstones[0].version
+		t.tombstones = t.tombstones[1:]
 	}
 }
 
-func (t *Table) announce(changed bool) {
+func (t *Table) commit(changed bool) {
 	if !changed {
 		return
 	}
 	t.version++
-	clear(t.updates)
-	t.full = nil
+	clear(t.cachedDeltas)
+	t.cachedFull = nil
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -244,48 +244,48 @@
 func (t *Table) UpdateSince(source, version uint64) (*rpc.Fleet, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.filled {
+	if !t.synced {
 		return nil, t.changed
 	}
-	full := source != t.source || version > t.version || version < t.reaches
+	full := source != t.source || version > t.version || version < t.oldestDeltaBase
 	if !full && version == t.version {
 		return nil, t.changed
 	}
 	if full {
-		return t.all(), t.changed
+		return t.fullUpdate(), t.changed
 	}
-	return t.difference(version), t.changed
+	return t.delta(version), t.changed
 }
 
-// all is the update with all endpoints.
-func (t *Table) all() *rpc.Fleet {
-	if t.full != nil {
-		return t.full
+// fullUpdate is the update with fullUpdate endpoints.
+func (t *Table) fullUpdate() *rpc.Fleet {
+	if t.cachedFull != nil {
+		return t.cachedFull
 	}
-	t.full = &rpc.Fleet{Source: t.source, Version: t.version, Full: true}
+	t.cachedFull = &rpc.Fleet{Source: t.source, Version: t.version, Full: true}
 	for _, id := range slices.Sorted(maps.Keys(t.rows)) {
-		t.full.Endpoints = append(t.full.Endpoints, encode(&t.rows[id].Endpoint))
+		t.cachedFull.Endpoints = append(t.cachedFull.Endpoints, encode(&t.rows[id].Endpoint))
 	}
-	return t.full
+	return t.cachedFull
 }
 
-// difference is the update that starts from a version.
-func (t *Table) difference(version uint64) *rpc.Fleet {
-	if known := t.updates[version]; known != nil {
+// delta is the update that starts from a version.
+func (t *Table) delta(version uint64) *rpc.Fleet {
+	if known := t.cachedDeltas[version]; known != nil {
 		return known
 	}
 	update := &rpc.Fleet{Source: t.source, Version: t.version}
-	for i := len(t.changes) - 1; i >= 0 && t.changes[i].version > version; i-- {
-		if t.isLast(t.changes[i]) {
-			update.Endpoints = append(update.Endpoints, encode(&t.rows[t.changes[i].id].Endpoint))
+	for i := len(t.changeLog) - 1; i >= 0 && t.changeLog[i].version > version; i-- {
+		if t.isCurrent(t.changeLog[i]) {
+			update.Endpoints = append(update.Endpoints, encode(&t.rows[t.changeLog[i].id].Endpoint))
 		}
 	}
 	slices.SortFunc(update.Endpoints, func(a, b *rpc.FleetEndpoint) int { return cmp.Compare(a.GetId(), b.GetId()) })
-	for _, gone := range t.removed {
+	for _, gone := range t.tombstones {
 		if gone.version > version && t.rows[gone.id] == nil {
 			update.Removed = append(update.Removed, string(gone.id))
 		}
 	}
-	t.updates[version] = update
+	t.cachedDeltas[version] = update
 	return update
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -11,8 +11,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// maxSuspects bounds what one report may hold.
-const maxSuspects = 4096
+// maxSuspectsPerReport bounds what one report may hold.
+const maxSuspectsPerReport = 4096
 
 // EncodeReport encodes suspects.
 func EncodeReport(suspects []quarantine.Suspect) *rpc.SuspectReport {
@@ -31,7 +31,7 @@
 // Suspect takes what another instance found out about a crash.
 func (s Service) Suspect(_ context.Context, report *rpc.SuspectReport) (*rpc.SuspectAnswer, error) {
 	for i, suspect := range report.GetSuspects() {
-		if i == maxSuspects {
+		if i == maxSuspectsPerReport {
 			break
 		}
 		s.Receive(decodeSuspect(suspect))
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -13,7 +13,7 @@
 // A field of a suspect that is not sent makes the other instances judge the
 // crash by less than this one knows: one was once forgotten, and a request that
 // crashes endpoints late looked harmless elsewhere.
-func TestSuspectsAreSentWhole(t *testing.T) {
+func TestSuspectEncodingKeepsAllFields(t *testing.T) {
 	s := quarantine.Suspect{
 		Fingerprint: 7,
 		Incarnation: quarantine.Incarnation{Endpoint: "e", Boot: "b"},
--- a/peers/send.go
+++ b/peers/send.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// tellTries is how often a report is told to one instance, tellTimeout bounds
+	// sendAttempts is how often a report is told to one instance, tellTimeout bounds
 	// each try, and tellPause is the wait before the next.
-	tellTries   = 3
-	tellTimeout = 700 * time.Millisecond
-	tellPause   = 50 * time.Millisecond
+	sendAttempts   = 3
+	attemptTimeout = 700 * time.Millisecond
+	retryDelay   = 50 * time.Millisecond
 )
 
 // SendReport passes a report on to one instance.
@@ -24,19 +24,19 @@
 // there. A kept connection that the other side has just closed is enough for a loss.
 func SendReport(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
 	var err error
-	for try := range tellTries {
-		if try > 0 && wait.For(ctx, tellPause) != nil {
+	for attempt := range sendAttempts {
+		if attempt > 0 && wait.For(ctx, retryDelay) != nil {
 			return err
 		}
-		if err = tellOnce(ctx, to, report); err == nil {
+		if err = sendOnce(ctx, to, report); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func tellOnce(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
-	bounded, cancel := context.WithTimeout(ctx, tellTimeout)
+func sendOnce(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
+	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err := to.Suspect(bounded, report)
 	return err
--- a/peers/send_test.go
+++ b/peers/send_test.go
@@ -9,21 +9,21 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// losing is an instance that does not get the first reports.
-type losing struct {
-	lost, told int
+// failingPeer is an instance that does not get the first reports.
+type failingPeer struct {
+	failures, received int
 }
 
-type connectionLost struct{}
+type connectionLostError struct{}
 
-func (*connectionLost) Error() string { return "connection lost" }
+func (*connectionLostError) Error() string { return "connection lost" }
 
-func (l *losing) Suspect(context.Context, *rpc.SuspectReport) (*rpc.SuspectAnswer, error) {
-	if l.lost > 0 {
-		l.lost--
-		return nil, &connectionLost{}
+func (p *failingPeer) Suspect(context.Context, *rpc.SuspectReport) (*rpc.SuspectAnswer, error) {
+	if p.failures > 0 {
+		p.failures--
+		return nil, &connectionLostError{}
 	}
-	l.told++
+	p.received++
 	return &rpc.SuspectAnswer{}, nil
 }
 
@@ -31,16 +31,16 @@
 // request had crashed two endpoints; the word of it to one instance was lost with a
 // connection, that instance took the request again and crashed two more, and with each
 // the stream lost the endpoint that it went on at.
-func TestALostReportIsToldAgain(t *testing.T) {
-	to := &losing{lost: tellTries - 1}
+func TestLostReportIsRetried(t *testing.T) {
+	to := &failingPeer{failures: sendAttempts - 1}
 	assert.NilError(t, SendReport(t.Context(), to, &rpc.SuspectReport{}))
-	assert.Equal(t, to.told, 1)
+	assert.Equal(t, to.received, 1)
 }
 
 // An instance is gone. It is not told for ever.
-func TestAnInstanceThatIsGoneIsNotToldForEver(t *testing.T) {
-	to := &losing{lost: 100}
+func TestRetriesAreBounded(t *testing.T) {
+	to := &failingPeer{failures: 100}
 	err := SendReport(t.Context(), to, &rpc.SuspectReport{})
 	assert.ErrorContains(t, err, "connection lost")
-	assert.Equal(t, to.lost, 100-tellTries)
+	assert.Equal(t, to.failures, 100-sendAttempts)
 }
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -124,7 +124,7 @@
 }
 
 // Limited says whether there is a limit.
-func (c RateLimit) Limited() bool { return c.Rate > 0 }
+func (l RateLimit) Limited() bool { return l.Rate > 0 }
 
 // ClientLimits bound what one caller may send.
 type ClientLimits struct {
@@ -259,12 +259,12 @@
 	for _, split := range r.TrafficSplit {
 		total += split.Weight
 	}
-	at := int(xxhash.Sum64String(request) % uint64(total))
+	offset := int(xxhash.Sum64String(request) % uint64(total))
 	for _, split := range r.TrafficSplit {
-		if at < split.Weight {
+		if offset < split.Weight {
 			return t.services[split.Service]
 		}
-		at -= split.Weight
+		offset -= split.Weight
 	}
 	return nil
 }
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -18,7 +18,7 @@
 
 func services() []Service { return []Service{{Name: "desk"}, {Name: "models"}} }
 
-func TestTheLongestPrefixOfTheHostTakesTheRequest(t *testing.T) {
+func TestLongestPrefixOfHostMatches(t *testing.T) {
 	table, err := NewTable(Configuration{
 		Services: services(),
 		Routes:   []Route{route("a.example", "/x/"), route("a.example", "/x/y/"), route("b.example", "/")},
@@ -32,7 +32,7 @@
 
 // An operator sends a configuration that contradicts itself. Put in force, a
 // part of the callers would be sent nowhere or answered for somebody else.
-func TestInvalidConfigurationsAreRefused(t *testing.T) {
+func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	noService := route("a.example", "/")
 	noService.TrafficSplit[0].Service = "nobody"
 	noWeight := route("a.example", "/")
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestWeightsDivideRequestsAndEachRequestKeepsItsService(t *testing.T) {
+func TestTrafficSplitFollowsWeightsAndIsDeterministic(t *testing.T) {
 	split := route("a.example", "/")
 	split.TrafficSplit = []WeightedService{{Service: "desk", Weight: 90}, {Service: "models", Weight: 10}}
 	table, err := NewTable(Configuration{Services: services(), Routes: []Route{split}})
