--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkUpdates is what one change of an endpoint costs a control instance that 100
-// instances follow, and what it costs to send all endpoints to that many that have started.
+// BenchmarkUpdates measures the cost, to a control instance with 100 replicas, of the deltas
+// after one change of an endpoint, and of full updates for as many replicas that have just started.
 func BenchmarkUpdates(b *testing.B) {
 	const followers = 100
 	for _, endpoints := range []int{100, 1_000, 3_000} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// position is that of a copy which has everything.
+// position returns the position of an up-to-date replica.
 func position(t *Table) (source, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,7 +1,9 @@
-// Package fleet is the table of endpoint processes that a forwarding deployment
-// learns from the platform's list and from its own orders. Control instances
-// keep a Table; the other instances hold a Copy of it that is brought up to
-// date by differences.
+// Package fleet is the service discovery table of a forwarding deployment: the
+// endpoint processes known from the platform's list and from the rollout of
+// weights. Each control instance holds a versioned Table. Entry instances, and
+// control instances other than the leader, hold a Replica of another instance's
+// Table. A replica is synchronised incrementally: by a full update first, then by
+// deltas from the version that it reflects.
 package fleet
 
 import (
@@ -13,43 +15,44 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Endpoint is one life of an endpoint's process.
+// Endpoint describes one incarnation of an endpoint's process.
 type Endpoint struct {
 	ID      tables.EndpointID
 	Service string
 	Address netip.AddrPort
 	Zone    tables.Zone
-	// Slots is how many requests it runs at once.
+	// Slots is the maximum number of requests that the endpoint runs concurrently.
 	Slots int
-	// Draining is set once the list has shown that the endpoint leaves.
+	// Draining is set once the platform's list has shown the endpoint as leaving.
 	Draining bool
-	// Loading is set while an order to change weights is being carried out:
-	// requests that have not started are declined until it is done.
+	// Loading is set while the endpoint executes an order to load other weights.
+	// Until the load is done, the endpoint declines requests that have not started.
 	Loading bool
-	// Weights is the version of each model, as last heard.
+	// Weights maps each model to the last reported version of its weights.
 	Weights map[string]uint64
-	// StartUnixMilli is when the process started, in Unix milliseconds by its own clock.
-	// An endpoint may start again under its identity, and has forgotten
-	// everything then.
+	// StartUnixMilli is the start time of the process in Unix milliseconds by its
+	// own clock. It distinguishes incarnations: an endpoint may restart under the
+	// same identity, and its state is lost then.
 	StartUnixMilli int64
-	// IsKVStore is set for a store of cached prompts, which is not on the list: it
-	// is there while it takes connections.
+	// IsKVStore is set for an external KV cache store. The platform's list contains
+	// no stores; a store is in the table while it accepts connections.
 	IsKVStore bool
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (e Endpoint) Clone() Endpoint {
 	e.Weights = maps.Clone(e.Weights)
 	return e
 }
 
-// Equal says whether nothing of an endpoint has changed.
+// Equal reports whether two endpoints agree in every field.
 func (e *Endpoint) Equal(other *Endpoint) bool {
 	return e.ID == other.ID && e.Service == other.Service && e.Address == other.Address && e.Zone == other.Zone &&
 		e.Slots == other.Slots && e.Draining == other.Draining && e.Loading == other.Loading && e.StartUnixMilli == other.StartUnixMilli && e.IsKVStore == other.IsKVStore &&
 		maps.Equal(e.Weights, other.Weights)
 }
 
+// encode returns the message for an endpoint, with the weights sorted by model.
 func encode(e *Endpoint) *rpc.FleetEndpoint {
 	out := &rpc.FleetEndpoint{
 		Id:       string(e.ID),
@@ -68,7 +71,7 @@
 	return out
 }
 
-// decode fails on an address that cannot be read.
+// decode returns a *DecodeError if the address cannot be parsed.
 func decode(in *rpc.FleetEndpoint) (Endpoint, error) {
 	address, err := netip.ParseAddrPort(in.GetAddress())
 	if err != nil {
@@ -92,17 +95,17 @@
 	return e, nil
 }
 
-// DecodeError means that another instance told of an endpoint that cannot be
-// read.
+// DecodeError means that an update from another instance contains a malformed
+// endpoint.
 type DecodeError struct {
 	ID    string
 	Cause error
 }
 
-// Error names the endpoint.
+// Error returns a message with the endpoint's identity and the cause.
 func (e *DecodeError) Error() string {
-	return "endpoint " + e.ID + " cannot be read: " + e.Cause.Error()
+	return "malformed endpoint " + e.ID + " in update: " + e.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,6 +11,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
+// engine returns an endpoint that serves a version of the weights of model m.
 func engine(id string, version uint64) Endpoint {
 	return Endpoint{
 		ID: tables.EndpointID(id), Service: "models", Address: netip.MustParseAddrPort("127.0.0.1:80"),
@@ -18,6 +19,7 @@
 	}
 }
 
+// syncReplica applies a table's next update to a replica.
 func syncReplica(t *testing.T, replica *Replica, from *Table) {
 	t.Helper()
 	update, _ := from.UpdateSince(replica.Position())
@@ -42,9 +44,9 @@
 	assert.Assert(t, none == nil)
 }
 
-// The platform's list lags, and two control instances read different states of
-// it. An instance that moves from one to the other would send work to an
-// endpoint that it already knew to leave, and callers there would be cut off.
+// The platform's list lags, so two control instances may hold different states of
+// it. An entry instance that switches from the newer to the older one must not
+// send requests to an endpoint that it knows to be draining: they would be cut off.
 func TestStaleListDoesNotRevertDraining(t *testing.T) {
 	newer, older, replica := NewTable(1), NewTable(2), NewReplica()
 	leaving := engine("a", 2)
@@ -61,8 +63,8 @@
 	assert.Equal(t, replica.Endpoints()["a"].Draining, true)
 }
 
-// An endpoint restarts under its identity with older weights. Were the former
-// life's version held for true, each request for the newer weights would be
+// An endpoint restarts under the same identity with older weights. If the table kept
+// the version of the former incarnation, each request for the newer weights would be
 // sent there and declined.
 func TestRestartedEndpointTakesWeightsFromList(t *testing.T) {
 	table := NewTable(1)
@@ -75,8 +77,8 @@
 	assert.Equal(t, table.Endpoints()[0].Weights["m"], uint64(2))
 }
 
-// A copy lags behind by more removals than are remembered. Without a full
-// answer it would keep endpoints that are long gone.
+// A replica lags by more removals than the table has tombstones. Without a full
+// update it would keep endpoints that no longer exist.
 func TestReplicaFarBehindGetsFullUpdate(t *testing.T) {
 	table, c := NewTable(1), NewReplica()
 	table.ApplyList([]Endpoint{engine("first", 1)})
@@ -91,14 +93,14 @@
 	assert.Equal(t, len(c.Endpoints()), 0)
 }
 
-// Guards against instances losing all their endpoints when they turn to a control instance
-// that has just started and has not read the list yet.
+// An entry instance must not lose all endpoints when it switches to a control instance that
+// has just started and has not read the platform's list yet.
 func TestUnsyncedTableSendsNoUpdate(t *testing.T) {
 	for name, fill := range map[string]func(*Table, Endpoint){
-		"by the list":       func(table *Table, e Endpoint) { table.ApplyList([]Endpoint{e}) },
-		"by another":        func(table *Table, e Endpoint) { table.Mirror(map[tables.EndpointID]Endpoint{e.ID: e}) },
-		"by an empty list":  func(table *Table, _ Endpoint) { table.ApplyList(nil) },
-		"by an empty table": func(table *Table, _ Endpoint) { table.Mirror(nil) },
+		"list":               func(table *Table, e Endpoint) { table.ApplyList([]Endpoint{e}) },
+		"leader":             func(table *Table, e Endpoint) { table.Mirror(map[tables.EndpointID]Endpoint{e.ID: e}) },
+		"empty list":         func(table *Table, _ Endpoint) { table.ApplyList(nil) },
+		"leader's empty set": func(table *Table, _ Endpoint) { table.Mirror(nil) },
 	} {
 		table := NewTable(1)
 		update, changed := table.UpdateSince(0, 0)
@@ -110,8 +112,8 @@
 	}
 }
 
-// Guards against followers that miss a change, or get one that is over, whatever changes come
-// between their questions.
+// Replicas that synchronise at random times must converge to the table: a delta must neither
+// miss a change nor contain an outdated one, whatever changes come between two updates.
 func TestLaggingReplicasConverge(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -151,7 +153,7 @@
 			assert.Equal(t, len(got), len(want), "seed %d", seed)
 			for _, e := range want {
 				one := got[e.ID]
-				assert.Assert(t, one.Equal(&e), "seed %d: %v, not %v", seed, one, e)
+				assert.Assert(t, one.Equal(&e), "seed %d: replica has %v, table has %v", seed, one, e)
 			}
 		}
 	}
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -8,27 +8,30 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Replica is an instance's copy of a Table. It is not safe for concurrent use.
+// Replica is a read replica of a Table, which it follows by full updates and
+// deltas. It is not safe for concurrent use.
 type Replica struct {
 	source, version uint64
 	rows            map[tables.EndpointID]Endpoint
 }
 
-// NewReplica returns a copy that has nothing yet.
+// NewReplica returns an empty replica. Its first update is a full one.
 func NewReplica() *Replica { return &Replica{rows: map[tables.EndpointID]Endpoint{}} }
 
-// Position is what the source needs to know to send the next difference.
+// Position returns the table and the version that the replica reflects. The
+// source computes the next delta from them.
 func (r *Replica) Position() (source, version uint64) { return r.source, r.version }
 
-// RequestFullUpdate asks the next source for all endpoints.
+// RequestFullUpdate resets the position, so that the next update is a full one.
 func (r *Replica) RequestFullUpdate() { r.source = 0 }
 
-// Apply brings the copy up to date. Endpoints that cannot be read are left out
-// and reported; the others hold.
+// Apply applies an update; nil is no change. Malformed endpoints are skipped and
+// returned as errors of type *DecodeError; the rest of the update takes effect.
 //
-// A full answer may come from another control instance whose list is older.
-// What was known of an endpoint's draining and weights stays, so that a change
-// of source sends no work to an endpoint that is already known to leave.
+// A full update may come from another control instance whose list is older.
+// Within one incarnation of an endpoint, Draining therefore stays set and the
+// versions of weights never decrease. Otherwise a change of the source would send
+// requests to an endpoint that is known to be leaving.
 func (r *Replica) Apply(update *rpc.Fleet) error {
 	if update == nil {
 		return nil
@@ -59,6 +62,6 @@
 	return errors.Join(errs...)
 }
 
-// Endpoints returns the endpoints; the caller may keep the map but not change
-// the endpoints' weights.
+// Endpoints returns a copy of the table. The Weights maps in it are shared and
+// must not be modified.
 func (r *Replica) Endpoints() map[tables.EndpointID]Endpoint { return maps.Clone(r.rows) }
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -10,61 +10,65 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// maxTombstones bounds the removals that are remembered for differences; a copy
-// that is further behind gets all endpoints.
+// maxTombstones bounds the removals that a table keeps for deltas. A replica
+// that lags by more removals gets a full update.
 const maxTombstones = 512
 
-// Table is a control instance's view of all endpoints. It is safe for
-// concurrent use.
+// Table is a control instance's versioned table of all endpoints. Each change
+// increments the version; a log of changed rows and the tombstones of removed
+// ones yield the delta from an earlier version. It is safe for concurrent use.
 type Table struct {
+	// source identifies this table. Versions of different tables are not comparable.
 	source uint64
 
 	mu sync.Mutex
-	// synced is set once the table was taken over from the list or from another instance.
+	// synced is set once the table was filled from the platform's list or from the
+	// leader's table.
 	synced  bool
 	version uint64
 	rows    map[tables.EndpointID]*row
-	// changeLog lists rows by the version of their change. Those that have changed again since
-	// stand there more than once, and only the last one counts.
-	changeLog []change
+	// changeLog lists changed rows in the order of their versions. A row that has changed
+	// several times has several entries, of which only the last is current.
+	changeLog  []change
 	tombstones []tombstone
-	// oldestDeltaBase is the oldest version that differences can start from.
+	// oldestDeltaBase is the oldest version from which a delta can be computed.
 	oldestDeltaBase uint64
-	changed chan struct{}
-	// cachedDeltas are those that were asked for since the last change, by the version that they
-	// start from, and full is the one with all endpoints. Followers share them: most ask for
-	// the same.
+	changed         chan struct{}
+	// cachedDeltas holds the deltas computed since the last change, by base version, and
+	// cachedFull the full update. Replicas share them, since most request the same one.
 	cachedDeltas map[uint64]*rpc.Fleet
-	cachedFull    *rpc.Fleet
+	cachedFull   *rpc.Fleet
 }
 
 type row struct {
 	Endpoint
-	// version is that of the table at the row's last change.
+	// version is the table's version that the row's last change led to.
 	version uint64
 }
 
+// change is an entry of the change log.
 type change struct {
 	id      tables.EndpointID
 	version uint64
 }
 
+// tombstone records the removal of a row.
 type tombstone struct {
 	id      tables.EndpointID
 	version uint64
 }
 
-// NewTable returns an empty table. The source must differ between any two lives
-// of control instances: versions of two tables cannot be compared.
+// NewTable returns an empty table. The source must be unique to each start of each
+// control instance, since versions of different tables are not comparable.
 func NewTable(source uint64) *Table {
 	return &Table{
 		source: source, rows: map[tables.EndpointID]*row{}, changed: make(chan struct{}), cachedDeltas: map[uint64]*rpc.Fleet{},
 	}
 }
 
-// ApplyList takes over what the platform's list says, which lags behind. An endpoint
-// that was seen to drain stays so for its life, and weights only grow: an older
-// page of the list must not bring back what is over.
+// ApplyList replaces the rows by the platform's list. The list lags, and an older
+// page of it must not revert newer information: within one incarnation, Draining
+// stays set and the versions of weights never decrease.
 func (t *Table) ApplyList(listed []Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,13 +87,15 @@
 	t.commit(changed)
 }
 
-// markSynced notes that the table holds what others know, and says whether it did not before.
+// markSynced sets synced and reports whether it was unset before.
 func (t *Table) markSynced() (first bool) {
 	first = !t.synced
 	t.synced = true
 	return first
 }
 
+// merge combines a listed endpoint with the known row of the same incarnation. A
+// listed endpoint without a start time counts as the same incarnation.
 func (t *Table) merge(listed Endpoint) Endpoint {
 	e := listed.Clone()
 	known := t.rows[e.ID]
@@ -104,18 +110,18 @@
 	return e
 }
 
-// RecordWeights notes which version of a model an endpoint has said it serves.
+// RecordWeights raises the version of a model's weights that an endpoint has reported.
 func (t *Table) RecordWeights(id tables.EndpointID, model string, version uint64) {
 	t.mutate(id, func(e *Endpoint) { e.Weights[model] = max(e.Weights[model], version) })
 }
 
-// SetLoading notes whether an order is being carried out at an endpoint.
+// SetLoading sets whether an endpoint is executing an order to load weights.
 func (t *Table) SetLoading(id tables.EndpointID, loading bool) {
 	t.mutate(id, func(e *Endpoint) { e.Loading = loading })
 }
 
-// Mirror takes over the endpoints of the instance that gives orders, what it
-// says of orders included.
+// Mirror replaces the rows by those of the leader, which sends the orders. Unlike
+// ApplyList, it takes Loading from them.
 func (t *Table) Mirror(leaderEndpoints map[tables.EndpointID]Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,7 +140,8 @@
 	t.commit(changed)
 }
 
-// ClearLoading notes that nobody is known to give orders now.
+// ClearLoading resets Loading of all endpoints. It is called when no instance is
+// known to send orders.
 func (t *Table) ClearLoading() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,6 +156,7 @@
 	t.commit(changed)
 }
 
+// mutate applies f to a row and commits the result; an unknown endpoint is ignored.
 func (t *Table) mutate(id tables.EndpointID, f func(*Endpoint)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +169,8 @@
 	t.commit(t.upsert(e))
 }
 
-// upsert replaces a row under the next version and says whether it differs.
+// upsert inserts or replaces a row under the next version, and reports whether the
+// row changed. commit makes that version current.
 func (t *Table) upsert(e Endpoint) bool {
 	known := t.rows[e.ID]
 	if known != nil && known.Equal(&e) {
@@ -174,10 +183,12 @@
 	return true
 }
 
-// minStaleLogEntries is how many outdated entries of changes are kept at least.
+// minStaleLogEntries is the least number of stale entries of the change log that
+// trigger its compaction, so that small tables are not compacted at each change.
 const minStaleLogEntries = 64
 
-// logChange lists a row as changed in the next version.
+// logChange appends a row's change in the next version to the change log, which it
+// compacts once more than half of the entries are stale.
 func (t *Table) logChange(id tables.EndpointID) {
 	if len(t.changeLog) > 2*len(t.rows)+minStaleLogEntries {
 		t.changeLog = slices.DeleteFunc(t.changeLog, func(c change) bool { return !t.isCurrent(c) })
@@ -185,12 +196,14 @@
 	t.changeLog = append(t.changeLog, change{id: id, version: t.version + 1})
 }
 
-// isCurrent says whether a change is the last one of a row that is still there.
+// isCurrent reports whether an entry is the last change of a row that still exists.
 func (t *Table) isCurrent(c change) bool {
 	r := t.rows[c.id]
 	return r != nil && r.version == c.version
 }
 
+// remove deletes a row and keeps a tombstone of it. Beyond maxTombstones it drops
+// the oldest tombstone; deltas from versions before that removal are then impossible.
 func (t *Table) remove(id tables.EndpointID) {
 	delete(t.rows, id)
 	t.tombstones = append(t.tombstones, tombstone{id: id, version: t.version + 1})
@@ -200,6 +213,8 @@
 	}
 }
 
+// commit makes the next version current if anything changed: it drops the cached
+// updates and wakes up the waiting callers of UpdateSince.
 func (t *Table) commit(changed bool) {
 	if !changed {
 		return
@@ -211,21 +226,22 @@
 	t.changed = make(chan struct{})
 }
 
-// Len is the number of endpoints.
+// Len returns the number of endpoints.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.rows)
 }
 
-// Version changes with the table; it is 0 while the table is empty as at its start.
+// Version returns the current version, which every change increments. A new table
+// has version 0.
 func (t *Table) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// Endpoints returns all endpoints, by identity.
+// Endpoints returns deep copies of all endpoints, sorted by identity.
 func (t *Table) Endpoints() []Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,10 +253,10 @@
 	return all
 }
 
-// UpdateSince returns what brings a copy at the given version of the given source up to date, nil
-// if it is, and a channel that is closed at the next change. Callers share the update and must
-// not change it. A table that was not filled yet returns none: a copy that took it over would
-// lose all endpoints.
+// UpdateSince returns the update that brings a replica at the given position up to date, or nil
+// if there is none, and a channel that is closed at the next change. Callers share the update
+// and must not modify it. A table that is not synced yet returns no update, since a replica
+// that applied it would lose all endpoints.
 func (t *Table) UpdateSince(source, version uint64) (*rpc.Fleet, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,7 +273,7 @@
 	return t.delta(version), t.changed
 }
 
-// fullUpdate is the update with fullUpdate endpoints.
+// fullUpdate returns the update that contains all endpoints.
 func (t *Table) fullUpdate() *rpc.Fleet {
 	if t.cachedFull != nil {
 		return t.cachedFull
@@ -269,7 +285,7 @@
 	return t.cachedFull
 }
 
-// delta is the update that starts from a version.
+// delta returns the changes and removals since a version.
 func (t *Table) delta(version uint64) *rpc.Fleet {
 	if known := t.cachedDeltas[version]; known != nil {
 		return known
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,5 +1,6 @@
-// Package peers carries what entry instances tell one another of requests that
-// crash endpoints.
+// Package peers is the protocol by which entry instances report suspects to one
+// another: requests that were running when an endpoint crashed. The reports let
+// every instance quarantine a request that crashes endpoints.
 package peers
 
 import (
@@ -11,10 +12,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// maxSuspectsPerReport bounds what one report may hold.
+// maxSuspectsPerReport bounds the suspects that are accepted from one report.
 const maxSuspectsPerReport = 4096
 
-// EncodeReport encodes suspects.
+// EncodeReport returns the message that reports the given suspects.
 func EncodeReport(suspects []quarantine.Suspect) *rpc.SuspectReport {
 	report := &rpc.SuspectReport{}
 	for _, s := range suspects {
@@ -23,12 +24,13 @@
 	return report
 }
 
-// Service takes the reports of other instances. It implements rpc.Peer.
+// Service receives the reports of other instances. It implements rpc.Peer.
 type Service struct {
+	// Receive is called for each reported suspect, from any goroutine.
 	Receive func(quarantine.Suspect)
 }
 
-// Suspect takes what another instance found out about a crash.
+// Suspect passes the suspects of a report to Receive, up to maxSuspectsPerReport.
 func (s Service) Suspect(_ context.Context, report *rpc.SuspectReport) (*rpc.SuspectAnswer, error) {
 	for i, suspect := range report.GetSuspects() {
 		if i == maxSuspectsPerReport {
@@ -39,6 +41,7 @@
 	return &rpc.SuspectAnswer{}, nil
 }
 
+// encodeSuspect returns the message for a suspect.
 func encodeSuspect(s quarantine.Suspect) *rpc.CrashSuspect {
 	return &rpc.CrashSuspect{
 		Fingerprint: uint64(s.Fingerprint),
@@ -53,6 +56,7 @@
 	}
 }
 
+// decodeSuspect is the inverse of encodeSuspect. Negative durations become 0.
 func decodeSuspect(s *rpc.CrashSuspect) quarantine.Suspect {
 	return quarantine.Suspect{
 		Fingerprint: tables.Fingerprint(s.GetFingerprint()),
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -10,9 +10,9 @@
 	"github.com/carawaystile/carawaystile/systems/quarantine"
 )
 
-// A field of a suspect that is not sent makes the other instances judge the
-// crash by less than this one knows: one was once forgotten, and a request that
-// crashes endpoints late looked harmless elsewhere.
+// Guards against a field of a suspect that is not encoded: other instances then judge
+// the crash with less information. A missing field once made a request that crashes
+// endpoints late look harmless to them.
 func TestSuspectEncodingKeepsAllFields(t *testing.T) {
 	s := quarantine.Suspect{
 		Fingerprint: 7,
--- a/peers/send.go
+++ b/peers/send.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// sendAttempts is how often a report is told to one instance, tellTimeout bounds
-	// each try, and tellPause is the wait before the next.
+	// sendAttempts is the maximum number of attempts to send a report to one instance,
+	// attemptTimeout bounds each of them, and retryDelay is the wait between two.
 	sendAttempts   = 3
 	attemptTimeout = 700 * time.Millisecond
-	retryDelay   = 50 * time.Millisecond
+	retryDelay     = 50 * time.Millisecond
 )
 
-// SendReport passes a report on to one instance.
+// SendReport sends a report to one instance, with retries.
 //
-// A report that is lost is told again. The caller of a request that crashes
-// endpoints sends it again at once, most likely through another instance; one that
-// was never told runs it at two further endpoints and takes down what else runs
-// there. A kept connection that the other side has just closed is enough for a loss.
+// The caller of a request that crashes endpoints usually resends it at once, most
+// likely through another instance. An instance that missed the report runs the request
+// at two more endpoints and so aborts everything else that runs there. A report is
+// already lost if the peer has just closed an idle connection that was to be reused.
 func SendReport(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
 	var err error
 	for attempt := range sendAttempts {
@@ -35,6 +35,7 @@
 	return err
 }
 
+// sendOnce makes one attempt to send a report.
 func sendOnce(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
 	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
--- a/peers/send_test.go
+++ b/peers/send_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// failingPeer is an instance that does not get the first reports.
+// failingPeer is an instance that loses a number of reports before it receives one.
 type failingPeer struct {
 	failures, received int
 }
@@ -27,17 +27,17 @@
 	return &rpc.SuspectAnswer{}, nil
 }
 
-// A writer's stream was broken off for good although its request was sound. Another
-// request had crashed two endpoints; the word of it to one instance was lost with a
-// connection, that instance took the request again and crashed two more, and with each
-// the stream lost the endpoint that it went on at.
+// Guards against an instance that misses a report because a connection breaks. It then
+// accepts a request that has already crashed two endpoints and crashes two more with it.
+// A harmless stream on those endpoints is resumed each time at one that crashes next, and
+// fails for good.
 func TestLostReportIsRetried(t *testing.T) {
 	to := &failingPeer{failures: sendAttempts - 1}
 	assert.NilError(t, SendReport(t.Context(), to, &rpc.SuspectReport{}))
 	assert.Equal(t, to.received, 1)
 }
 
-// An instance is gone. It is not told for ever.
+// Attempts to reach an instance that has terminated must end.
 func TestRetriesAreBounded(t *testing.T) {
 	to := &failingPeer{failures: 100}
 	err := SendReport(t.Context(), to, &rpc.SuspectReport{})
--- a/routes/errors.go
+++ b/routes/errors.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// ErrorReason says why a configuration cannot be put in force.
+// ErrorReason is the rule that a rejected configuration violates. Its text is shown
+// to operators.
 type ErrorReason string
 
-// The reasons.
+// Reasons for rejecting a configuration.
 const (
 	Malformed       ErrorReason = "it cannot be read"
 	UnknownService  ErrorReason = "a route names a service that is not declared"
@@ -18,15 +19,15 @@
 	MissingRevision ErrorReason = "it has no number"
 )
 
-// ConfigurationError means that a configuration cannot be put in force.
+// ConfigurationError means that a configuration is invalid and was rejected.
 type ConfigurationError struct {
 	Reason ErrorReason
-	// Name is the route or organisation that it is about; may be empty.
+	// Name is the name of the offending route or organisation, if there is one.
 	Name  string
 	Cause error
 }
 
-// Error gives the reason.
+// Error returns a message with the reason, the name and the cause.
 func (e *ConfigurationError) Error() string {
 	text := "configuration refused: " + string(e.Reason)
 	if e.Name != "" {
@@ -38,5 +39,5 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ConfigurationError) Unwrap() error { return e.Cause }
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,7 +1,8 @@
-// Package routes is the configuration of a forwarding deployment, in which
-// requests pass unchanged: which service answers which host and path, what of
-// it may run more than once, and whose keys are accepted. It is plain values;
-// package platform reads them from what operators send.
+// Package routes is the routing configuration of a forwarding deployment, which
+// proxies requests unchanged. A Table maps host and path prefix to a route with its
+// retry semantics and its traffic split over services, and API keys to
+// organisations. The package holds plain values; package platform decodes them from
+// the documents of operators.
 package routes
 
 import (
@@ -15,128 +16,132 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Kind says how often a request of a route may run.
+// Kind is the execution semantics of a route: how often a request may run.
 type Kind uint8
 
-// The kinds of routes.
+// Kinds of routes.
 const (
-	// AtMostOnce is work that runs at most once.
+	// AtMostOnce requests are never sent again once they may have run.
 	AtMostOnce Kind = iota
-	// Idempotent work may be run again after any failure.
+	// Idempotent requests may be retried after any failure.
 	Idempotent
-	// Stream is an answer in events. It runs at most once unless the route is
-	// resumable; then another endpoint may go on after the last event.
+	// Stream responses are sequences of events. A request runs at most once, unless
+	// the route is resumable: then another endpoint may continue after the last event.
 	Stream
 )
 
-// String gives the kind's name in logs.
+// String returns the kind's name for logs.
 func (k Kind) String() string { return [...]string{"once", "idempotent", "stream"}[k] }
 
-// Route is one host and path prefix with what happens to requests there.
+// Route is the policy for requests to one host and path prefix.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash. The longest one that begins a path
-	// takes the request.
+	// Prefix begins and ends with a slash. A request goes to the route of its host
+	// with the longest matching prefix.
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another endpoint.
+	// Resumable is set if an interrupted stream may continue at another endpoint.
 	Resumable bool
-	// Timeout bounds the whole request from arrival. Target is the time to the
-	// answer, or to a stream's first event, that callers are content with, and
-	// TargetGap the longest pause between events.
+	// Timeout bounds the whole request from its arrival. TargetLatency is the latency
+	// objective for the response, or for a stream's first event, and TargetEventGap
+	// that for the longest pause between events.
 	Timeout        time.Duration
 	TargetLatency  time.Duration
 	TargetEventGap time.Duration
-	// Priority is the route's rank; 0 comes first.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	// MaxAttempts is how many endpoints one request may be sent to.
+	// MaxAttempts is the maximum number of endpoints that one request is sent to.
 	MaxAttempts int
-	// Public routes take requests without a key.
+	// Public is set if the route accepts requests without an API key.
 	Public bool
-	// Inference is set where requests name a model and the parts of their prompt.
+	// Inference is set if requests run model inference: they name a model and the
+	// parts of their prompt.
 	Inference bool
-	// TrafficSplit divide the requests by weight; there is at least one.
+	// TrafficSplit distributes the requests over services by weight. It is not empty.
 	TrafficSplit []WeightedService
 }
 
-// SafeToRetry says whether a request that may have run may be sent again.
+// SafeToRetry reports whether a request that may have run may be sent again.
 func (r *Route) SafeToRetry() bool { return r.Kind == Idempotent || r.Kind == Stream && r.Resumable }
 
-// WeightedService is a service with its part of a route's requests.
+// WeightedService is a service with its relative share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of endpoints that answer alike.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name string
-	// MaxConnections is what one endpoint accepts from all instances together.
+	// MaxConnections is the number of connections that one endpoint accepts from all
+	// instances together.
 	MaxConnections int
-	// Slots is how many requests a model engine runs at once, and CacheTokens
-	// the memory that running requests and cached prompts share; both are zero
-	// for a plain service.
+	// Slots is the maximum number of requests that an inference engine runs
+	// concurrently, and KVCapacityTokens the size in tokens of the KV cache, which
+	// running requests and cached prompts share. Both are 0 for a plain service, which
+	// runs no model. For an external KV cache store, KVCapacityTokens is its capacity.
 	Slots            int
 	KVCapacityTokens int
-	// TransferTimePerToken is how long an engine's link is busy with one cached token that
-	// another endpoint of its zone sends, as declared; 0 where it is not.
+	// TransferTimePerToken is the declared time for which an engine's link is busy with
+	// the transfer of one cached token from another endpoint of its zone; 0 if not declared.
 	TransferTimePerToken time.Duration
-	// Models are those that the engines serve.
+	// Models lists the models that the engines serve.
 	Models []string
-	// KVStoreAddress is the address of a store of cached prompts, and StoreZone where it
-	// stands. A service that is a store takes no requests.
+	// KVStoreAddress is the address of an external KV cache store, and KVStoreZone its
+	// zone. A service with a valid address is such a store and receives no requests.
 	KVStoreAddress netip.AddrPort
 	KVStoreZone    tables.Zone
 }
 
-// Organisation is a customer with the keys of its callers.
+// Organisation is a customer with the API keys of its callers.
 type Organisation struct {
 	ID   tables.OrganisationID
 	Keys []string
-	// Priority takes precedence over that of routes if HasPriority is set.
+	// Priority overrides the priority of routes if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Isolated organisations share no cached prompt with any other.
+	// Isolated is set if the organisation shares no cached prompt with any other.
 	Isolated bool
-	// UsageLimit limits what the organisation uses over all instances.
+	// UsageLimit is the organisation's rate limit over all instances together.
 	UsageLimit RateLimit
 }
 
-// UsageUnit is what a rate limit counts.
+// UsageUnit is the unit that a rate limit counts.
 type UsageUnit uint8
 
-// The units.
+// Units of rate limits.
 const (
+	// UsageInRequests counts each request as 1.
 	UsageInRequests UsageUnit = iota
-	// UsageInTokens counts a request's prompt tokens and the most tokens of its output.
+	// UsageInTokens counts a request's prompt tokens and its maximum number of output tokens.
 	UsageInTokens
 )
 
-// RateLimit is a limit of use in some unit.
+// RateLimit holds the parameters of a token bucket.
 type RateLimit struct {
-	// Rate is the use a second in the long run, Burst what may be used at once beyond it.
-	// A Rate of 0 means no limit.
+	// Rate is the refill rate in units per second, and Burst the usage in units that is
+	// allowed at once beyond it. A Rate of 0 means no limit.
 	Rate, Burst float64
 	Unit        UsageUnit
-	// DefaultTokens is what a request that names no tokens counts as.
+	// DefaultTokens is the usage of a request that does not state its number of tokens.
 	DefaultTokens int64
 }
 
-// Limited says whether there is a limit.
+// Limited reports whether there is a limit.
 func (l RateLimit) Limited() bool { return l.Rate > 0 }
 
-// ClientLimits bound what one caller may send.
+// ClientLimits bounds the size and the duration of what a caller sends.
 type ClientLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the time for a header, IdleTimeout that between two
-	// requests of one connection.
+	// HeaderTimeout bounds the time to read a request's header, and IdleTimeout the
+	// time between two requests of one connection.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// Configuration is what an operator declares under one number.
+// Configuration is one revision of the routing configuration that operators declare.
 type Configuration struct {
 	Revision      uint64
 	Routes        []Route
@@ -145,7 +150,8 @@
 	Limits        ClientLimits
 }
 
-// Table finds the route and the organisation of a request. It is immutable.
+// Table is the routing table built from a configuration. It looks up the route and the
+// organisation of a request. It is immutable.
 type Table struct {
 	Configuration
 	byHost   map[string][]*Route
@@ -153,7 +159,7 @@
 	services map[string]*Service
 }
 
-// NewTable checks the configuration. Its failure is *Invalid.
+// NewTable validates a configuration and indexes it. Its error is a *ConfigurationError.
 func NewTable(c Configuration) (*Table, error) {
 	t := &Table{
 		Configuration: c,
@@ -180,6 +186,7 @@
 	return t, nil
 }
 
+// addRoute validates a route and adds it to the index by host.
 func (t *Table) addRoute(r *Route) error {
 	if r.Timeout <= 0 {
 		return &ConfigurationError{Reason: MissingTimeout, Name: r.Name}
@@ -210,6 +217,7 @@
 	return nil
 }
 
+// addOrganisation adds an organisation to the index by key.
 func (t *Table) addOrganisation(o *Organisation) error {
 	for _, key := range o.Keys {
 		if owner := t.byKey[key]; owner != nil && owner != o {
@@ -220,8 +228,8 @@
 	return nil
 }
 
-// Match returns the route of a host, with or without its port, and a path; nil
-// if there is none.
+// Match returns the route with the longest prefix that matches a host and a path,
+// or nil. The host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.byHost[name] {
@@ -232,16 +240,17 @@
 	return nil
 }
 
-// OrganisationByKey returns whose key it is, nil if it is nobody's.
+// OrganisationByKey returns the organisation that an API key belongs to, or nil.
 func (t *Table) OrganisationByKey(key string) *Organisation { return t.byKey[key] }
 
-// RequiresKey says whether requests need a key at all.
+// RequiresKey reports whether requests to routes that are not public need an API key.
+// They do as soon as any organisation is declared.
 func (t *Table) RequiresKey() bool { return len(t.Organisations) > 0 }
 
-// ServiceByName returns a service by name, nil if it is not declared.
+// ServiceByName returns the service of a name, or nil.
 func (t *Table) ServiceByName(name string) *Service { return t.services[name] }
 
-// KVStores lists the services that are stores of cached prompts.
+// KVStores returns the services that are external KV cache stores.
 func (t *Table) KVStores() []*Service {
 	var stores []*Service
 	for i := range t.Services {
@@ -252,8 +261,9 @@
 	return stores
 }
 
-// SelectService picks the service of one request by the weights of its route. The
-// same request gets the same service at every instance.
+// SelectService selects the service of a request according to the route's traffic
+// split. The choice is a hash of the request's identity, so that every instance
+// selects the same service for a request.
 func (t *Table) SelectService(r *Route, request string) *Service {
 	total := 0
 	for _, split := range r.TrafficSplit {
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// route returns a valid route that sends all requests to one service.
 func route(host, prefix string) Route {
 	return Route{
 		Name: host + prefix, Host: host, Prefix: prefix, Timeout: time.Second,
@@ -30,8 +31,8 @@
 	assert.Assert(t, table.Match("c.example", "/x/") == nil)
 }
 
-// An operator sends a configuration that contradicts itself. Put in force, a
-// part of the callers would be sent nowhere or answered for somebody else.
+// A contradictory configuration must be rejected. If it took effect, requests would
+// have no service to go to or would be attributed to the wrong organisation.
 func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	noService := route("a.example", "/")
 	noService.TrafficSplit[0].Service = "nobody"
