--- a/node/cachesync_test.go
+++ b/node/cachesync_test.go
@@ -26,30 +26,30 @@
 }
 
 // Engines take few readers, and bytes between zones are dear.
-func TestAnEngineIsReadByOneInstanceOfItsZone(t *testing.T) {
+func TestEngineHasOneReaderInItsZone(t *testing.T) {
 	all := entries(3, "a", "b")
 	count := map[tables.InstanceID]int{}
 	for i := range 60 {
 		id := tables.EndpointID(fmt.Sprintf("e%d", i))
-		reader := newReaders(all).of(id, "b")
+		reader := newReaderSelector(all).readerOf(id, "b")
 		assert.Equal(t, reader[0], byte('b'))
-		assert.Equal(t, newReaders(all).of(id, "b"), reader)
+		assert.Equal(t, newReaderSelector(all).readerOf(id, "b"), reader)
 		count[reader]++
 	}
 	for id, n := range count {
 		assert.Assert(t, n > 5, "%s reads %d of 60", id, n)
 	}
-	assert.Assert(t, newReaders(all).of("e1", "c") != "", "a zone without entry instances is read from others")
+	assert.Assert(t, newReaderSelector(all).readerOf("e1", "c") != "", "a zone without entry instances is read from others")
 }
 
 // A reader ends. Another one takes its engines over, and the others' readers stay:
 // each change costs an engine a list of all that it keeps.
-func TestOtherReadersStayWhenOneEnds(t *testing.T) {
+func TestLostReaderMovesOnlyItsOwnEngines(t *testing.T) {
 	all := entries(4, "a")
 	for i := range 40 {
 		id := tables.EndpointID(fmt.Sprintf("e%d", i))
-		before := newReaders(all).of(id, "a")
-		after := newReaders(all[1:]).of(id, "a")
+		before := newReaderSelector(all).readerOf(id, "a")
+		after := newReaderSelector(all[1:]).readerOf(id, "a")
 		if before != all[0].Instance {
 			assert.Equal(t, after, before)
 		}
@@ -58,8 +58,8 @@
 
 // A part is stored, dropped and stored again within one answer. Taken in any other
 // order, the reader would tell the others of a part that is gone, or miss one.
-func TestABatchComesToItsLastWord(t *testing.T) {
-	one := func(stored, evicted tables.BlockHash) engine.CacheChange {
+func TestNetChangesKeepLastStateOfEachPart(t *testing.T) {
+	change := func(stored, evicted tables.BlockHash) engine.CacheChange {
 		var c engine.CacheChange
 		if stored != 0 {
 			c.Stored = []tables.BlockHash{stored}
@@ -69,7 +69,7 @@
 		}
 		return c
 	}
-	kept, dropped := netOf(feed.Batch{Changes: []engine.CacheChange{one(1, 0), one(2, 0), one(0, 1), one(0, 3), one(1, 0), one(0, 2)}})
+	kept, dropped := netChanges(feed.Batch{Changes: []engine.CacheChange{change(1, 0), change(2, 0), change(0, 1), change(0, 3), change(1, 0), change(0, 2)}})
 	assert.DeepEqual(t, kept, []parts.Key{1})
 	assert.DeepEqual(t, dropped, []parts.Key{2, 3})
 }
--- a/node/control.go
+++ b/node/control.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// listPeriod is the time between two looks at the platform's list, which
+	// listPollInterval is the time between two looks at the platform's list, which
 	// lags by itself; an endpoint that leaves gets no new work within seconds of
 	// being listed so.
-	listPeriod = 500 * time.Millisecond
-	// ordersLease is how long an instance gives orders without hearing from the
+	listPollInterval = 500 * time.Millisecond
+	// maxOrdersLease is how long an instance gives orders without hearing from the
 	// group. The next one begins that much after it has frozen or was cut off; it
 	// covers a few slow syncs of a disk.
-	ordersLease = 1500 * time.Millisecond
-	// followGrace is how long an instance that follows the one that gives orders
+	maxOrdersLease = 1500 * time.Millisecond
+	// leaderTimeout is how long an instance that follows the one that gives orders
 	// believes its endpoints before it looks at the list itself.
-	followGrace = 1500 * time.Millisecond
+	leaderTimeout = 1500 * time.Millisecond
 	// snapshotBytes is small because disks are; a snapshot holds two documents.
 	snapshotBytes = 4 << 20
 )
@@ -67,7 +67,7 @@
 		return trace.Wrap(err)
 	}
 	n.fleet = fleet.NewTable(n.boot)
-	n.runner = rollout.NewController(rollout.Options{
+	n.rollout = rollout.NewController(rollout.Options{
 		Engines:           n.options.Platform.EngineClient,
 		Executor:          n.replica,
 		IsLeader:          func() bool { return n.replica.Status().IsLeader },
@@ -75,7 +75,7 @@
 		TargetVersions:    func() map[string]uint64 { return n.deployment.Wanted() },
 		Instance:          s.Instance,
 		Boot:              n.boot,
-		LeaseDuration:     min(s.Orders.Lease, ordersLease),
+		LeaseDuration:     min(s.Orders.Lease, maxOrdersLease),
 		HandoverDelay:     s.Orders.Lease,
 		EnginesCheckFence: s.Orders.Fenced,
 		Strategy:          rollout.RetainRequests,
@@ -83,15 +83,15 @@
 		Log:               n.log,
 	})
 	n.deployment = deployment.NewService(deployment.Options{
-		Replica: n.replica, Fleet: n.fleet, GivesOrders: n.runner.HoldsLease, Now: boottime.Now,
+		Replica: n.replica, Fleet: n.fleet, GivesOrders: n.rollout.HoldsLease, Now: boottime.Now,
 	})
-	n.measureControl()
-	n.background.Go(func() { n.deployment.Run(n.stopping) })
-	n.background.Go(func() { n.runner.Run(n.stopping) })
-	n.background.Go(func() { n.followLeader(n.stopping) })
+	n.registerControlMetrics()
+	n.background.Go(func() { n.deployment.Run(n.lifetime) })
+	n.background.Go(func() { n.rollout.Run(n.lifetime) })
+	n.background.Go(func() { n.followLeader(n.lifetime) })
 	if s.List.IsValid() {
-		n.background.Go(func() { n.readList(n.stopping) })
-		n.background.Go(func() { n.watchStores(n.stopping) })
+		n.background.Go(func() { n.pollList(n.lifetime) })
+		n.background.Go(func() { n.probeKVStores(n.lifetime) })
 	}
 	operators := n.options.Platform.OperatorHandler(n.deployment, n.log)
 	return n.serve(&http.Server{Handler: operators}, s.Listen.Operators)
@@ -107,23 +107,23 @@
 	return all
 }
 
-// readList keeps the table of endpoints. The list bounds the calls of all
+// pollList keeps the table of endpoints. The list bounds the calls of all
 // instances together, so one instance reads it and the others follow it, unless
 // they cannot reach it.
-func (n *Node) readList(ctx context.Context) {
+func (n *Node) pollList(ctx context.Context) {
 	list := n.options.Platform.NewLister(n.options.Settings.List)
-	ticker := time.NewTicker(listPeriod)
+	ticker := time.NewTicker(listPollInterval)
 	defer ticker.Stop()
-	unread := false
+	failing := false
 	for {
-		if n.readsList() {
+		if n.shouldPollList() {
 			endpoints, err := list.Endpoints(ctx)
 			if err == nil {
-				n.fleet.ApplyList(append(endpoints, n.stores.reachable()...))
-				n.listRead.Store(int64(n.now()))
+				n.fleet.ApplyList(append(endpoints, n.kvStores.endpoints()...))
+				n.listReadAt.Store(int64(n.now()))
 			}
-			n.noteList(ctx, unread, err)
-			unread = err != nil
+			n.logListTransition(ctx, failing, err)
+			failing = err != nil
 		}
 		select {
 		case <-ctx.Done():
@@ -133,22 +133,22 @@
 	}
 }
 
-// noteList logs when the list is lost and when it is there again.
-func (n *Node) noteList(ctx context.Context, unread bool, err error) {
+// logListTransition logs when the list is lost and when it is there again.
+func (n *Node) logListTransition(ctx context.Context, failing bool, err error) {
 	switch {
-	case err != nil && !unread && ctx.Err() == nil:
+	case err != nil && !failing && ctx.Err() == nil:
 		events.ListUnread.Log(n.log, zap.Error(err))
-	case err == nil && unread:
+	case err == nil && failing:
 		events.ListRead.Log(n.log)
 	}
 }
 
-func (n *Node) readsList() bool {
+func (n *Node) shouldPollList() bool {
 	if n.replica.Status().IsLeader {
 		return true
 	}
-	heard := n.followed.Load()
-	return heard == 0 || n.now()-time.Duration(heard) > followGrace
+	heard := n.leaderHeardAt.Load()
+	return heard == 0 || n.now()-time.Duration(heard) > leaderTimeout
 }
 
 // followLeader takes over what the leader of the group knows of endpoints.
@@ -160,7 +160,7 @@
 		Fleet:    func(c *fleet.Replica) { n.fleet.Mirror(c.Endpoints()) },
 		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
-				n.followed.Store(int64(n.now()))
+				n.leaderHeardAt.Store(int64(n.now()))
 			}
 		},
 		Log: n.log,
@@ -174,5 +174,5 @@
 	if status.IsLeader || status.LeaderAddress == "" {
 		return nil
 	}
-	return []deployment.Source{n.sources.source(status.LeaderAddress, n.client)}
+	return []deployment.Source{n.controlClients.source(status.LeaderAddress, n.client)}
 }
--- a/node/controlmetrics.go
+++ b/node/controlmetrics.go
@@ -7,9 +7,9 @@
 	"github.com/carawaystile/carawaystile/metrics"
 )
 
-// measureControl publishes what this control instance is and knows, and how old
+// registerControlMetrics publishes what this control instance is and knows, and how old
 // that is, whenever somebody reads the measurements.
-func (n *Node) measureControl() {
+func (n *Node) registerControlMetrics() {
 	leads := n.registry.Gauge("carawaystile_leads", "1 if this control replica leads the group.")
 	voter := n.registry.Gauge("carawaystile_votes", "1 if this control replica votes.")
 	orders := n.registry.Gauge("carawaystile_orders_lease_held", "1 if this instance gives orders to endpoints.")
@@ -17,11 +17,11 @@
 	listed := n.registry.Gauge("carawaystile_list_age_seconds", "Time since this instance last read the platform's list, or heard it from the leader.")
 	n.registry.BeforeWrite(func() {
 		status := n.replica.Status()
-		leads.Update(flag(status.IsLeader))
-		voter.Update(flag(status.IsVoter))
+		leads.Update(boolToFloat(status.IsLeader))
+		voter.Update(boolToFloat(status.IsVoter))
 		lag.Update(lagSeconds(status.Lag))
-		orders.Update(flag(n.runner.HoldsLease()))
-		latest := max(n.listRead.Load(), n.followed.Load())
+		orders.Update(boolToFloat(n.rollout.HoldsLease()))
+		latest := max(n.listReadAt.Load(), n.leaderHeardAt.Load())
 		listed.Update((n.now() - time.Duration(latest)).Seconds())
 		n.replica.View(func(st *state.State) {
 			for _, document := range st.Documents() {
@@ -39,7 +39,7 @@
 	return lag.Seconds()
 }
 
-func flag(set bool) float64 {
+func boolToFloat(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/node/kvstores.go
+++ b/node/kvstores.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// storePeriod is the time between two looks at the stores of cached prompts,
+	// kvStoreProbeInterval is the time between two looks at the stores of cached prompts,
 	// and storeTimeout how long one may take to take a connection. An engine that
 	// fetches from a store that is gone loses some tenths of a second with each
 	// request.
-	storePeriod  = 600 * time.Millisecond
-	storeTimeout = 300 * time.Millisecond
+	kvStoreProbeInterval  = 600 * time.Millisecond
+	kvStoreProbeTimeout = 300 * time.Millisecond
 )
 
-// stores holds the stores of cached prompts that take connections. It is safe
+// kvStoreSet holds the kvStoreSet of cached prompts that take connections. It is safe
 // for concurrent use.
-type stores struct {
+type kvStoreSet struct {
 	mu   sync.Mutex
 	rows []fleet.Endpoint
 }
 
-func (s *stores) reachable() []fleet.Endpoint {
+func (s *kvStoreSet) endpoints() []fleet.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.rows)
 }
 
-func (s *stores) set(rows []fleet.Endpoint) {
+func (s *kvStoreSet) set(rows []fleet.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows = rows
 }
 
-// watchStores looks which of the configured stores take connections. The platform
+// probeKVStores looks which of the configured stores take connections. The platform
 // lists no stores.
-func (n *Node) watchStores(ctx context.Context) {
-	ticker := time.NewTicker(storePeriod)
+func (n *Node) probeKVStores(ctx context.Context) {
+	ticker := time.NewTicker(kvStoreProbeInterval)
 	defer ticker.Stop()
 	var table *routes.Table
 	for {
@@ -54,21 +54,21 @@
 			return
 		case <-ticker.C:
 		}
-		if !n.readsList() {
+		if !n.shouldPollList() {
 			continue
 		}
-		table = n.configuration(table)
+		table = n.currentConfiguration(table)
 		if table == nil {
-			n.stores.set(nil)
+			n.kvStores.set(nil)
 			continue
 		}
-		n.stores.set(lookAtAll(ctx, n.dial, table.KVStores()))
+		n.kvStores.set(probeAll(ctx, n.dial, table.KVStores()))
 	}
 }
 
-// configuration reads the configuration that this replica has, unless it is the
+// currentConfiguration reads the currentConfiguration that this replica has, unless it is the
 // one that the caller has already.
-func (n *Node) configuration(known *routes.Table) *routes.Table {
+func (n *Node) currentConfiguration(known *routes.Table) *routes.Table {
 	var number uint64
 	var content []byte
 	n.replica.View(func(st *state.State) {
@@ -86,21 +86,21 @@
 	return table
 }
 
-// lookAtAll returns the stores that take a connection. They are asked at once,
+// probeAll returns the stores that take a connection. They are asked at once,
 // so that one that is gone does not hold up what is known of the others.
-func lookAtAll(ctx context.Context, dial engine.Dial, all []*routes.Service) []fleet.Endpoint {
+func probeAll(ctx context.Context, dial engine.Dial, all []*routes.Service) []fleet.Endpoint {
 	found := make([][]fleet.Endpoint, len(all))
-	var looks sync.WaitGroup
+	var probes sync.WaitGroup
 	for i, store := range all {
-		looks.Go(func() { found[i] = lookAt(ctx, dial, store) })
+		probes.Go(func() { found[i] = probe(ctx, dial, store) })
 	}
-	looks.Wait()
+	probes.Wait()
 	return slices.Concat(found...)
 }
 
-// lookAt returns a store as an endpoint if it takes a connection.
-func lookAt(ctx context.Context, dial engine.Dial, store *routes.Service) []fleet.Endpoint {
-	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
+// probe returns a store as an endpoint if it takes a connection.
+func probe(ctx context.Context, dial engine.Dial, store *routes.Service) []fleet.Endpoint {
+	bounded, cancel := context.WithTimeout(ctx, kvStoreProbeTimeout)
 	defer cancel()
 	conn, err := dial(bounded, store.KVStoreAddress)
 	if err != nil {
--- a/node/listen.go
+++ b/node/listen.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// listenInstances serves the other instances, and scrapers of metrics.
-func (n *Node) listenInstances() error {
+// serveInstances serves the other instances, and scrapers of metrics.
+func (n *Node) serveInstances() error {
 	s := n.options.Settings
 	mux := http.NewServeMux()
 	if n.replica != nil {
@@ -54,7 +54,7 @@
 		mux.Handle(rpc.DeploymentPathPrefix, rpc.NewDeploymentServer(n.deployment))
 	}
 	if n.entry != nil {
-		mux.Handle(rpc.CacheKnowledgePathPrefix, rpc.NewCacheKnowledgeServer(cacheService{n}))
+		mux.Handle(rpc.CacheKnowledgePathPrefix, rpc.NewCacheKnowledgeServer(cacheKnowledgeServer{n}))
 		mux.Handle(rpc.PeerPathPrefix, rpc.NewPeerServer(peers.Service{Receive: n.entry.MergeSuspect}))
 	}
 	if err := n.serve(&http.Server{Handler: mux}, s.Listen.Instances); err != nil {
@@ -71,11 +71,11 @@
 	return n.serve(&http.Server{Handler: metrics}, s.Listen.Metrics)
 }
 
-// shareSuspects tells the other entry instances what was running when an
+// broadcastSuspects tells the other entry instances what was running when an
 // endpoint crashed.
-func (n *Node) shareSuspects(suspects []quarantine.Suspect) {
+func (n *Node) broadcastSuspects(suspects []quarantine.Suspect) {
 	report := peers.EncodeReport(suspects)
-	n.callPeers(func(ctx context.Context, at string) {
+	n.callEntryPeers(func(ctx context.Context, at string) {
 		if err := peers.SendReport(ctx, rpc.NewPeerProtobufClient(at, n.client), report); err != nil {
 			events.SuspectsNotTold.Log(n.log, zap.String("instance_address", at), zap.Error(err))
 		}
--- a/node/members.go
+++ b/node/members.go
@@ -34,40 +34,40 @@
 	joined, err := gossip.Start(gossip.Options{
 		Membership: membership.Options{
 			Self: membership.InstanceInfo{
-				Instance: s.Instance, Zone: s.Zone, Roles: membership.Roles(s.Entry, s.Control), Size: sizeOf(s.Processors),
+				Instance: s.Instance, Zone: s.Zone, Roles: membership.Roles(s.Entry, s.Control), Size: processorWeight(s.Processors),
 				Address: s.Advertise.Membership, Control: s.Advertise.Instances, Boot: n.boot,
 			},
 			Seeds:         seeds,
-			RandomSeed:    n.seed(),
+			RandomSeed:    n.randomSeed(),
 			UseSchedulers: true,
 		},
 		Listen:   s.Listen.Membership,
 		Ring:     keys.Of(datagramKey),
 		Log:      n.log,
-		Changed:  n.membersChanged,
-		Placed:   n.placedElsewhere,
-		Loaded:   n.loadedElsewhere,
-		Schedule: n.scheduleMessage,
-		Usage:    n.usageMessage,
+		Changed:  n.handleMembersChanged,
+		Placed:   n.handlePlacement,
+		Loaded:   n.handleLoad,
+		Schedule: n.handleScheduleMessage,
+		Usage:    n.handleUsageMessage,
 		Relay: func(placements []membership.Placement) {
-			n.hints.Add(membership.Hints{Placements: placements})
+			n.zoneHints.Add(membership.Hints{Placements: placements})
 		},
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	n.members.Store(joined)
+	n.gossip.Store(joined)
 	if n.entry != nil {
 		n.background.Go(n.sendHints)
 		n.background.Go(n.sendRemotePlacements)
 		n.background.Go(n.sendRemoteLoads)
-		n.background.Go(func() { n.accounts.Run(n.stopping) })
+		n.background.Go(func() { n.usageServer.Run(n.lifetime) })
 	}
 	return nil
 }
 
-// membersChanged lets the entry know how many share limits with it.
-func (n *Node) membersChanged(members []membership.Member) {
+// handleMembersChanged lets the entry know how many share limits with it.
+func (n *Node) handleMembersChanged(members []membership.Member) {
 	if n.entry == nil {
 		return
 	}
@@ -81,41 +81,41 @@
 			rank++
 		}
 	}
-	peers := n.peerCount.most(n.now(), of)
-	n.sharing.Store(int64(peers))
+	peers := n.peerCount.observe(n.now(), of)
+	n.limitSharers.Store(int64(peers))
 	n.entry.SetInstanceRank(rank, peers)
-	n.noteLostEntries(members)
+	n.detectLostEntries(members)
 	n.entry.SetSchedulerCounts(membership.CountSchedulers(members, n.options.Settings.Zone))
 }
 
-// peerMemory is for how long the highest number of peers counts.
-const peerMemory = time.Minute
+// peerCountWindow is for how long the highest number of peers counts.
+const peerCountWindow = time.Minute
 
-// peerCount remembers the most entry instances that were known of late. Those
+// peerCountMax remembers the most entry instances that were known of late. Those
 // that are cut off are not known and go on all the same.
-type peerCount struct {
-	mu    sync.Mutex
-	of    int
-	since tables.Instant
+type peerCountMax struct {
+	mu        sync.Mutex
+	count     int
+	countedAt tables.Instant
 }
 
-func (p *peerCount) most(now tables.Instant, of int) int {
+func (p *peerCountMax) observe(now tables.Instant, of int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if of >= p.of || now-p.since > peerMemory {
-		p.of, p.since = of, now
+	if of >= p.count || now-p.countedAt > peerCountWindow {
+		p.count, p.countedAt = of, now
 	}
-	return p.of
+	return p.count
 }
 
-// sourceCache keeps one client for each control instance. It is safe for
+// controlClientCache keeps one client for each control instance. It is safe for
 // concurrent use.
-type sourceCache struct {
+type controlClientCache struct {
 	mu      sync.Mutex
 	clients map[string]rpc.Deployment
 }
 
-func (c *sourceCache) source(address string, client *http.Client) deployment.Source {
+func (c *controlClientCache) source(address string, client *http.Client) deployment.Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.clients[address]
@@ -134,7 +134,7 @@
 // membership knows of.
 func (n *Node) controlSources() []deployment.Source {
 	var near, far []netip.AddrPort
-	if joined := n.members.Load(); joined != nil {
+	if joined := n.gossip.Load(); joined != nil {
 		for _, m := range joined.Members() {
 			switch {
 			case m.Roles&membership.RoleControl == 0 || m.State >= membership.Dead:
@@ -153,14 +153,14 @@
 	}
 	sources := make([]deployment.Source, 0, len(all))
 	for _, at := range all {
-		sources = append(sources, n.sources.source(at.String(), n.client))
+		sources = append(sources, n.controlClients.source(at.String(), n.client))
 	}
 	return sources
 }
 
-// entryMembers lists the living entry instances, this one among them.
-func (n *Node) entryMembers() []membership.Member {
-	joined := n.members.Load()
+// liveEntryMembers lists the living entry instances, this one among them.
+func (n *Node) liveEntryMembers() []membership.Member {
+	joined := n.gossip.Load()
 	if joined == nil {
 		return nil
 	}
@@ -173,10 +173,10 @@
 	return all
 }
 
-// entryPeers lists where the other living entry instances answer.
-func (n *Node) entryPeers() []netip.AddrPort {
+// entryPeerAddresses lists where the other living entry instances answer.
+func (n *Node) entryPeerAddresses() []netip.AddrPort {
 	var all []netip.AddrPort
-	for _, m := range n.entryMembers() {
+	for _, m := range n.liveEntryMembers() {
 		if m.Instance != n.options.Settings.Instance {
 			all = append(all, m.Control)
 		}
@@ -184,16 +184,16 @@
 	return all
 }
 
-// cachePeers lists where the entry instances answer that get reports of what endpoints
+// cacheReportReceivers lists where the entry instances answer that get reports of what endpoints
 // keep: those that choose, in all zones.
-func (n *Node) cachePeers() []netip.AddrPort {
-	joined := n.members.Load()
+func (n *Node) cacheReportReceivers() []netip.AddrPort {
+	joined := n.gossip.Load()
 	if joined == nil {
 		return nil
 	}
 	schedulers := joined.AllSchedulers()
 	if len(schedulers) == 0 {
-		return n.entryPeers()
+		return n.entryPeerAddresses()
 	}
 	var all []netip.AddrPort
 	for _, s := range schedulers {
@@ -204,16 +204,16 @@
 	return all
 }
 
-// callPeers calls every other living entry instance.
-func (n *Node) callPeers(call func(ctx context.Context, at string)) {
-	for _, at := range n.entryPeers() {
+// callEntryPeers calls every other living entry instance.
+func (n *Node) callEntryPeers(call func(ctx context.Context, at string)) {
+	for _, at := range n.entryPeerAddresses() {
 		go func() {
-			ctx, cancel := context.WithTimeout(n.stopping, notifyTimeout)
+			ctx, cancel := context.WithTimeout(n.lifetime, suspectNotifyTimeout)
 			defer cancel()
 			call(ctx, "http://"+at.String())
 		}()
 	}
 }
 
-// notifyTimeout bounds notifying one instance of a crash, with all tries.
-const notifyTimeout = 2500 * time.Millisecond
+// suspectNotifyTimeout bounds notifying one instance of a crash, with all tries.
+const suspectNotifyTimeout = 2500 * time.Millisecond
--- a/node/node.go
+++ b/node/node.go
@@ -65,17 +65,17 @@
 	Log      *zap.Logger
 }
 
-// memoryPart is the part of its memory beyond which an instance spends more
+// memoryLimitFraction is the part of its memory beyond which an instance spends more
 // processor time on keeping it small.
-const memoryPart = 0.6
+const memoryLimitFraction = 0.6
 
 // dialTimeout bounds the opening of a connection to another instance: twice a round
 // trip between regions. After all machines lost power, entry instances start while the
 // control instances' machines are still dark, and each attempt lasts that long before
-// the next finds them up. idleInstance is how long a connection is kept.
+// the next finds them up. idleConnTimeout is how long a connection is kept.
 const (
 	dialTimeout  = 250 * time.Millisecond
-	idleInstance = 20 * time.Second
+	idleConnTimeout = 20 * time.Second
 )
 
 // Node is one running instance. Its methods are safe for concurrent use.
@@ -91,52 +91,52 @@
 	// dial opens connections to endpoints and instances.
 	dial      engine.Dial
 	dialer    *transport.Dialer
-	sources   sourceCache
-	members   atomic.Pointer[gossip.Gossip]
-	peerCount peerCount
-	// sharing is how many entry instances share limits, as far as was known of late.
-	sharing atomic.Int64
-	// hints wait to be sent to the other instances.
-	hints gossip.Hints
-	// remote waits to be sent to other zones.
-	remote gossip.Hints
+	controlClients   controlClientCache
+	gossip   atomic.Pointer[gossip.Gossip]
+	peerCount peerCountMax
+	// limitSharers is how many entry instances share limits, as far as was known of late.
+	limitSharers atomic.Int64
+	// zoneHints wait to be sent to the other instances.
+	zoneHints gossip.Hints
+	// remotePlacements waits to be sent to other zones.
+	remotePlacements gossip.Hints
 	// remoteLoads waits to be sent to the schedulers of other zones.
 	remoteLoads gossip.Hints
 
 	// The entry role; nil without it.
 	entry  *forward.Server
-	follow *deployment.Client
-	// scheduling asks schedulers to choose, schedules chooses for other instances.
-	scheduling *schedule.Client
-	schedules  *schedule.Server
-	// accounts keeps accounts of organisations' usage, limiter asks those that do.
-	accounts *usage.Server
-	limiter  *usage.Client
-	// zoneEntries are the living entry instances of the own zone. Only membersChanged
+	deploymentClient *deployment.Client
+	// scheduleClient asks schedulers to choose, schedules chooses for other instances.
+	scheduleClient *schedule.Client
+	scheduleServer  *schedule.Server
+	// usageServer keeps usageServer of organisations' usage, limiter asks those that do.
+	usageServer *usage.Server
+	usageClient  *usage.Client
+	// zoneEntryInstances are the living entry instances of the own zone. Only membersChanged
 	// uses it.
-	zoneEntries map[tables.InstanceID]bool
-	// callers serves the entry.
-	callers *http.Server
+	zoneEntryInstances map[tables.InstanceID]bool
+	// callerServer serves the entry.
+	callerServer *http.Server
 
 	// The control role; nil without it.
 	folder     *store.Folder
 	replica    *server.Server
 	fleet      *fleet.Table
 	deployment *deployment.Service
-	runner     *rollout.Controller
-	stores     stores
-	// knownAt is when the entry first had a configuration and endpoints; 0 for never.
-	knownAt atomic.Int64
-	// followed is when the instance that gives orders was last heard of.
-	followed atomic.Int64
-	// listRead is when the platform's list was last read.
-	listRead atomic.Int64
+	rollout     *rollout.Controller
+	kvStores     kvStoreSet
+	// initializedAt is when the entry first had a configuration and endpoints; 0 for never.
+	initializedAt atomic.Int64
+	// leaderHeardAt is when the instance that gives orders was last heard of.
+	leaderHeardAt atomic.Int64
+	// listReadAt is when the platform's list was last read.
+	listReadAt atomic.Int64
 
 	mu         sync.Mutex
 	servers    []*http.Server
-	stopping   context.Context
+	lifetime   context.Context
 	stop       context.CancelFunc
-	ending     sync.Once
+	stopOnce     sync.Once
 	background sync.WaitGroup
 }
 
@@ -148,10 +148,10 @@
 	n := &Node{options: o, log: o.Log, started: time.Now(), registry: metrics.NewRegistry()}
 	n.settings.Store(o.Settings)
 	n.boot = uint64(n.started.UnixNano())
-	n.stopping, n.stop = context.WithCancel(context.Background())
-	debug.SetMemoryLimit(int64(memoryPart * float64(o.Settings.MemoryMB) * (1 << 20)))
+	n.lifetime, n.stop = context.WithCancel(context.Background())
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(o.Settings.MemoryMB) * (1 << 20)))
 	n.dial = engine.DialFrom(o.Settings.Source)
-	n.client = &http.Client{Transport: &http.Transport{DialContext: n.dialInstance, IdleConnTimeout: idleInstance}}
+	n.client = &http.Client{Transport: &http.Transport{DialContext: n.dialInstance, IdleConnTimeout: idleConnTimeout}}
 	n.dialer = transport.NewDialer(n.client)
 	if err := n.start(); err != nil {
 		n.Stop()
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	if err := n.listenInstances(); err != nil {
+	if err := n.serveInstances(); err != nil {
 		return err
 	}
 	return n.startMembership()
@@ -194,7 +194,7 @@
 // now reads the monotonic clock, as time since the instance started.
 func (n *Node) now() tables.Instant { return time.Since(n.started) }
 
-func (n *Node) bootText() string { return strconv.FormatUint(n.boot, 36) }
+func (n *Node) bootID() string { return strconv.FormatUint(n.boot, 36) }
 
 // Reload takes over settings that may change while the instance runs: the
 // seeds. Everything else needs a restart.
@@ -214,7 +214,7 @@
 		events.DaemonDrainCut.Log(n.log, zap.Error(err))
 		return
 	}
-	shutdown.Flush(ctx, n.callers)
+	shutdown.Flush(ctx, n.callerServer)
 }
 
 // ReplicaStopped is closed when the control replica has stopped by itself; nil without
@@ -227,11 +227,11 @@
 }
 
 // Stop ends the instance at once; open requests are cut.
-func (n *Node) Stop() { n.ending.Do(n.end) }
+func (n *Node) Stop() { n.stopOnce.Do(n.shutDown) }
 
-func (n *Node) end() {
+func (n *Node) shutDown() {
 	n.stop()
-	if joined := n.members.Load(); joined != nil {
+	if joined := n.gossip.Load(); joined != nil {
 		joined.Close()
 	}
 	n.mu.Lock()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -26,8 +26,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// standinPlatform is an endpoint with weights, its list and its orders.
-type standinPlatform struct {
+// fakePlatform is an endpoint with weights, its list and its orders.
+type fakePlatform struct {
 	at netip.AddrPort
 
 	mu       sync.Mutex
@@ -37,9 +37,9 @@
 	draining bool
 }
 
-func newStandinPlatform(t *testing.T) *standinPlatform {
+func newFakePlatform(t *testing.T) *fakePlatform {
 	t.Helper()
-	p := &standinPlatform{version: 1}
+	p := &fakePlatform{version: 1}
 	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request", r.Header.Get("X-Request"))
 		w.Header().Set("X-Signature", "s")
@@ -50,7 +50,7 @@
 	return p
 }
 
-func (p *standinPlatform) Endpoints(context.Context) ([]fleet.Endpoint, error) {
+func (p *fakePlatform) Endpoints(context.Context) ([]fleet.Endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return []fleet.Endpoint{{
@@ -59,13 +59,13 @@
 	}}, nil
 }
 
-func (p *standinPlatform) Report(context.Context, fleet.Endpoint) (rollout.Report, error) {
+func (p *fakePlatform) Report(context.Context, fleet.Endpoint) (rollout.Report, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return rollout.Report{Sequence: p.sequence, Weights: map[string]uint64{"m": p.version}}, nil
 }
 
-func (p *standinPlatform) Order(_ context.Context, _ fleet.Endpoint, order rollout.Order) (rollout.OrderResult, error) {
+func (p *fakePlatform) Order(_ context.Context, _ fleet.Endpoint, order rollout.Order) (rollout.OrderResult, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fences = append(p.fences, order.Fence)
@@ -90,7 +90,7 @@
 	})
 }
 
-func (p *standinPlatform) platform() Platform {
+func (p *fakePlatform) platform() Platform {
 	return Platform{
 		Headers: &dialect.Headers{
 			Request: "X-Request", Deadline: "X-Deadline", Organisation: "X-Organisation", ExpectEndpoint: "X-Endpoint",
@@ -115,20 +115,20 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// world is three control instances and an entry instance, each on a loopback
+// cluster is three control instances and an entry instance, each on a loopback
 // address of its own.
-type world struct {
+type cluster struct {
 	t        *testing.T
-	platform *standinPlatform
+	platform *fakePlatform
 	controls []*Node
 	settings []*settings.Forwarding
 	entry    *Node
 	callers  netip.AddrPort
 }
 
-func newWorld(t *testing.T) *world {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	w := &world{t: t, platform: newStandinPlatform(t)}
+	w := &cluster{t: t, platform: newFakePlatform(t)}
 	internal := freePort(t, "127.0.0.1").Port()
 	var seeds []netip.AddrPort
 	for i := range 3 {
@@ -162,7 +162,7 @@
 	return w
 }
 
-func (w *world) start(s *settings.Forwarding) *Node {
+func (w *cluster) start(s *settings.Forwarding) *Node {
 	w.t.Helper()
 	n, err := Start(Options{Settings: s, Platform: w.platform.platform(), Log: zaptest.NewLogger(w.t, zaptest.Level(zap.ErrorLevel))})
 	assert.NilError(w.t, err)
@@ -171,7 +171,7 @@
 }
 
 // put has control instance i take a document, as often as it needs.
-func (w *world) put(i int, name string, number uint64, content string) {
+func (w *cluster) put(i int, name string, number uint64, content string) {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(w.t.Context(), 30*time.Second)
 	defer cancel()
@@ -179,7 +179,7 @@
 }
 
 // get asks the entry; the status and the body of the answer.
-func (w *world) get(path string) (int, string) {
+func (w *cluster) get(path string) (int, string) {
 	w.t.Helper()
 	request, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, "http://"+w.callers.String()+path, nil)
 	assert.NilError(w.t, err)
@@ -197,8 +197,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// until waits until an answer is as wanted.
-func (w *world) until(path string, status int, body string) {
+// waitFor waits waitFor an answer is as wanted.
+func (w *cluster) waitFor(path string, status int, body string) {
 	w.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for {
@@ -216,23 +216,23 @@
 // A whole deployment, from the first document to new weights, with a control
 // instance lost on the way. Callers are served all the while, and what was
 // acknowledged stays in force.
-func TestADeploymentServesAndFollowsItsOperators(t *testing.T) {
-	w := newWorld(t)
+func TestDeploymentServesThroughUpdatesAndLeaderLoss(t *testing.T) {
+	w := newCluster(t)
 	status, _ := w.get("/a/x")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	w.put(0, deployment.ConfigurationName, 3, "/a/")
-	w.until("/a/x", 200, "weights 1")
+	w.waitFor("/a/x", 200, "weights 1")
 
 	w.put(1, deployment.ConfigurationName, 5, "/bcd/")
-	w.until("/a/x", 404, "")
-	w.until("/bcd/x", 200, "")
+	w.waitFor("/a/x", 404, "")
+	w.waitFor("/bcd/x", 200, "")
 	w.put(2, deployment.ConfigurationName, 4, "/ab/")
 	content, err := w.controls[2].deployment.Newest(t.Context(), deployment.ConfigurationName)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "/bcd/")
 
 	w.put(0, deployment.WeightsName("m"), 2, "")
-	w.until("/bcd/x", 200, "weights 2")
+	w.waitFor("/bcd/x", 200, "weights 2")
 
 	lost := 0
 	for i, n := range w.controls {
@@ -242,7 +242,7 @@
 	}
 	w.controls[lost].Stop()
 	w.put((lost+1)%3, deployment.WeightsName("m"), 3, "")
-	w.until("/bcd/x", 200, "weights 3")
+	w.waitFor("/bcd/x", 200, "weights 3")
 	w.platform.mu.Lock()
 	fences := w.platform.fences
 	w.platform.mu.Unlock()
@@ -254,13 +254,13 @@
 // A control instance loses its disk and comes back with an empty one. It must
 // join the group that there is and give away nothing older than what was
 // acknowledged.
-func TestAnEmptiedControlInstanceJoinsAgain(t *testing.T) {
-	w := newWorld(t)
+func TestControlInstanceRejoinsWithEmptyDisk(t *testing.T) {
+	w := newCluster(t)
 	w.put(0, deployment.ConfigurationName, 3, "/a/")
 	w.controls[1].Stop()
-	again := *w.settings[1]
-	again.Data, again.New = t.TempDir(), false
-	w.controls[1] = w.start(&again)
+	restarted := *w.settings[1]
+	restarted.Data, restarted.New = t.TempDir(), false
+	w.controls[1] = w.start(&restarted)
 	w.put(0, deployment.ConfigurationName, 5, "/bcd/")
 	deadline := time.Now().Add(30 * time.Second)
 	for !w.controls[1].replica.Status().IsVoter {
@@ -274,12 +274,12 @@
 
 // The platform's list shows that the endpoint leaves. Callers must get no work
 // cut off there: the instance stops sending it any.
-func TestAnEndpointThatLeavesGetsNothing(t *testing.T) {
-	w := newWorld(t)
+func TestDrainingEndpointGetsNoRequests(t *testing.T) {
+	w := newCluster(t)
 	w.put(0, deployment.ConfigurationName, 3, "/a/")
-	w.until("/a/x", 200, "")
+	w.waitFor("/a/x", 200, "")
 	w.platform.mu.Lock()
 	w.platform.draining = true
 	w.platform.mu.Unlock()
-	w.until("/a/x", http.StatusServiceUnavailable, "not_run")
+	w.waitFor("/a/x", http.StatusServiceUnavailable, "not_run")
 }
--- a/node/usage.go
+++ b/node/usage.go
@@ -11,17 +11,17 @@
 	"github.com/carawaystile/carawaystile/usage"
 )
 
-// startUsage makes what enforces rate limits over all instances.
-func (n *Node) startUsage() *usage.Client {
-	n.accounts = usage.NewServer(usage.ServerOptions{
+// newUsageClient makes what enforces rate limits over all instances.
+func (n *Node) newUsageClient() *usage.Client {
+	n.usageServer = usage.NewServer(usage.ServerOptions{
 		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, BootEpoch: n.boot, EntriesByZone: n.entriesByZone, Send: n.sendUsage, Now: n.now,
 	})
-	n.limiter = usage.NewClient(usage.ClientOptions{
-		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, BootEpoch: n.boot, Server: n.accounts,
-		EntriesByZone: n.entriesByZone, InstanceCount: func() int { return int(n.sharing.Load()) },
+	n.usageClient = usage.NewClient(usage.ClientOptions{
+		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, BootEpoch: n.boot, Server: n.usageServer,
+		EntriesByZone: n.entriesByZone, InstanceCount: func() int { return int(n.limitSharers.Load()) },
 		Send: n.sendUsage, Now: n.now, Log: n.log,
 	})
-	return n.limiter
+	return n.usageClient
 }
 
 func (n *Node) usageTolerance() usage.Tolerance {
@@ -41,39 +41,39 @@
 }
 
 func (n *Node) entriesByZone() map[tables.Zone][]membership.EntryInstance {
-	if joined := n.members.Load(); joined != nil {
+	if joined := n.gossip.Load(); joined != nil {
 		return joined.EntriesByZone()
 	}
 	return nil
 }
 
 func (n *Node) sendUsage(to netip.AddrPort, message *rpc.UsageMessage) {
-	if joined := n.members.Load(); joined != nil {
+	if joined := n.gossip.Load(); joined != nil {
 		joined.SendUsage(to, message)
 	}
 }
 
-// usageMessage takes a message about organisations' usage.
-func (n *Node) usageMessage(from membership.Sender, message *rpc.UsageMessage) {
-	if n.limiter != nil {
-		n.limiter.HandleMessage(from, message)
+// handleUsageMessage takes a message about organisations' usage.
+func (n *Node) handleUsageMessage(from membership.Sender, message *rpc.UsageMessage) {
+	if n.usageClient != nil {
+		n.usageClient.HandleMessage(from, message)
 	}
 }
 
-// noteLostEntries has the accounts know when an entry instance of the zone is gone, which
+// detectLostEntries has the accounts know when an entry instance of the zone is gone, which
 // may have kept some.
-func (n *Node) noteLostEntries(members []membership.Member) {
+func (n *Node) detectLostEntries(members []membership.Member) {
 	living := map[tables.InstanceID]bool{}
 	for _, m := range members {
 		if m.Zone == n.options.Settings.Zone && m.Roles&membership.RoleEntry != 0 && m.State <= membership.Suspect {
 			living[m.Instance] = true
 		}
 	}
-	for id := range n.zoneEntries {
+	for id := range n.zoneEntryInstances {
 		if !living[id] {
-			n.accounts.NoteEntriesLost()
+			n.usageServer.NoteEntriesLost()
 			break
 		}
 	}
-	n.zoneEntries = living
+	n.zoneEntryInstances = living
 }
