--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -8,7 +8,7 @@
 // BenchmarkUpdates measures the cost, to a control instance with 100 replicas, of the deltas
 // after one change of an endpoint, and of full updates for as many replicas that have just started.
 func BenchmarkUpdates(b *testing.B) {
-	const followers = 100
+	const replicas = 100
 	for _, endpoints := range []int{100, 1_000, 3_000} {
 		table := NewTable(1)
 		var all []Endpoint
@@ -22,7 +22,7 @@
 				_, before := position(table)
 				weights++
 				table.RecordWeights(all[i%endpoints].ID, "m", weights)
-				for range followers {
+				for range replicas {
 					update, _ := table.UpdateSince(1, before)
 					if len(update.GetEndpoints()) != 1 {
 						b.Fatal(len(update.GetEndpoints()))
@@ -32,7 +32,7 @@
 		})
 		b.Run(fmt.Sprintf("all/endpoints=%d", endpoints), func(b *testing.B) {
 			for range b.N {
-				for range followers {
+				for range replicas {
 					update, _ := table.UpdateSince(0, 0)
 					if len(update.GetEndpoints()) != endpoints {
 						b.Fatal(len(update.GetEndpoints()))
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -80,17 +80,17 @@
 // A replica lags by more removals than the table has tombstones. Without a full
 // update it would keep endpoints that no longer exist.
 func TestReplicaFarBehindGetsFullUpdate(t *testing.T) {
-	table, c := NewTable(1), NewReplica()
+	table, replica := NewTable(1), NewReplica()
 	table.ApplyList([]Endpoint{engine("first", 1)})
-	syncReplica(t, c, table)
+	syncReplica(t, replica, table)
 	for range maxTombstones + 1 {
 		table.ApplyList([]Endpoint{engine("other", 1)})
 		table.ApplyList(nil)
 	}
-	told, _ := table.UpdateSince(c.Position())
-	assert.Equal(t, told.GetFull(), true)
-	assert.NilError(t, c.Apply(told))
-	assert.Equal(t, len(c.Endpoints()), 0)
+	update, _ := table.UpdateSince(replica.Position())
+	assert.Equal(t, update.GetFull(), true)
+	assert.NilError(t, replica.Apply(update))
+	assert.Equal(t, len(replica.Endpoints()), 0)
 }
 
 // An entry instance must not lose all endpoints when it switches to a control instance that
@@ -152,8 +152,8 @@
 			want := table.Endpoints()
 			assert.Equal(t, len(got), len(want), "seed %d", seed)
 			for _, e := range want {
-				one := got[e.ID]
-				assert.Assert(t, one.Equal(&e), "seed %d: replica has %v, table has %v", seed, one, e)
+				replicated := got[e.ID]
+				assert.Assert(t, replicated.Equal(&e), "seed %d: replica has %v, table has %v", seed, replicated, e)
 			}
 		}
 	}
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -297,9 +297,9 @@
 		}
 	}
 	slices.SortFunc(update.Endpoints, func(a, b *rpc.FleetEndpoint) int { return cmp.Compare(a.GetId(), b.GetId()) })
-	for _, gone := range t.tombstones {
-		if gone.version > version && t.rows[gone.id] == nil {
-			update.Removed = append(update.Removed, string(gone.id))
+	for _, removed := range t.tombstones {
+		if removed.version > version && t.rows[removed.id] == nil {
+			update.Removed = append(update.Removed, string(removed.id))
 		}
 	}
 	t.cachedDeltas[version] = update
--- a/node/cachesync.go
+++ b/node/cachesync.go
@@ -20,51 +20,54 @@
 )
 
 const (
-	// cachePollInterval is the least time between two questions for what an engine has
-	// kept and dropped: its news come some 100 ms late anyway, and each answer
-	// costs processor time.
+	// cachePollInterval is the minimum time between two polls of an engine for its cache
+	// events. The events arrive some 100 ms late anyway, and each response costs processor
+	// time.
 	cachePollInterval = 200 * time.Millisecond
-	// cacheLongPollTimeout is how long an engine may hold such a question back.
+	// cacheLongPollTimeout is the maximum time for which an engine delays the response of a
+	// poll without events.
 	cacheLongPollTimeout = time.Second
-	// cacheMaxBackOff bounds the wait between questions that fail.
+	// cacheMaxBackOff bounds the delay between failed polls.
 	cacheMaxBackOff = 2 * time.Second
-	// cacheSyncDelay is how long an instance that has just started waits before it
-	// reads the engines of its zone, and remoteCache before it reads those of zones
-	// without an entry instance: until it knows of the others it would take all for
-	// its own, and each list of what an engine keeps holds up the engine's work. The
-	// others are known some 0.3 s after a start.
+	// cacheSyncDelay is the delay after a start before the instance polls engines of its zone,
+	// and remoteZoneSyncDelay before it polls those of zones without an entry instance. Until
+	// it knows the other entry instances it would assign all engines to itself, and each full
+	// listing of a cache delays the engine's work. The others are known some 0.3 s after a
+	// start.
 	cacheSyncDelay      = 400 * time.Millisecond
 	remoteZoneSyncDelay = 3 * time.Second
-	// readerAssignInterval is the time between two looks at which engines to read.
+	// readerAssignInterval is the interval at which engines are assigned to their readers.
 	readerAssignInterval = 500 * time.Millisecond
-	// holdingsFetchAttempts is how often an instance that has just started asks others for
-	// what engines keep, and holdingsPause the time between two tries. After a
-	// restart of all instances none of them knows at first.
+	// holdingsFetchAttempts is the maximum number of attempts of a started instance to fetch
+	// the cache contents from others, and holdingsFetchInterval the time between two of them.
+	// After a restart of all instances, none of them has contents at first.
 	holdingsFetchAttempts = 8
 	holdingsFetchInterval = 150 * time.Millisecond
 	// holdingsTimeout bounds one call to another instance.
 	holdingsTimeout = 500 * time.Millisecond
-	// maxReportedKeys bounds the parts of one endpoint in a report to others: 8 KB.
+	// maxReportedKeys bounds the keys per endpoint in a report to other instances: 8 KB.
 	maxReportedKeys = 1024
 )
 
-// cacheSync reads what engines and stores keep of prompts. Each is read by one entry
-// instance of its zone, which lets the others know: an engine takes few readers.
+// cacheSync follows the cache events of engines and of KV cache stores. Since an engine serves
+// few readers, one entry instance per engine polls it, normally one of its zone, and reports
+// the contents to the instances that select endpoints.
 //
-// Without it an instance knows where prompts are only by the requests that it has
-// seen. After a restart of all entry instances every prompt was read once more,
-// though the engines still had it, and callers of long prompts waited for that.
+// The requests that an instance has seen are not enough to know the caches: after a restart of
+// all entry instances every prompt was computed once more although the engines still had it in
+// their caches, and callers of long prompts waited for that.
 type cacheSync struct {
 	node  *Node
 	feeds *feed.Group
 
 	mu        sync.Mutex
 	inventory cacheInventory
-	// informedPeers are the instances that know of kept, where schedulers choose.
+	// informedPeers holds the schedulers of all zones that have been sent the inventory. It is
+	// used only while this instance's zone has schedulers.
 	informedPeers map[netip.AddrPort]bool
 }
 
-// startCacheSync begins to read what engines keep.
+// startCacheSync starts to follow the caches of engines, if the platform reports them.
 func (n *Node) startCacheSync() {
 	if n.options.Platform.CacheReporter == nil {
 		return
@@ -84,7 +87,8 @@
 	})
 }
 
-// run learns what others know and then reads this instance's share of engines.
+// run fetches the cache contents that other instances know, and follows the engines that are
+// assigned to this instance, until the context ends.
 func (c *cacheSync) run(ctx context.Context) {
 	if !c.node.entry.WaitInitialized(ctx) {
 		return
@@ -95,20 +99,21 @@
 	}
 }
 
-// assignReaders reads the engines and stores that this instance has to read now.
+// assignReaders configures the feeds for the engines and stores that this instance has to read
+// at present.
 func (c *cacheSync) assignReaders() {
 	own := c.node.options.Settings
-	readers := newReaderSelector(c.node.liveEntryMembers())
+	selector := newReaderSelector(c.node.liveEntryMembers())
 	var assigned tables.Configuration
 	remote := c.node.now() > remoteZoneSyncDelay
 	for id, e := range c.node.entry.Endpoints() {
 		if len(e.Weights) == 0 && !e.IsKVStore {
-			continue // a plain service
+			continue // an endpoint of a plain service has no cache
 		}
-		if e.Zone != own.Zone && (!remote || readers.hasZone(e.Zone)) {
+		if e.Zone != own.Zone && (!remote || selector.hasZone(e.Zone)) {
 			continue
 		}
-		if readers.readerOf(id, e.Zone) == own.Instance {
+		if selector.readerOf(id, e.Zone) == own.Instance {
 			assigned.Endpoints = append(assigned.Endpoints, tables.Endpoint{ID: id, Address: e.Address, Life: uint64(e.StartUnixMilli), Kind: tables.Engine})
 		}
 	}
@@ -121,7 +126,8 @@
 	c.sendToNewPeers()
 }
 
-// sendToNewPeers sends what endpoints keep to instances that choose now and did not before.
+// sendToNewPeers sends the inventory to the instances that have become receivers of cache
+// reports since the last call.
 func (c *cacheSync) sendToNewPeers() {
 	if len(c.node.schedulers()) == 0 {
 		return
@@ -129,10 +135,10 @@
 	peers := c.node.cacheReportReceivers()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	informed := map[netip.AddrPort]bool{}
+	receivers := map[netip.AddrPort]bool{}
 	var holdings []dispatch.EndpointCache
 	for _, at := range peers {
-		informed[at] = true
+		receivers[at] = true
 		if !c.informedPeers[at] {
 			if holdings == nil {
 				holdings = c.inventory.holdings()
@@ -140,21 +146,21 @@
 			c.sendHoldings(at, holdings)
 		}
 	}
-	c.informedPeers = informed
+	c.informedPeers = receivers
 }
 
-// handleBatch takes an endpoint's news. What is reported first of a life is everything it
-// keeps, and goes to the others at once.
+// handleBatch handles the changes of an endpoint's cache. The first batch of an incarnation
+// lists the whole cache and is sent to the receivers of cache reports at once.
 func (c *cacheSync) handleBatch(b feed.Batch) {
-	stored, dropped := netChanges(b)
+	stored, evicted := netChanges(b)
 	c.mu.Lock()
-	c.inventory.apply(b.Endpoint, stored, dropped, b.First)
+	c.inventory.apply(b.Endpoint, stored, evicted, b.First)
 	c.mu.Unlock()
 	if !b.First && !c.node.selectsEndpoints() {
-		c.reportToSchedulers(b.Endpoint, stored, dropped)
+		c.reportToSchedulers(b.Endpoint, stored, evicted)
 		return
 	}
-	c.node.entry.RecordCacheEvents(b.Endpoint, stored, dropped, b.First)
+	c.node.entry.RecordCacheEvents(b.Endpoint, stored, evicted, b.First)
 	if !b.First {
 		return
 	}
@@ -163,31 +169,31 @@
 	if len(stored) == 0 {
 		return
 	}
-	held := []dispatch.EndpointCache{{Endpoint: b.Endpoint, Keys: stored[max(0, len(stored)-maxReportedKeys):]}}
+	holdings := []dispatch.EndpointCache{{Endpoint: b.Endpoint, Keys: stored[max(0, len(stored)-maxReportedKeys):]}}
 	for _, at := range c.node.cacheReportReceivers() {
-		c.sendHoldings(at, held)
+		c.sendHoldings(at, holdings)
 	}
 }
 
-// reportToSchedulers passes what an endpoint says on to those that choose. This instance receives no
-// placements, so it does not know which parts are shared.
-func (c *cacheSync) reportToSchedulers(id tables.EndpointID, kept, dropped []parts.Key) {
+// reportToSchedulers gossips cache changes to the schedulers. It cannot leave out parts that
+// are not shared, since an instance that is no scheduler receives no placements.
+func (c *cacheSync) reportToSchedulers(id tables.EndpointID, stored, evicted []parts.Key) {
 	var hints membership.Hints
-	for _, key := range kept {
+	for _, key := range stored {
 		hints.Placements = append(hints.Placements, membership.Placement{Endpoint: id, Block: tables.BlockHash(key), Reported: true})
 	}
-	for _, key := range dropped {
+	for _, key := range evicted {
 		hints.Placements = append(hints.Placements, membership.Placement{Endpoint: id, Block: tables.BlockHash(key), Evicted: true, Reported: true})
 	}
 	c.node.zoneHints.Add(hints)
 }
 
-// netChanges is what a batch comes to: a part that was kept and dropped within it is
-// dropped.
-func netChanges(b feed.Batch) (kept, dropped []parts.Key) {
+// netChanges compacts a batch to the last state of each part: a part that is stored and
+// evicted within the batch counts as evicted.
+func netChanges(b feed.Batch) (stored, evicted []parts.Key) {
 	last := map[parts.Key]bool{}
 	var order []parts.Key
-	note := func(blocks []tables.BlockHash, stored bool) {
+	record := func(blocks []tables.BlockHash, stored bool) {
 		for _, block := range blocks {
 			key := parts.Key(block)
 			if _, known := last[key]; !known {
@@ -197,28 +203,28 @@
 		}
 	}
 	for _, change := range b.Changes {
-		note(change.Stored, true)
-		note(change.Evicted, false)
+		record(change.Stored, true)
+		record(change.Evicted, false)
 	}
 	for _, key := range order {
 		if last[key] {
-			kept = append(kept, key)
+			stored = append(stored, key)
 		} else {
-			dropped = append(dropped, key)
+			evicted = append(evicted, key)
 		}
 	}
-	return kept, dropped
+	return stored, evicted
 }
 
-// sendHoldings lets another instance know what endpoints keep. It does not wait for it. One that
-// could not be reached gets everything at the next look.
+// sendHoldings sends cache contents to another instance in the background. If that fails,
+// sendToNewPeers sends the whole inventory at the next assignment of readers.
 func (c *cacheSync) sendHoldings(at netip.AddrPort, holdings []dispatch.EndpointCache) {
 	if len(holdings) == 0 {
 		return
 	}
 	message := &rpc.Holdings{}
-	for _, one := range holdings {
-		message.Holdings = append(message.Holdings, encodeHolding(one))
+	for _, contents := range holdings {
+		message.Holdings = append(message.Holdings, encodeHolding(contents))
 	}
 	c.node.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.node.lifetime, holdingsTimeout)
@@ -232,12 +238,12 @@
 	})
 }
 
-// fetchHoldings learns from another instance where parts are. It asks several times: right
-// after a start the others are not known yet, or have just started too.
+// fetchHoldings fetches the cache contents from another instance. It retries, because right
+// after a start the other instances are unknown or have just started too.
 func (c *cacheSync) fetchHoldings(ctx context.Context) {
-	for try := range holdingsFetchAttempts {
+	for attempt := range holdingsFetchAttempts {
 		if peers := c.node.cacheReportReceivers(); len(peers) > 0 {
-			at := peers[(int(c.node.boot)+try)%len(peers)]
+			at := peers[(int(c.node.boot)+attempt)%len(peers)]
 			if c.fetchHoldingsFrom(ctx, at) {
 				return
 			}
@@ -248,7 +254,8 @@
 	}
 }
 
-// fetchHoldingsFrom asks one instance and says whether it knew anything.
+// fetchHoldingsFrom fetches the cache contents from one instance, and reports whether that
+// instance had any.
 func (c *cacheSync) fetchHoldingsFrom(ctx context.Context, at netip.AddrPort) bool {
 	bounded, cancel := context.WithTimeout(ctx, holdingsTimeout)
 	defer cancel()
@@ -257,17 +264,19 @@
 		events.CacheNotShared.Log(c.node.log, zap.Stringer("with", at), zap.Error(err))
 		return false
 	}
-	c.node.hold(holdings)
+	c.node.applyHoldings(holdings)
 	events.CacheLearned.Log(c.node.log, zap.Stringer("from", at), zap.Int("endpoints", len(holdings.GetHoldings())))
 	return len(holdings.GetHoldings()) > 0
 }
 
+// client returns a client for the cache service of another instance.
 func (c *cacheSync) client(at netip.AddrPort) rpc.CacheKnowledge {
 	return rpc.NewCacheKnowledgeProtobufClient("http://"+at.String(), c.node.client)
 }
 
-// hold takes over what another instance knows.
-func (n *Node) hold(holdings *rpc.Holdings) {
+// applyHoldings records the cache contents of endpoints that another instance has reported,
+// including parts that this instance did not know.
+func (n *Node) applyHoldings(holdings *rpc.Holdings) {
 	for _, h := range holdings.GetHoldings() {
 		keys := make([]parts.Key, 0, len(h.GetParts()))
 		for _, key := range h.GetParts() {
@@ -277,6 +286,7 @@
 	}
 }
 
+// encodeHolding returns the message for the cache contents of one endpoint.
 func encodeHolding(h dispatch.EndpointCache) *rpc.Holding {
 	holding := &rpc.Holding{Endpoint: string(h.Endpoint)}
 	for _, key := range h.Keys {
@@ -285,16 +295,16 @@
 	return holding
 }
 
-// cacheKnowledgeServer serves what this instance knows. It implements rpc.CacheKnowledge.
+// cacheKnowledgeServer serves and receives cache contents. It implements rpc.CacheKnowledge.
 type cacheKnowledgeServer struct{ node *Node }
 
-// Hold takes what another instance has read of an endpoint.
+// Hold applies cache contents that another instance has read from endpoints.
 func (s cacheKnowledgeServer) Hold(_ context.Context, holdings *rpc.Holdings) (*rpc.HoldAnswer, error) {
-	s.node.hold(holdings)
+	s.node.applyHoldings(holdings)
 	return &rpc.HoldAnswer{}, nil
 }
 
-// TellHoldings returns all that is believed.
+// TellHoldings returns the presumed cache contents of all endpoints.
 func (s cacheKnowledgeServer) TellHoldings(context.Context, *rpc.HoldingsRequest) (*rpc.Holdings, error) {
 	holdings := &rpc.Holdings{}
 	for _, h := range s.node.entry.EndpointCaches() {
--- a/node/cachesync_test.go
+++ b/node/cachesync_test.go
@@ -13,7 +13,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func entries(perZone int, zones ...tables.Zone) []membership.Member {
+// entryMembers returns a number of entry instances in each of the given zones.
+func entryMembers(perZone int, zones ...tables.Zone) []membership.Member {
 	var all []membership.Member
 	for _, zone := range zones {
 		for i := range perZone {
@@ -25,9 +26,10 @@
 	return all
 }
 
-// Engines take few readers, and bytes between zones are dear.
+// An engine serves few readers, and traffic between zones is expensive. Each engine must have
+// exactly one reader, in its own zone if that has entry instances.
 func TestEngineHasOneReaderInItsZone(t *testing.T) {
-	all := entries(3, "a", "b")
+	all := entryMembers(3, "a", "b")
 	count := map[tables.InstanceID]int{}
 	for i := range 60 {
 		id := tables.EndpointID(fmt.Sprintf("e%d", i))
@@ -39,13 +41,13 @@
 	for id, n := range count {
 		assert.Assert(t, n > 5, "%s reads %d of 60", id, n)
 	}
-	assert.Assert(t, newReaderSelector(all).readerOf("e1", "c") != "", "a zone without entry instances is read from others")
+	assert.Assert(t, newReaderSelector(all).readerOf("e1", "c") != "", "an endpoint in a zone without entry instances has no reader")
 }
 
-// A reader ends. Another one takes its engines over, and the others' readers stay:
-// each change costs an engine a list of all that it keeps.
+// When a reader leaves, only its engines may move to other readers. Each move costs an engine
+// a full listing of its cache.
 func TestLostReaderMovesOnlyItsOwnEngines(t *testing.T) {
-	all := entries(4, "a")
+	all := entryMembers(4, "a")
 	for i := range 40 {
 		id := tables.EndpointID(fmt.Sprintf("e%d", i))
 		before := newReaderSelector(all).readerOf(id, "a")
@@ -56,8 +58,9 @@
 	}
 }
 
-// A part is stored, dropped and stored again within one answer. Taken in any other
-// order, the reader would tell the others of a part that is gone, or miss one.
+// A part is stored, evicted and stored again within one response. If the order of the changes
+// were ignored, the reader would report a part that has been evicted, or omit one that is
+// cached.
 func TestNetChangesKeepLastStateOfEachPart(t *testing.T) {
 	change := func(stored, evicted tables.BlockHash) engine.CacheChange {
 		var c engine.CacheChange
@@ -69,7 +72,7 @@
 		}
 		return c
 	}
-	kept, dropped := netChanges(feed.Batch{Changes: []engine.CacheChange{change(1, 0), change(2, 0), change(0, 1), change(0, 3), change(1, 0), change(0, 2)}})
-	assert.DeepEqual(t, kept, []parts.Key{1})
-	assert.DeepEqual(t, dropped, []parts.Key{2, 3})
+	stored, evicted := netChanges(feed.Batch{Changes: []engine.CacheChange{change(1, 0), change(2, 0), change(0, 1), change(0, 3), change(1, 0), change(0, 2)}})
+	assert.DeepEqual(t, stored, []parts.Key{1})
+	assert.DeepEqual(t, evicted, []parts.Key{2, 3})
 }
--- a/node/control.go
+++ b/node/control.go
@@ -21,23 +21,24 @@
 )
 
 const (
-	// listPollInterval is the time between two looks at the platform's list, which
-	// lags by itself; an endpoint that leaves gets no new work within seconds of
-	// being listed so.
+	// listPollInterval is the interval at which the platform's list is polled. The list itself
+	// lags; an endpoint that leaves gets no new requests within seconds of being listed as
+	// leaving.
 	listPollInterval = 500 * time.Millisecond
-	// maxOrdersLease is how long an instance gives orders without hearing from the
-	// group. The next one begins that much after it has frozen or was cut off; it
-	// covers a few slow syncs of a disk.
+	// maxOrdersLease bounds the lease under which an instance sends orders without contact to
+	// the control group. After the holder has frozen or been partitioned, its successor takes
+	// over that much later. The duration covers a few slow disk syncs.
 	maxOrdersLease = 1500 * time.Millisecond
-	// leaderTimeout is how long an instance that follows the one that gives orders
-	// believes its endpoints before it looks at the list itself.
+	// leaderTimeout is the time without an answer of the leader after which an instance that
+	// mirrors the leader's endpoints polls the platform's list itself.
 	leaderTimeout = 1500 * time.Millisecond
-	// snapshotBytes is small because disks are; a snapshot holds two documents.
+	// snapshotBytes is the size of applied log entries that triggers a snapshot. It is small
+	// because disks are small; a snapshot contains two documents.
 	snapshotBytes = 4 << 20
 )
 
-// startControl starts this instance's replica of the control state and what
-// hangs on it.
+// startControl starts the control role: the replica of the replicated state, the endpoint
+// table, the rollout of weights and the servers that depend on them.
 func (n *Node) startControl() error {
 	s := n.options.Settings
 	folder, err := store.OpenFolder(s.Data)
@@ -93,11 +94,11 @@
 		n.background.Go(func() { n.pollList(n.lifetime) })
 		n.background.Go(func() { n.probeKVStores(n.lifetime) })
 	}
-	operators := n.options.Platform.OperatorHandler(n.deployment, n.log)
-	return n.serve(&http.Server{Handler: operators}, s.Listen.Operators)
+	handler := n.options.Platform.OperatorHandler(n.deployment, n.log)
+	return n.serve(&http.Server{Handler: handler}, s.Listen.Operators)
 }
 
-// seedInstances are the addresses at which the seeds answer other instances.
+// seedInstances returns the addresses at which the seeds serve other instances.
 func (n *Node) seedInstances() []netip.AddrPort {
 	port := n.options.Settings.Advertise.Instances.Port()
 	var all []netip.AddrPort
@@ -107,9 +108,9 @@
 	return all
 }
 
-// pollList keeps the table of endpoints. The list bounds the calls of all
-// instances together, so one instance reads it and the others follow it, unless
-// they cannot reach it.
+// pollList keeps the endpoint table up to date from the platform's list. The list limits the
+// rate of calls of all instances together, so only the leader polls it. The other control
+// instances mirror the leader's table, and poll the list while they cannot reach the leader.
 func (n *Node) pollList(ctx context.Context) {
 	list := n.options.Platform.NewLister(n.options.Settings.List)
 	ticker := time.NewTicker(listPollInterval)
@@ -133,7 +134,7 @@
 	}
 }
 
-// logListTransition logs when the list is lost and when it is there again.
+// logListTransition logs when polling the list starts to fail and when it succeeds again.
 func (n *Node) logListTransition(ctx context.Context, failing bool, err error) {
 	switch {
 	case err != nil && !failing && ctx.Err() == nil:
@@ -143,21 +144,23 @@
 	}
 }
 
+// shouldPollList reports whether this instance leads or has not heard from the leader within
+// leaderTimeout.
 func (n *Node) shouldPollList() bool {
 	if n.replica.Status().IsLeader {
 		return true
 	}
-	heard := n.leaderHeardAt.Load()
-	return heard == 0 || n.now()-time.Duration(heard) > leaderTimeout
+	heardAt := n.leaderHeardAt.Load()
+	return heardAt == 0 || n.now()-time.Duration(heardAt) > leaderTimeout
 }
 
-// followLeader takes over what the leader of the group knows of endpoints.
+// followLeader mirrors the leader's endpoint table until the context ends.
 func (n *Node) followLeader(ctx context.Context) {
 	client := deployment.NewClient(deployment.ClientOptions{
 		Instance: string(n.options.Settings.Instance),
 		Sources:  n.leaderSource,
-		Document: func(*rpc.Document) {}, // the replica has them
-		Fleet:    func(c *fleet.Replica) { n.fleet.Mirror(c.Endpoints()) },
+		Document: func(*rpc.Document) {}, // the replica already has the documents
+		Fleet:    func(r *fleet.Replica) { n.fleet.Mirror(r.Endpoints()) },
 		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.leaderHeardAt.Store(int64(n.now()))
@@ -168,7 +171,8 @@
 	client.Run(ctx)
 }
 
-// leaderSource is the leader, unless that is this instance.
+// leaderSource returns the leader of the control group, or nothing if there is none or it is
+// this instance.
 func (n *Node) leaderSource() []deployment.Source {
 	status := n.replica.Status()
 	if status.IsLeader || status.LeaderAddress == "" {
--- a/node/controlmetrics.go
+++ b/node/controlmetrics.go
@@ -7,8 +7,8 @@
 	"github.com/carawaystile/carawaystile/metrics"
 )
 
-// registerControlMetrics publishes what this control instance is and knows, and how old
-// that is, whenever somebody reads the measurements.
+// registerControlMetrics registers the metrics of the control role, which are computed
+// whenever the metrics are scraped.
 func (n *Node) registerControlMetrics() {
 	leads := n.registry.Gauge("carawaystile_leads", "1 if this control replica leads the group.")
 	voter := n.registry.Gauge("carawaystile_votes", "1 if this control replica votes.")
@@ -32,6 +32,7 @@
 	})
 }
 
+// lagSeconds returns the lag in seconds, and -1 for an unknown lag, which is negative.
 func lagSeconds(lag time.Duration) float64 {
 	if lag < 0 {
 		return -1
@@ -39,6 +40,7 @@
 	return lag.Seconds()
 }
 
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(set bool) float64 {
 	if set {
 		return 1
--- a/node/entry.go
+++ b/node/entry.go
@@ -21,10 +21,12 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// requestBodyMemoryDivisor is the part of an instance's memory that request bodies may take.
+// requestBodyMemoryDivisor is the inverse of the fraction of an instance's memory that
+// buffered request bodies may occupy.
 const requestBodyMemoryDivisor = 4
 
-// startEntry starts the entry role.
+// startEntry starts the entry role: the proxy with its scheduler and rate limiter, the client
+// that follows control instances, and the listeners for callers and readiness probes.
 func (n *Node) startEntry() error {
 	s, p := n.options.Settings, n.options.Platform
 	client := exchange.NewClient(exchange.Options{Headers: p.Headers, Dial: n.dial})
@@ -61,7 +63,7 @@
 		Weights: func(named *rpc.WeightsNamed) {
 			n.entry.RecordWeightsVersion(named.GetModel(), named.GetVersion(), time.Duration(named.GetAgeNanos()))
 		},
-		Fleet: func(c *fleet.Replica) { n.entry.SetEndpoints(c.Endpoints()) },
+		Fleet: func(r *fleet.Replica) { n.entry.SetEndpoints(r.Endpoints()) },
 		Answered: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.entry.RecordControlSync(time.Duration(answer.GetLagNanos()))
@@ -85,7 +87,8 @@
 	return n.serve(&http.Server{Handler: ready}, s.Listen.Ready)
 }
 
-// applyDocument puts a newer document in force.
+// applyDocument applies a newer document of operators: a configuration or the target version
+// of a model's weights.
 func (n *Node) applyDocument(document *rpc.Document) {
 	if model, ok := deployment.ModelOf(document.GetName()); ok {
 		n.entry.RecordWeightsVersion(model, document.GetNumber(), 0)
@@ -97,7 +100,7 @@
 	}
 	table, err := n.options.Platform.ParseConfiguration(document.GetContent())
 	if err != nil {
-		// Control instances have read it before: the two differ in version.
+		// A control instance has validated the document, so its software version differs.
 		events.ConfigurationUnreadable.Log(n.log, zap.Uint64("revision", document.GetNumber()), zap.Error(err))
 		return
 	}
@@ -105,7 +108,7 @@
 	n.entry.Configure(table)
 }
 
-// randomSeed differs between instances and between two lives of one.
+// randomSeed returns a seed that differs between instances and between starts of one instance.
 func (n *Node) randomSeed() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(n.options.Settings.Instance))
@@ -113,35 +116,36 @@
 }
 
 const (
-	// hintInterval is the time between two sendings of hints. Requests of one
-	// prompt come some tens of milliseconds apart when it is hot.
+	// hintInterval is the minimum interval between two sends of hints. Requests of a
+	// frequently used prompt arrive some tens of milliseconds apart.
 	hintInterval = 15 * time.Millisecond
-	// cacheReportInterval is the same for an instance for which others choose: it has to report
-	// only what engines say that they keep, which comes late anyway.
+	// cacheReportInterval is the interval for an instance whose endpoints schedulers select:
+	// it only reports the cache events of engines, which are late anyway.
 	cacheReportInterval = 100 * time.Millisecond
-	// hintLinkFraction is the part of the machine's link that hints may take, and
-	// maxHintBytes a bound in bytes a second where the link is fast: 30 instances
-	// of 10 requests a second need some 50 KB/s.
+	// hintLinkFraction is the fraction of the machine's network bandwidth that hints may use,
+	// and maxHintBytesPerSecond an upper bound for fast links: 30 instances of 10 requests a
+	// second need some 50 KB/s.
 	hintLinkFraction      = 0.05
 	maxHintBytesPerSecond = 400_000
-	// remotePlacementInterval is the time between two sendings to other zones, and remotePart
-	// what of the budget they may take: bytes between zones are dear.
+	// remotePlacementInterval is the interval between two sends of placements to other zones,
+	// and remotePlacementFraction their fraction of the hint bandwidth. Traffic between zones
+	// is expensive.
 	remotePlacementInterval = 250 * time.Millisecond
-	remotePart              = 0.2
-	// remoteLoadInterval and remoteLoadsPart are the same for loads, which schedulers of
-	// other zones hear of.
+	remotePlacementFraction = 0.2
+	// remoteLoadInterval and remoteLoadFraction are the same for load reports to the
+	// schedulers of other zones.
 	remoteLoadInterval = 100 * time.Millisecond
-	remoteLoadsPart    = 0.5
+	remoteLoadFraction = 0.5
 )
 
-// hintBytesPerSecond is what this instance may send of hints in a second.
+// hintBytesPerSecond returns the bandwidth budget for the hints that this instance sends.
 func (n *Node) hintBytesPerSecond() int {
 	link := n.options.Settings.LinkMbps * 1e6 / 8
 	return min(maxHintBytesPerSecond, max(gossip.HintBytesPerSecond, int(hintLinkFraction*link)))
 }
 
-// collectHints is what has changed since the last call of where this
-// instance placed parts of prompts and of what it has at endpoints.
+// collectHints returns the changes since the last call: the parts of prompts that this
+// instance placed at endpoints, and its load at endpoints.
 func (n *Node) collectHints() membership.Hints {
 	n.scheduleServer.ExpireAttempts()
 	placements, loads := n.entry.TakeUpdates()
@@ -162,24 +166,24 @@
 	return hints
 }
 
-// handlePlacement takes what another instance placed.
+// handlePlacement applies a placement or a cache event that another instance has sent.
 func (n *Node) handlePlacement(p membership.Placement) {
 	if n.entry == nil {
 		return
 	}
-	placed := dispatch.CacheUpdate{Endpoint: p.Endpoint, Key: parts.Key(p.Block), Evicted: p.Evicted}
+	update := dispatch.CacheUpdate{Endpoint: p.Endpoint, Key: parts.Key(p.Block), Evicted: p.Evicted}
 	if !p.Reported {
-		n.entry.ApplyCacheUpdate(placed)
+		n.entry.ApplyCacheUpdate(update)
 		return
 	}
-	// All schedulers of the zone get it; one reports to the other zones.
-	if n.entry.ApplyCacheEvent(placed) && n.isFirstScheduler() {
+	// All schedulers of the zone receive the event; only the first forwards it to other zones.
+	if n.entry.ApplyCacheEvent(update) && n.isFirstScheduler() {
 		p.Reported = false
 		n.remotePlacements.Add(membership.Hints{Placements: []membership.Placement{p}})
 	}
 }
 
-// handleLoad takes what another instance has at an endpoint.
+// handleLoad applies the load that another instance has at an endpoint.
 func (n *Node) handleLoad(l membership.Load) {
 	if n.entry != nil {
 		n.entry.ApplyLoadReport(l.Instance, dispatch.LoadReport{
@@ -189,6 +193,7 @@
 	}
 }
 
+// membershipRateLimit converts an endpoint's rate limit for sending; nil stays nil.
 func membershipRateLimit(l *dispatch.RateLimitReport) *membership.RateLimit {
 	if l == nil {
 		return nil
@@ -196,6 +201,7 @@
 	return &membership.RateLimit{Limited: l.Limited, PerSecond: l.PerSecond, Age: l.Age}
 }
 
+// dispatchRateLimit converts a received rate limit of an endpoint; nil stays nil.
 func dispatchRateLimit(l *membership.RateLimit) *dispatch.RateLimitReport {
 	if l == nil {
 		return nil
@@ -203,7 +209,7 @@
 	return &dispatch.RateLimitReport{RateLimit: dispatch.RateLimit{Limited: l.Limited, PerSecond: l.PerSecond}, Age: l.Age}
 }
 
-// sendHints lets the other instances know of this one's requests.
+// sendHints gossips this instance's placements and loads until the instance stops.
 func (n *Node) sendHints() {
 	n.zoneHints.Run(n.lifetime, gossip.HintOptions{
 		Period:         hintInterval,
@@ -211,12 +217,12 @@
 		BytesPerSecond: n.hintBytesPerSecond(),
 		Collect:        n.collectHints,
 		Receivers:      func() int { return n.gossip.Load().HintReceivers() },
-		Tell:           func(news membership.Hints) { n.gossip.Load().SendHints(news) },
+		Tell:           func(hints membership.Hints) { n.gossip.Load().SendHints(hints) },
 	})
 }
 
-// hintPace is the time between two sendings as the instance's part in the choices asks
-// for it: each wakes it up.
+// hintPace returns the current interval between two sends of hints. It is longer for an
+// instance that selects no endpoints, because each send wakes the process up.
 func (n *Node) hintPace() time.Duration {
 	if n.selectsEndpoints() {
 		return hintInterval
@@ -224,17 +230,18 @@
 	return cacheReportInterval
 }
 
-// sendRemotePlacements lets other zones know where this instance placed parts of prompts.
+// sendRemotePlacements sends placements to other zones until the instance stops.
 func (n *Node) sendRemotePlacements() {
 	n.remotePlacements.Run(n.lifetime, gossip.HintOptions{
 		Period:         remotePlacementInterval,
-		BytesPerSecond: int(remotePart * float64(n.hintBytesPerSecond())),
+		BytesPerSecond: int(remotePlacementFraction * float64(n.hintBytesPerSecond())),
 		Receivers:      func() int { return 1 },
-		Tell:           func(news membership.Hints) { n.gossip.Load().SendToOtherZones(news.Placements) },
+		Tell:           func(hints membership.Hints) { n.gossip.Load().SendToOtherZones(hints.Placements) },
 	})
 }
 
-// remoteLoadPace lets an instance sleep that is no scheduler.
+// remoteLoadPace returns the current interval between two sends of loads to other zones. It is
+// one second for an instance that has none to send because it is no scheduler.
 func (n *Node) remoteLoadPace() time.Duration {
 	if len(n.schedulers()) > 0 && n.selectsEndpoints() {
 		return remoteLoadInterval
@@ -242,14 +249,14 @@
 	return time.Second
 }
 
-// sendRemoteLoads lets the schedulers of other zones know what this instance has at
-// endpoints.
+// sendRemoteLoads sends this instance's load at endpoints to the schedulers of other zones
+// until the instance stops.
 func (n *Node) sendRemoteLoads() {
 	n.remoteLoads.Run(n.lifetime, gossip.HintOptions{
 		Period:         remoteLoadInterval,
 		Pace:           n.remoteLoadPace,
-		BytesPerSecond: int(remoteLoadsPart * float64(n.hintBytesPerSecond())),
+		BytesPerSecond: int(remoteLoadFraction * float64(n.hintBytesPerSecond())),
 		Receivers:      func() int { return n.gossip.Load().RemoteSchedulers() },
-		Tell:           func(news membership.Hints) { n.gossip.Load().SendLoadsToOtherZones(news.Loads) },
+		Tell:           func(hints membership.Hints) { n.gossip.Load().SendLoadsToOtherZones(hints.Loads) },
 	})
 }
--- a/node/kvstores.go
+++ b/node/kvstores.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// kvStoreProbeInterval is the time between two looks at the stores of cached prompts,
-	// and storeTimeout how long one may take to take a connection. An engine that
-	// fetches from a store that is gone loses some tenths of a second with each
-	// request.
-	kvStoreProbeInterval  = 600 * time.Millisecond
-	kvStoreProbeTimeout = 300 * time.Millisecond
+	// kvStoreProbeInterval is the interval between two health probes of the KV cache stores,
+	// and kvStoreProbeTimeout bounds the connection attempt of a probe. An engine that fetches
+	// from an unreachable store loses some tenths of a second with each request.
+	kvStoreProbeInterval = 600 * time.Millisecond
+	kvStoreProbeTimeout  = 300 * time.Millisecond
 )
 
-// kvStoreSet holds the kvStoreSet of cached prompts that take connections. It is safe
-// for concurrent use.
+// kvStoreSet holds the KV cache stores whose last health probe succeeded. It is safe for
+// concurrent use.
 type kvStoreSet struct {
-	mu   sync.Mutex
-	rows []fleet.Endpoint
+	mu        sync.Mutex
+	reachable []fleet.Endpoint
 }
 
+// endpoints returns the reachable stores.
 func (s *kvStoreSet) endpoints() []fleet.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.rows)
+	return slices.Clone(s.reachable)
 }
 
-func (s *kvStoreSet) set(rows []fleet.Endpoint) {
+// set replaces the reachable stores.
+func (s *kvStoreSet) set(reachable []fleet.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows = rows
+	s.reachable = reachable
 }
 
-// probeKVStores looks which of the configured stores take connections. The platform
-// lists no stores.
+// probeKVStores probes the configured stores periodically until the context ends, while this
+// instance polls the platform's list. Stores are not on that list.
 func (n *Node) probeKVStores(ctx context.Context) {
 	ticker := time.NewTicker(kvStoreProbeInterval)
 	defer ticker.Stop()
@@ -66,8 +67,8 @@
 	}
 }
 
-// currentConfiguration reads the currentConfiguration that this replica has, unless it is the
-// one that the caller has already.
+// currentConfiguration returns the newest configuration that this replica knows. It parses the
+// document only if its number differs from that of known, the caller's table.
 func (n *Node) currentConfiguration(known *routes.Table) *routes.Table {
 	var number uint64
 	var content []byte
@@ -81,24 +82,24 @@
 	}
 	table, err := n.options.Platform.ParseConfiguration(content)
 	if err != nil {
-		return known // it was read before it was decided
+		return known // documents are validated before they are committed
 	}
 	return table
 }
 
-// probeAll returns the stores that take a connection. They are asked at once,
-// so that one that is gone does not hold up what is known of the others.
-func probeAll(ctx context.Context, dial engine.Dial, all []*routes.Service) []fleet.Endpoint {
-	found := make([][]fleet.Endpoint, len(all))
+// probeAll returns the stores that accept a connection. It probes them concurrently, so that
+// an unreachable store does not delay the results of the others.
+func probeAll(ctx context.Context, dial engine.Dial, stores []*routes.Service) []fleet.Endpoint {
+	results := make([][]fleet.Endpoint, len(stores))
 	var probes sync.WaitGroup
-	for i, store := range all {
-		probes.Go(func() { found[i] = probe(ctx, dial, store) })
+	for i, store := range stores {
+		probes.Go(func() { results[i] = probe(ctx, dial, store) })
 	}
 	probes.Wait()
-	return slices.Concat(found...)
+	return slices.Concat(results...)
 }
 
-// probe returns a store as an endpoint if it takes a connection.
+// probe returns a store as an endpoint if it accepts a connection, and nothing otherwise.
 func probe(ctx context.Context, dial engine.Dial, store *routes.Service) []fleet.Endpoint {
 	bounded, cancel := context.WithTimeout(ctx, kvStoreProbeTimeout)
 	defer cancel()
--- a/node/listen.go
+++ b/node/listen.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// headerTimeout bounds the time for a header, and idleTimeout that between
-	// two requests of a connection; it is above what operators allow callers.
+	// headerTimeout bounds the time to read a request's header, and idleTimeout the time
+	// between two requests of a connection. Both are above what operators allow callers.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = time.Minute
 )
 
-// serve opens a listener and serves it until the instance stops.
+// serve opens a listener and serves it in the background until the instance stops.
 func (n *Node) serve(server *http.Server, at netip.AddrPort) error {
 	listener, err := net.Listen("tcp", at.String())
 	if err != nil {
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// serveInstances serves the other instances, and scrapers of metrics.
+// serveInstances serves the RPCs of other instances, and the metrics if an address for them is
+// set.
 func (n *Node) serveInstances() error {
 	s := n.options.Settings
 	mux := http.NewServeMux()
@@ -71,8 +72,8 @@
 	return n.serve(&http.Server{Handler: metrics}, s.Listen.Metrics)
 }
 
-// broadcastSuspects tells the other entry instances what was running when an
-// endpoint crashed.
+// broadcastSuspects reports the requests that were running when an endpoint crashed to all
+// other entry instances.
 func (n *Node) broadcastSuspects(suspects []quarantine.Suspect) {
 	report := peers.EncodeReport(suspects)
 	n.callEntryPeers(func(ctx context.Context, at string) {
--- a/node/members.go
+++ b/node/members.go
@@ -18,11 +18,12 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// datagramKey marks the datagrams of forwarding deployments. The network keeps
-// strangers out; this only drops what is not meant for the system.
+// datagramKey is the shared key of the datagrams of forwarding deployments. It is not a secret:
+// the network keeps unauthorised senders out, and the key only rejects datagrams that are not
+// meant for the system.
 const datagramKey = "carawaystile forwarding deployment"
 
-// startMembership joins the other instances.
+// startMembership joins the gossip membership and starts to send hints.
 func (n *Node) startMembership() error {
 	s := n.options.Settings
 	var seeds []netip.AddrPort
@@ -66,55 +67,61 @@
 	return nil
 }
 
-// handleMembersChanged lets the entry know how many share limits with it.
+// handleMembersChanged passes on what depends on the set of entry instances: this instance's
+// rank among them, the number of them that share rate limits, the loss of one that may have
+// owned token buckets, and the number of schedulers.
 func (n *Node) handleMembersChanged(members []membership.Member) {
 	if n.entry == nil {
 		return
 	}
-	rank, of := 0, 0
+	rank, count := 0, 0
 	for _, m := range members {
 		if m.Roles&membership.RoleEntry == 0 || m.State >= membership.Dead {
 			continue
 		}
-		of++
+		count++
 		if m.Instance < n.options.Settings.Instance {
 			rank++
 		}
 	}
-	peers := n.peerCount.observe(n.now(), of)
+	peers := n.peerCount.observe(n.now(), count)
 	n.limitSharers.Store(int64(peers))
 	n.entry.SetInstanceRank(rank, peers)
 	n.detectLostEntries(members)
 	n.entry.SetSchedulerCounts(membership.CountSchedulers(members, n.options.Settings.Zone))
 }
 
-// peerCountWindow is for how long the highest number of peers counts.
+// peerCountWindow is the time for which a maximum number of entry instances stays valid.
 const peerCountWindow = time.Minute
 
-// peerCountMax remembers the most entry instances that were known of late. Those
-// that are cut off are not known and go on all the same.
+// peerCountMax is the recent maximum of the number of known entry instances. Instances that
+// are partitioned are not known but continue to admit requests, so they still count towards
+// shared limits. It is safe for concurrent use.
 type peerCountMax struct {
 	mu        sync.Mutex
 	count     int
 	countedAt tables.Instant
 }
 
-func (p *peerCountMax) observe(now tables.Instant, of int) int {
+// observe records a current number and returns the maximum. After peerCountWindow without a
+// number that reaches the maximum, the current one replaces it.
+func (p *peerCountMax) observe(now tables.Instant, count int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if of >= p.count || now-p.countedAt > peerCountWindow {
-		p.count, p.countedAt = of, now
+	if count >= p.count || now-p.countedAt > peerCountWindow {
+		p.count, p.countedAt = count, now
 	}
 	return p.count
 }
 
-// controlClientCache keeps one client for each control instance. It is safe for
+// controlClientCache caches one RPC client for each control instance. It is safe for
 // concurrent use.
 type controlClientCache struct {
 	mu      sync.Mutex
 	clients map[string]rpc.Deployment
 }
 
+// source returns the cached client for an address, or creates it.
 func (c *controlClientCache) source(address string, client *http.Client) deployment.Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,23 +136,23 @@
 	return deployment.Source{Name: address, Deployment: known}
 }
 
-// controlSources lists the control instances, those of the own zone first:
-// they are reached when the zone is cut off. Seeds come after those that
-// membership knows of.
+// controlSources lists the control instances in order of preference: those of the instance's
+// zone, which stay reachable when the zone is partitioned, then those of other zones, then the
+// seeds that are not known members.
 func (n *Node) controlSources() []deployment.Source {
-	var near, far []netip.AddrPort
+	var sameZone, otherZones []netip.AddrPort
 	if joined := n.gossip.Load(); joined != nil {
 		for _, m := range joined.Members() {
 			switch {
 			case m.Roles&membership.RoleControl == 0 || m.State >= membership.Dead:
 			case m.Zone == n.options.Settings.Zone:
-				near = append(near, m.Control)
+				sameZone = append(sameZone, m.Control)
 			default:
-				far = append(far, m.Control)
+				otherZones = append(otherZones, m.Control)
 			}
 		}
 	}
-	all := append(near, far...)
+	all := append(sameZone, otherZones...)
 	for _, seed := range n.seedInstances() {
 		if !slices.Contains(all, seed) {
 			all = append(all, seed)
@@ -158,7 +165,7 @@
 	return sources
 }
 
-// liveEntryMembers lists the living entry instances, this one among them.
+// liveEntryMembers returns the entry instances that are not dead, including this one.
 func (n *Node) liveEntryMembers() []membership.Member {
 	joined := n.gossip.Load()
 	if joined == nil {
@@ -173,7 +180,7 @@
 	return all
 }
 
-// entryPeerAddresses lists where the other living entry instances answer.
+// entryPeerAddresses returns the RPC addresses of the other live entry instances.
 func (n *Node) entryPeerAddresses() []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, m := range n.liveEntryMembers() {
@@ -184,8 +191,8 @@
 	return all
 }
 
-// cacheReportReceivers lists where the entry instances answer that get reports of what endpoints
-// keep: those that choose, in all zones.
+// cacheReportReceivers returns the RPC addresses of the other entry instances that select
+// endpoints, in all zones: the schedulers, or all entry instances if there are no schedulers.
 func (n *Node) cacheReportReceivers() []netip.AddrPort {
 	joined := n.gossip.Load()
 	if joined == nil {
@@ -204,7 +211,7 @@
 	return all
 }
 
-// callEntryPeers calls every other living entry instance.
+// callEntryPeers calls every other live entry instance, each in its own goroutine.
 func (n *Node) callEntryPeers(call func(ctx context.Context, at string)) {
 	for _, at := range n.entryPeerAddresses() {
 		go func() {
@@ -215,5 +222,5 @@
 	}
 }
 
-// suspectNotifyTimeout bounds notifying one instance of a crash, with all tries.
+// suspectNotifyTimeout bounds the report of a crash to one instance, including retries.
 const suspectNotifyTimeout = 2500 * time.Millisecond
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,7 @@
-// Package node assembles one instance of a forwarding deployment from its
-// settings: the entry with its decisions, the control role, membership and the
-// listeners. What speaks to the platform is handed in.
+// Package node assembles one instance of a forwarding deployment from its settings: the entry
+// role, which proxies requests, the control role, which holds a replica of the control state,
+// the gossip membership and the listeners. The adapters to the platform's protocols are
+// injected as a Platform.
 package node
 
 import (
@@ -37,110 +38,125 @@
 	"github.com/carawaystile/carawaystile/usage"
 )
 
-// Platform is what speaks to the outside in the platform's words.
+// Platform holds the adapters to the platform's protocols and document formats.
 type Platform struct {
+	// Headers names the HTTP headers of requests and responses.
 	Headers *dialect.Headers
-	// ParseConfiguration reads an operator's document.
+	// ParseConfiguration parses and validates an operator's configuration document.
 	ParseConfiguration func(document []byte) (*routes.Table, error)
-	// NewLister reads the platform's list of endpoints at an address.
+	// NewLister returns a client for the platform's list of endpoints at an address.
 	NewLister func(at netip.AddrPort) EndpointLister
-	// EngineClient speaks with engines about their weights.
+	// EngineClient queries engines for their weights and orders them to load others.
 	EngineClient rollout.EngineClient
-	// CacheReporter asks engines and stores what they keep of prompts; nil where they do
-	// not tell.
+	// CacheReporter reads the cache events of engines and KV cache stores; nil if they report
+	// none.
 	CacheReporter engine.Reporter
-	// OperatorHandler serves operators' calls.
+	// OperatorHandler returns the HTTP handler for operators' calls.
 	OperatorHandler func(documents *deployment.Service, log *zap.Logger) http.Handler
 }
 
-// EndpointLister reads the list of endpoints.
+// EndpointLister reads the platform's list of endpoints.
 type EndpointLister interface {
+	// Endpoints returns all endpoints on the list.
 	Endpoints(ctx context.Context) ([]fleet.Endpoint, error)
 }
 
-// Options are what an instance is started from.
+// Options configures an instance.
 type Options struct {
 	Settings *settings.Forwarding
 	Platform Platform
-	Log      *zap.Logger
+	// Log receives the log; nil discards it.
+	Log *zap.Logger
 }
 
-// memoryLimitFraction is the part of its memory beyond which an instance spends more
-// processor time on keeping it small.
+// memoryLimitFraction is the soft memory limit of the Go runtime as a fraction of the
+// instance's memory. Above it the garbage collector spends more processor time.
 const memoryLimitFraction = 0.6
 
-// dialTimeout bounds the opening of a connection to another instance: twice a round
-// trip between regions. After all machines lost power, entry instances start while the
-// control instances' machines are still dark, and each attempt lasts that long before
-// the next finds them up. idleConnTimeout is how long a connection is kept.
+// dialTimeout bounds the time to open a connection to another instance. It is twice a round
+// trip between regions. After a power loss of all machines, entry instances start while the
+// control instances' machines are still down; each attempt to connect then takes this long, and
+// delays the one that succeeds. idleConnTimeout is the time for which an idle connection is
+// kept.
 const (
-	dialTimeout  = 250 * time.Millisecond
+	dialTimeout     = 250 * time.Millisecond
 	idleConnTimeout = 20 * time.Second
 )
 
-// Node is one running instance. Its methods are safe for concurrent use.
+// Node is a running instance. Its methods are safe for concurrent use.
 type Node struct {
 	options  Options
 	settings atomic.Pointer[settings.Forwarding]
 	log      *zap.Logger
-	started  time.Time
+	// started is the origin of the times that now returns.
+	started time.Time
+	// boot is the boot epoch, which increases with every start: the start time in Unix
+	// nanoseconds.
 	boot     uint64
 	registry *metrics.Registry
 
+	// client calls other instances.
 	client *http.Client
 	// dial opens connections to endpoints and instances.
-	dial      engine.Dial
-	dialer    *transport.Dialer
-	controlClients   controlClientCache
-	gossip   atomic.Pointer[gossip.Gossip]
+	dial           engine.Dial
+	dialer         *transport.Dialer
+	controlClients controlClientCache
+	gossip         atomic.Pointer[gossip.Gossip]
+	// peerCount is the number of entry instances including this one.
 	peerCount peerCountMax
-	// limitSharers is how many entry instances share limits, as far as was known of late.
+	// limitSharers is the recent maximum number of entry instances that share rate limits.
 	limitSharers atomic.Int64
-	// zoneHints wait to be sent to the other instances.
+	// zoneHints queues hints for the instances that receive them directly, mainly those of the
+	// zone.
 	zoneHints gossip.Hints
-	// remotePlacements waits to be sent to other zones.
+	// remotePlacements queues placements for other zones.
 	remotePlacements gossip.Hints
-	// remoteLoads waits to be sent to the schedulers of other zones.
+	// remoteLoads queues loads for the schedulers of other zones.
 	remoteLoads gossip.Hints
 
-	// The entry role; nil without it.
-	entry  *forward.Server
+	// The following fields belong to the entry role and are nil without it.
+	entry            *forward.Server
 	deploymentClient *deployment.Client
-	// scheduleClient asks schedulers to choose, schedules chooses for other instances.
+	// scheduleClient asks schedulers to select endpoints, and scheduleServer selects endpoints
+	// for other instances.
 	scheduleClient *schedule.Client
-	scheduleServer  *schedule.Server
-	// usageServer keeps usageServer of organisations' usage, limiter asks those that do.
+	scheduleServer *schedule.Server
+	// usageServer holds replicas of the token buckets of organisations, and usageClient admits
+	// requests against them.
 	usageServer *usage.Server
-	usageClient  *usage.Client
-	// zoneEntryInstances are the living entry instances of the own zone. Only membersChanged
-	// uses it.
+	usageClient *usage.Client
+	// zoneEntryInstances holds the live entry instances of this instance's zone. It is used by
+	// handleMembersChanged only.
 	zoneEntryInstances map[tables.InstanceID]bool
-	// callerServer serves the entry.
+	// callerServer serves callers.
 	callerServer *http.Server
 
-	// The control role; nil without it.
+	// The following fields belong to the control role and are nil without it, except for
+	// initializedAt, which belongs to the entry role.
 	folder     *store.Folder
 	replica    *server.Server
 	fleet      *fleet.Table
 	deployment *deployment.Service
-	rollout     *rollout.Controller
-	kvStores     kvStoreSet
-	// initializedAt is when the entry first had a configuration and endpoints; 0 for never.
+	rollout    *rollout.Controller
+	kvStores   kvStoreSet
+	// initializedAt is when the entry role first had a configuration and endpoints; 0 if it
+	// has not yet.
 	initializedAt atomic.Int64
-	// leaderHeardAt is when the instance that gives orders was last heard of.
+	// leaderHeardAt is when the leader last answered; 0 if it has not yet.
 	leaderHeardAt atomic.Int64
-	// listReadAt is when the platform's list was last read.
+	// listReadAt is when the platform's list was last read; 0 if it has not been read yet.
 	listReadAt atomic.Int64
 
-	mu         sync.Mutex
-	servers    []*http.Server
+	mu      sync.Mutex
+	servers []*http.Server
+	// lifetime ends when the instance stops.
 	lifetime   context.Context
 	stop       context.CancelFunc
-	stopOnce     sync.Once
+	stopOnce   sync.Once
 	background sync.WaitGroup
 }
 
-// Start starts the instance and returns once it listens.
+// Start starts an instance and returns once it listens.
 func Start(o Options) (*Node, error) {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -163,6 +179,7 @@
 	return n, nil
 }
 
+// dialInstance opens a connection to another instance within dialTimeout.
 func (n *Node) dialInstance(ctx context.Context, _, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -173,7 +190,7 @@
 	return n.dial(ctx, to)
 }
 
-// start starts the parts, each after those it uses.
+// start starts the components, each after its dependencies.
 func (n *Node) start() error {
 	if n.options.Settings.Control {
 		if err := n.startControl(); err != nil {
@@ -191,20 +208,21 @@
 	return n.startMembership()
 }
 
-// now reads the monotonic clock, as time since the instance started.
+// now returns the monotonic time since the instance was started.
 func (n *Node) now() tables.Instant { return time.Since(n.started) }
 
+// bootID returns the boot epoch as text.
 func (n *Node) bootID() string { return strconv.FormatUint(n.boot, 36) }
 
-// Reload takes over settings that may change while the instance runs: the
-// seeds. Everything else needs a restart.
+// Reload applies the settings that may change at run time, which are the seeds. All others
+// need a restart.
 func (n *Node) Reload(s *settings.Forwarding) {
 	n.settings.Store(s)
 	events.SettingsReread.Log(n.log, zap.Int("seeds", len(s.Seeds)))
 }
 
-// Drain takes the instance out of service without cutting a request. It returns
-// early when the context ends.
+// Drain takes the instance out of service without aborting a request. It returns early when
+// the context ends.
 func (n *Node) Drain(ctx context.Context) {
 	events.DaemonDrainStarted.Log(n.log)
 	if n.entry == nil {
@@ -217,8 +235,8 @@
 	shutdown.Flush(ctx, n.callerServer)
 }
 
-// ReplicaStopped is closed when the control replica has stopped by itself; nil without
-// one.
+// ReplicaStopped returns a channel that is closed when the control replica has stopped by
+// itself. Without a replica it is nil.
 func (n *Node) ReplicaStopped() <-chan struct{} {
 	if n.replica == nil {
 		return nil
@@ -226,9 +244,10 @@
 	return n.replica.Stopped()
 }
 
-// Stop ends the instance at once; open requests are cut.
+// Stop stops the instance immediately and aborts open requests. Further calls have no effect.
 func (n *Node) Stop() { n.stopOnce.Do(n.shutDown) }
 
+// shutDown stops the components and waits for the background goroutines.
 func (n *Node) shutDown() {
 	n.stop()
 	if joined := n.gossip.Load(); joined != nil {
@@ -251,5 +270,5 @@
 	events.DaemonStopped.Log(n.log)
 }
 
-// DrainTimeout is how long a drain may take.
+// DrainTimeout returns the maximum duration of a drain.
 func (n *Node) DrainTimeout() time.Duration { return n.options.Settings.Drain.Timeout }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -26,9 +26,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// fakePlatform is an endpoint with weights, its list and its orders.
+// fakePlatform is a platform with one endpoint: its list, its weights and its orders.
 type fakePlatform struct {
-	at netip.AddrPort
+	address netip.AddrPort
 
 	mu       sync.Mutex
 	version  uint64
@@ -37,34 +37,39 @@
 	draining bool
 }
 
+// newFakePlatform starts an endpoint that responds with the version of the weights that a
+// request expects.
 func newFakePlatform(t *testing.T) *fakePlatform {
 	t.Helper()
 	p := &fakePlatform{version: 1}
-	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request", r.Header.Get("X-Request"))
 		w.Header().Set("X-Signature", "s")
 		_, _ = io.WriteString(w, "weights "+r.Header.Get("X-Expect-Weights"))
 	}))
-	t.Cleanup(served.Close)
-	p.at = netip.MustParseAddrPort(strings.TrimPrefix(served.URL, "http://"))
+	t.Cleanup(endpoint.Close)
+	p.address = netip.MustParseAddrPort(strings.TrimPrefix(endpoint.URL, "http://"))
 	return p
 }
 
+// Endpoints returns the endpoint as the platform's list shows it.
 func (p *fakePlatform) Endpoints(context.Context) ([]fleet.Endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return []fleet.Endpoint{{
-		ID: "e", Service: "models", Address: p.at, Zone: "z", Slots: 4, StartUnixMilli: 1, Draining: p.draining,
+		ID: "e", Service: "models", Address: p.address, Zone: "z", Slots: 4, StartUnixMilli: 1, Draining: p.draining,
 		Weights: map[string]uint64{"m": p.version},
 	}}, nil
 }
 
+// Report returns the weights that the endpoint serves and the sequence number of its next order.
 func (p *fakePlatform) Report(context.Context, fleet.Endpoint) (rollout.Report, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return rollout.Report{Sequence: p.sequence, Weights: map[string]uint64{"m": p.version}}, nil
 }
 
+// Order executes an order at once, unless its sequence number is not the expected one.
 func (p *fakePlatform) Order(_ context.Context, _ fleet.Endpoint, order rollout.Order) (rollout.OrderResult, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,9 +82,9 @@
 	return rollout.Accepted, nil
 }
 
-// configuration makes a table whose number is the document's length, so that
-// tests need no format of documents.
-func configuration(document []byte) (*routes.Table, error) {
+// parseConfiguration returns a routing table with the document as path prefix and its length as
+// revision, so that tests need no document format.
+func parseConfiguration(document []byte) (*routes.Table, error) {
 	return routes.NewTable(routes.Configuration{
 		Revision: uint64(len(document)),
 		Routes: []routes.Route{{
@@ -90,6 +95,7 @@
 	})
 }
 
+// platform returns the adapters to the fake platform.
 func (p *fakePlatform) platform() Platform {
 	return Platform{
 		Headers: &dialect.Headers{
@@ -97,7 +103,7 @@
 			ExpectWeights: "X-Expect-Weights", Signature: "X-Signature", NotRun: "X-Not-Run", Model: "X-Model", Tokens: "X-Tokens",
 			Prefix: "X-Prefix", CacheSalt: "X-Salt", Priority: "X-Priority", LastEvent: "Last-Event-Id",
 		},
-		ParseConfiguration: configuration,
+		ParseConfiguration: parseConfiguration,
 		NewLister:          func(netip.AddrPort) EndpointLister { return p },
 		EngineClient:       p,
 		OperatorHandler: func(*deployment.Service, *zap.Logger) http.Handler {
@@ -106,7 +112,8 @@
 	}
 }
 
-// freePort gives a port that was free a moment ago, for TCP and UDP alike.
+// freePort returns an address whose port was free for TCP at the time of the call. The tests
+// use it for UDP too.
 func freePort(t *testing.T, ip string) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", ip+":0")
@@ -115,8 +122,8 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// cluster is three control instances and an entry instance, each on a loopback
-// address of its own.
+// cluster is a deployment of three control instances and one entry instance, each on its own
+// loopback address.
 type cluster struct {
 	t        *testing.T
 	platform *fakePlatform
@@ -126,16 +133,17 @@
 	callers  netip.AddrPort
 }
 
+// newCluster starts all instances of a deployment.
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	w := &cluster{t: t, platform: newFakePlatform(t)}
-	internal := freePort(t, "127.0.0.1").Port()
+	c := &cluster{t: t, platform: newFakePlatform(t)}
+	internalPort := freePort(t, "127.0.0.1").Port()
 	var seeds []netip.AddrPort
 	for i := range 3 {
 		seeds = append(seeds, freePort(t, fmt.Sprintf("127.31.%d.1", i+1)))
 	}
-	base := func(name, ip string) *settings.Forwarding {
-		at := netip.AddrPortFrom(netip.MustParseAddr(ip), internal)
+	newSettings := func(name, ip string) *settings.Forwarding {
+		at := netip.AddrPortFrom(netip.MustParseAddr(ip), internalPort)
 		return &settings.Forwarding{
 			Instance: tables.InstanceID(name), Zone: "z", New: true, Tolerate: 1, MemoryMB: 100, Seeds: seeds,
 			List:      freePort(t, "127.0.0.1"),
@@ -147,42 +155,44 @@
 		}
 	}
 	for i, seed := range seeds {
-		s := base(fmt.Sprintf("control-%d", i), seed.Addr().String())
+		s := newSettings(fmt.Sprintf("control-%d", i), seed.Addr().String())
 		s.Control, s.Data = true, t.TempDir()
 		s.Listen.Operators = seed
-		w.settings = append(w.settings, s)
-		w.controls = append(w.controls, w.start(s))
+		c.settings = append(c.settings, s)
+		c.controls = append(c.controls, c.start(s))
 	}
-	s := base("entry-0", "127.31.9.1")
+	s := newSettings("entry-0", "127.31.9.1")
 	s.Entry = true
 	s.Listen.Callers = freePort(t, "127.31.9.1")
 	s.Listen.Ready = freePort(t, "127.31.9.1")
-	w.callers = s.Listen.Callers
-	w.entry = w.start(s)
-	return w
+	c.callers = s.Listen.Callers
+	c.entry = c.start(s)
+	return c
 }
 
-func (w *cluster) start(s *settings.Forwarding) *Node {
-	w.t.Helper()
-	n, err := Start(Options{Settings: s, Platform: w.platform.platform(), Log: zaptest.NewLogger(w.t, zaptest.Level(zap.ErrorLevel))})
-	assert.NilError(w.t, err)
-	w.t.Cleanup(n.Stop)
+// start starts an instance that stops at the end of the test.
+func (c *cluster) start(s *settings.Forwarding) *Node {
+	c.t.Helper()
+	n, err := Start(Options{Settings: s, Platform: c.platform.platform(), Log: zaptest.NewLogger(c.t, zaptest.Level(zap.ErrorLevel))})
+	assert.NilError(c.t, err)
+	c.t.Cleanup(n.Stop)
 	return n
 }
 
-// put has control instance i take a document, as often as it needs.
-func (w *cluster) put(i int, name string, number uint64, content string) {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.t.Context(), 30*time.Second)
+// put submits a document to control instance i and waits until it is committed.
+func (c *cluster) put(i int, name string, number uint64, content string) {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(c.t.Context(), 30*time.Second)
 	defer cancel()
-	assert.NilError(w.t, w.controls[i].deployment.Put(ctx, name, number, []byte(content)))
+	assert.NilError(c.t, c.controls[i].deployment.Put(ctx, name, number, []byte(content)))
 }
 
-// get asks the entry; the status and the body of the answer.
-func (w *cluster) get(path string) (int, string) {
-	w.t.Helper()
-	request, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, "http://"+w.callers.String()+path, nil)
-	assert.NilError(w.t, err)
+// get sends a request through the entry instance and returns the status and the body of the
+// response. A failed connection gives status 0.
+func (c *cluster) get(path string) (int, string) {
+	c.t.Helper()
+	request, err := http.NewRequestWithContext(c.t.Context(), http.MethodGet, "http://"+c.callers.String()+path, nil)
+	assert.NilError(c.t, err)
 	request.Host = "h.example"
 	request.Header.Set("X-Model", "m")
 	request.Header.Set("X-Tokens", "10,1")
@@ -193,93 +203,94 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	assert.NilError(w.t, err)
+	assert.NilError(c.t, err)
 	return resp.StatusCode, string(body)
 }
 
-// waitFor waits waitFor an answer is as wanted.
-func (w *cluster) waitFor(path string, status int, body string) {
-	w.t.Helper()
+// waitFor repeats a request until the response has the given status and contains the given
+// text.
+func (c *cluster) waitFor(path string, status int, body string) {
+	c.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for {
-		got, text := w.get(path)
+		got, text := c.get(path)
 		if got == status && strings.Contains(text, body) {
 			return
 		}
 		if time.Now().After(deadline) {
-			w.t.Fatalf("%s still gives %d %q in place of %d %q", path, got, text, status, body)
+			c.t.Fatalf("GET %s: status %d and body %q, want %d and %q", path, got, text, status, body)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// A whole deployment, from the first document to new weights, with a control
-// instance lost on the way. Callers are served all the while, and what was
-// acknowledged stays in force.
+// Requests must be served from the first configuration on, through later configurations,
+// rollouts of weights and the loss of the leader. An acknowledged document must stay in
+// effect, an older one must not replace it, and the fencing tokens of orders must never
+// decrease.
 func TestDeploymentServesThroughUpdatesAndLeaderLoss(t *testing.T) {
-	w := newCluster(t)
-	status, _ := w.get("/a/x")
+	c := newCluster(t)
+	status, _ := c.get("/a/x")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
-	w.put(0, deployment.ConfigurationName, 3, "/a/")
-	w.waitFor("/a/x", 200, "weights 1")
+	c.put(0, deployment.ConfigurationName, 3, "/a/")
+	c.waitFor("/a/x", 200, "weights 1")
 
-	w.put(1, deployment.ConfigurationName, 5, "/bcd/")
-	w.waitFor("/a/x", 404, "")
-	w.waitFor("/bcd/x", 200, "")
-	w.put(2, deployment.ConfigurationName, 4, "/ab/")
-	content, err := w.controls[2].deployment.Newest(t.Context(), deployment.ConfigurationName)
+	c.put(1, deployment.ConfigurationName, 5, "/bcd/")
+	c.waitFor("/a/x", 404, "")
+	c.waitFor("/bcd/x", 200, "")
+	c.put(2, deployment.ConfigurationName, 4, "/ab/")
+	content, err := c.controls[2].deployment.Newest(t.Context(), deployment.ConfigurationName)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "/bcd/")
 
-	w.put(0, deployment.WeightsName("m"), 2, "")
-	w.waitFor("/bcd/x", 200, "weights 2")
+	c.put(0, deployment.WeightsName("m"), 2, "")
+	c.waitFor("/bcd/x", 200, "weights 2")
 
-	lost := 0
-	for i, n := range w.controls {
+	leader := 0
+	for i, n := range c.controls {
 		if n.replica.Status().IsLeader {
-			lost = i
+			leader = i
 		}
 	}
-	w.controls[lost].Stop()
-	w.put((lost+1)%3, deployment.WeightsName("m"), 3, "")
-	w.waitFor("/bcd/x", 200, "weights 3")
-	w.platform.mu.Lock()
-	fences := w.platform.fences
-	w.platform.mu.Unlock()
+	c.controls[leader].Stop()
+	c.put((leader+1)%3, deployment.WeightsName("m"), 3, "")
+	c.waitFor("/bcd/x", 200, "weights 3")
+	c.platform.mu.Lock()
+	fences := c.platform.fences
+	c.platform.mu.Unlock()
 	for i := 1; i < len(fences); i++ {
-		assert.Assert(t, fences[i] >= fences[i-1], "fences %v", fences)
+		assert.Assert(t, fences[i] >= fences[i-1], "fencing tokens decrease: %v", fences)
 	}
 }
 
-// A control instance loses its disk and comes back with an empty one. It must
-// join the group that there is and give away nothing older than what was
-// acknowledged.
+// A control instance loses its disk and restarts with an empty one. It must join the existing
+// group and must not return documents older than an acknowledged one.
 func TestControlInstanceRejoinsWithEmptyDisk(t *testing.T) {
-	w := newCluster(t)
-	w.put(0, deployment.ConfigurationName, 3, "/a/")
-	w.controls[1].Stop()
-	restarted := *w.settings[1]
+	c := newCluster(t)
+	c.put(0, deployment.ConfigurationName, 3, "/a/")
+	c.controls[1].Stop()
+	restarted := *c.settings[1]
 	restarted.Data, restarted.New = t.TempDir(), false
-	w.controls[1] = w.start(&restarted)
-	w.put(0, deployment.ConfigurationName, 5, "/bcd/")
+	c.controls[1] = c.start(&restarted)
+	c.put(0, deployment.ConfigurationName, 5, "/bcd/")
 	deadline := time.Now().Add(30 * time.Second)
-	for !w.controls[1].replica.Status().IsVoter {
-		assert.Assert(t, time.Now().Before(deadline), "it does not vote")
+	for !c.controls[1].replica.Status().IsVoter {
+		assert.Assert(t, time.Now().Before(deadline), "the restarted instance has not become a voter")
 		time.Sleep(10 * time.Millisecond)
 	}
-	content, err := w.controls[1].deployment.Newest(t.Context(), deployment.ConfigurationName)
+	content, err := c.controls[1].deployment.Newest(t.Context(), deployment.ConfigurationName)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "/bcd/")
 }
 
-// The platform's list shows that the endpoint leaves. Callers must get no work
-// cut off there: the instance stops sending it any.
+// Requests to an endpoint that leaves would be cut off. Once the platform's list shows the
+// endpoint as draining, the entry instance must not send requests to it.
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
-	w := newCluster(t)
-	w.put(0, deployment.ConfigurationName, 3, "/a/")
-	w.waitFor("/a/x", 200, "")
-	w.platform.mu.Lock()
-	w.platform.draining = true
-	w.platform.mu.Unlock()
-	w.waitFor("/a/x", http.StatusServiceUnavailable, "not_run")
+	c := newCluster(t)
+	c.put(0, deployment.ConfigurationName, 3, "/a/")
+	c.waitFor("/a/x", 200, "")
+	c.platform.mu.Lock()
+	c.platform.draining = true
+	c.platform.mu.Unlock()
+	c.waitFor("/a/x", http.StatusServiceUnavailable, "not_run")
 }
--- a/node/readerselection.go
+++ b/node/readerselection.go
@@ -8,46 +8,49 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// readerCandidate is an entry instance with the hash that its draws are made of.
+// readerCandidate is an entry instance with its hash for rendezvous hashing.
 type readerCandidate struct {
 	instance tables.InstanceID
 	hash     uint64
 }
 
-// readerSelector are the entry instances that may read what endpoints keep.
+// readerSelector assigns each endpoint to the entry instance that reads its cache events, by
+// rendezvous hashing. When an instance joins or leaves, only the endpoints that it gains or
+// loses move.
 type readerSelector struct {
 	all    []readerCandidate
 	byZone map[tables.Zone][]readerCandidate
 }
 
+// newReaderSelector returns a selector over the given entry instances.
 func newReaderSelector(entries []membership.Member) *readerSelector {
 	r := &readerSelector{byZone: map[tables.Zone][]readerCandidate{}}
 	for _, m := range entries {
-		one := readerCandidate{instance: m.Instance, hash: xxhash.Sum64String(string(m.Instance))}
-		r.all = append(r.all, one)
-		r.byZone[m.Zone] = append(r.byZone[m.Zone], one)
+		candidate := readerCandidate{instance: m.Instance, hash: xxhash.Sum64String(string(m.Instance))}
+		r.all = append(r.all, candidate)
+		r.byZone[m.Zone] = append(r.byZone[m.Zone], candidate)
 	}
 	return r
 }
 
-// hasZone says whether a zone has readers of its own.
+// hasZone reports whether a zone has entry instances.
 func (r *readerSelector) hasZone(zone tables.Zone) bool { return len(r.byZone[zone]) > 0 }
 
-// readerOf picks the instance that reads an endpoint: readerOf those in its zone, or readerOf all
-// where the zone has none, the one with the highest draw readerOf a hash over both. It is
-// empty if there is no instance.
+// readerOf returns the instance that reads an endpoint: the one with the highest hash of both
+// among those in the endpoint's zone, or among all if the zone has none. It is empty if there
+// is no instance.
 func (r *readerSelector) readerOf(id tables.EndpointID, zone tables.Zone) tables.InstanceID {
 	candidates := r.byZone[zone]
 	if len(candidates) == 0 {
 		candidates = r.all
 	}
 	hash := xxhash.Sum64String(string(id))
-	var picked tables.InstanceID
-	var best uint64
-	for _, one := range candidates {
-		if draw := placement.Mix(hash ^ one.hash); picked == "" || draw > best {
-			picked, best = one.instance, draw
+	var reader tables.InstanceID
+	var bestScore uint64
+	for _, candidate := range candidates {
+		if score := placement.Mix(hash ^ candidate.hash); reader == "" || score > bestScore {
+			reader, bestScore = candidate.instance, score
 		}
 	}
-	return picked
+	return reader
 }
--- a/node/scheduling.go
+++ b/node/scheduling.go
@@ -11,11 +11,11 @@
 	"github.com/carawaystile/carawaystile/systems/membership"
 )
 
-// schedulerWarmUp is how long an instance that has just started does not choose for
-// others: it receives all loads once a second.
+// schedulerWarmUp is the time after initialisation during which an instance does not select
+// endpoints for others. Within it all loads arrive, since each is sent once a second.
 const schedulerWarmUp = 1200 * time.Millisecond
 
-// newScheduleClient makes the client that asks schedulers.
+// newScheduleClient creates the client that asks schedulers to select endpoints.
 func (n *Node) newScheduleClient() *schedule.Client {
 	n.scheduleClient = schedule.NewClient(schedule.ClientOptions{
 		Self:       n.options.Settings.Instance,
@@ -28,13 +28,15 @@
 	return n.scheduleClient
 }
 
+// sendSchedule sends a message of the scheduling protocol.
 func (n *Node) sendSchedule(to netip.AddrPort, message *rpc.ScheduleMessage) {
 	if joined := n.gossip.Load(); joined != nil {
 		joined.SendSchedule(to, message)
 	}
 }
 
-// schedulers lists those of the own zone; none where each instance chooses for itself.
+// schedulers returns the schedulers of this instance's zone, best first. There are none if
+// each instance selects endpoints by itself.
 func (n *Node) schedulers() []membership.EntryInstance {
 	if joined := n.gossip.Load(); joined != nil {
 		return joined.Schedulers()
@@ -42,8 +44,8 @@
 	return nil
 }
 
-// selectsEndpoints says whether this instance chooses endpoints: it is a scheduler, or each
-// instance chooses for itself.
+// selectsEndpoints reports whether this instance selects endpoints: either it is a scheduler,
+// or there are no schedulers and each instance selects by itself.
 func (n *Node) selectsEndpoints() bool {
 	schedulers := n.schedulers()
 	return len(schedulers) == 0 || slices.ContainsFunc(schedulers, func(s membership.EntryInstance) bool {
@@ -51,13 +53,14 @@
 	})
 }
 
-// isFirstScheduler says whether this instance is the first scheduler of its zone.
+// isFirstScheduler reports whether this instance is the first scheduler of its zone.
 func (n *Node) isFirstScheduler() bool {
 	schedulers := n.schedulers()
 	return len(schedulers) > 0 && schedulers[0].Instance == n.options.Settings.Instance
 }
 
-// handleScheduleMessage takes a message between an entry instance and a scheduler.
+// handleScheduleMessage handles a message of the scheduling protocol. An instance that has not
+// warmed up yet returns an empty answer to a question.
 func (n *Node) handleScheduleMessage(from membership.Sender, message *rpc.ScheduleMessage) {
 	if n.entry == nil {
 		return
@@ -77,11 +80,13 @@
 	}
 }
 
-// processorWeight weighs an instance against others by its processors, in hundredths.
+// processorWeight returns the weight of an instance relative to others: its number of
+// processors in hundredths.
 func processorWeight(processors float64) int { return max(1, int(math.Round(100*processors))) }
 
-// isWarmedUp says whether this instance has heard enough to choose for others.
+// isWarmedUp reports whether this instance has received enough load information to select
+// endpoints for others.
 func (n *Node) isWarmedUp() bool {
-	known := n.initializedAt.Load()
-	return known > 0 && n.now()-time.Duration(known) >= schedulerWarmUp
+	initializedAt := n.initializedAt.Load()
+	return initializedAt > 0 && n.now()-time.Duration(initializedAt) >= schedulerWarmUp
 }
--- a/node/usage.go
+++ b/node/usage.go
@@ -11,7 +11,8 @@
 	"github.com/carawaystile/carawaystile/usage"
 )
 
-// newUsageClient makes what enforces rate limits over all instances.
+// newUsageClient creates the server and the client of the distributed rate limiter, and
+// returns the client.
 func (n *Node) newUsageClient() *usage.Client {
 	n.usageServer = usage.NewServer(usage.ServerOptions{
 		Self: n.options.Settings.Instance, Zone: n.options.Settings.Zone, BootEpoch: n.boot, EntriesByZone: n.entriesByZone, Send: n.sendUsage, Now: n.now,
@@ -24,12 +25,13 @@
 	return n.usageClient
 }
 
+// usageTolerance returns the configured tolerance of usage limits.
 func (n *Node) usageTolerance() usage.Tolerance {
 	s := n.options.Settings.Usage
 	return usage.Tolerance{Overage: s.Overage, Slack: s.Slack}
 }
 
-// usageLimits are the organisations' limits of a configuration.
+// usageLimits returns the rate limits of the organisations in a configuration.
 func (n *Node) usageLimits(table *routes.Table) map[usage.Subject]usage.Limit {
 	limits := map[usage.Subject]usage.Limit{}
 	for i := range table.Organisations {
@@ -40,6 +42,7 @@
 	return limits
 }
 
+// entriesByZone returns the live entry instances of each zone.
 func (n *Node) entriesByZone() map[tables.Zone][]membership.EntryInstance {
 	if joined := n.gossip.Load(); joined != nil {
 		return joined.EntriesByZone()
@@ -47,33 +50,34 @@
 	return nil
 }
 
+// sendUsage sends a message of the rate limiter.
 func (n *Node) sendUsage(to netip.AddrPort, message *rpc.UsageMessage) {
 	if joined := n.gossip.Load(); joined != nil {
 		joined.SendUsage(to, message)
 	}
 }
 
-// handleUsageMessage takes a message about organisations' usage.
+// handleUsageMessage handles a message of the rate limiter.
 func (n *Node) handleUsageMessage(from membership.Sender, message *rpc.UsageMessage) {
 	if n.usageClient != nil {
 		n.usageClient.HandleMessage(from, message)
 	}
 }
 
-// detectLostEntries has the accounts know when an entry instance of the zone is gone, which
-// may have kept some.
+// detectLostEntries notifies the usage server when an entry instance of the zone has left or
+// died, since that instance may have owned token buckets.
 func (n *Node) detectLostEntries(members []membership.Member) {
-	living := map[tables.InstanceID]bool{}
+	live := map[tables.InstanceID]bool{}
 	for _, m := range members {
 		if m.Zone == n.options.Settings.Zone && m.Roles&membership.RoleEntry != 0 && m.State <= membership.Suspect {
-			living[m.Instance] = true
+			live[m.Instance] = true
 		}
 	}
 	for id := range n.zoneEntryInstances {
-		if !living[id] {
+		if !live[id] {
 			n.usageServer.NoteEntriesLost()
 			break
 		}
 	}
-	n.zoneEntryInstances = living
+	n.zoneEntryInstances = live
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -24,7 +24,7 @@
 	for _, part := range []any{s, s.Incarnation, s.CrashPoint} {
 		fields := reflect.ValueOf(part)
 		for i := range fields.NumField() {
-			assert.Assert(t, !fields.Field(i).IsZero(), "the test leaves %s empty", fields.Type().Field(i).Name)
+			assert.Assert(t, !fields.Field(i).IsZero(), "field %s of the test's suspect is not set", fields.Type().Field(i).Name)
 		}
 	}
 	assert.Equal(t, decodeSuspect(encodeSuspect(s)), s)
