--- a/node/cachesync.go
+++ b/node/cachesync.go
@@ -193,13 +193,13 @@
 func netChanges(b feed.Batch) (stored, evicted []parts.Key) {
 	last := map[parts.Key]bool{}
 	var order []parts.Key
-	record := func(blocks []tables.BlockHash, stored bool) {
+	record := func(blocks []tables.BlockHash, present bool) {
 		for _, block := range blocks {
 			key := parts.Key(block)
 			if _, known := last[key]; !known {
 				order = append(order, key)
 			}
-			last[key] = stored
+			last[key] = present
 		}
 	}
 	for _, change := range b.Changes {
--- a/node/cachesync_test.go
+++ b/node/cachesync_test.go
@@ -62,13 +62,13 @@
 // were ignored, the reader would report a part that has been evicted, or omit one that is
 // cached.
 func TestNetChangesKeepLastStateOfEachPart(t *testing.T) {
-	change := func(stored, evicted tables.BlockHash) engine.CacheChange {
+	change := func(storedBlock, evictedBlock tables.BlockHash) engine.CacheChange {
 		var c engine.CacheChange
-		if stored != 0 {
-			c.Stored = []tables.BlockHash{stored}
+		if storedBlock != 0 {
+			c.Stored = []tables.BlockHash{storedBlock}
 		}
-		if evicted != 0 {
-			c.Evicted = []tables.BlockHash{evicted}
+		if evictedBlock != 0 {
+			c.Evicted = []tables.BlockHash{evictedBlock}
 		}
 		return c
 	}
