--- a/node/cachesync.go
+++ b/node/cachesync.go
@@ -216,8 +216,9 @@
 	return stored, evicted
 }
 
-// sendHoldings sends cache contents to another instance in the background. If that fails,
-// sendToNewPeers sends the whole inventory at the next assignment of readers.
+// sendHoldings sends cache contents to another instance in the background. If that fails and
+// the zone has schedulers, sendToNewPeers sends the whole inventory at the next assignment of
+// readers.
 func (c *cacheSync) sendHoldings(at netip.AddrPort, holdings []dispatch.EndpointCache) {
 	if len(holdings) == 0 {
 		return
