--- a/node/cacheinventory.go
+++ b/node/cacheinventory.go
@@ -9,63 +9,70 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// kept is what the endpoints keep that this instance reads, by their own reports. It is
-// sent to every instance that begins to choose: after a restart of all instances the
-// readers know of caches before they know who chooses.
-type kept struct {
-	endpoints map[tables.EndpointID]*keptParts
+// cacheInventory holds the cache contents of the endpoints that this instance reads, as the
+// endpoints report them. Every instance that becomes a scheduler receives it: after a restart
+// of all instances the readers know the caches before they know the schedulers. The zero value
+// is empty.
+type cacheInventory struct {
+	endpoints map[tables.EndpointID]*endpointInventory
 }
 
-type keptParts struct {
+// endpointInventory is the set of keys in one endpoint's cache, in the order of their
+// insertion.
+type endpointInventory struct {
 	keys map[parts.Key]struct{}
-	// order has the keys as they came; some may be gone from keys.
+	// order lists the keys from the oldest to the newest. It may contain keys that have been
+	// evicted, and contains a key twice that was stored again after an eviction.
 	order []parts.Key
 }
 
-// take takes an endpoint's report; all is set if it is about everything that it keeps.
-func (k *kept) take(id tables.EndpointID, stored, dropped []parts.Key, all bool) {
-	if k.endpoints == nil {
-		k.endpoints = map[tables.EndpointID]*keptParts{}
+// apply records the changes of an endpoint's cache; all is set if stored is the complete
+// cache. Once the order has more than 2*maxReportedKeys entries, evicted keys are removed from
+// it.
+func (c *cacheInventory) apply(id tables.EndpointID, stored, evicted []parts.Key, all bool) {
+	if c.endpoints == nil {
+		c.endpoints = map[tables.EndpointID]*endpointInventory{}
 	}
-	p := k.endpoints[id]
-	if p == nil || all {
-		p = &keptParts{keys: map[parts.Key]struct{}{}}
-		k.endpoints[id] = p
+	inventory := c.endpoints[id]
+	if inventory == nil || all {
+		inventory = &endpointInventory{keys: map[parts.Key]struct{}{}}
+		c.endpoints[id] = inventory
 	}
-	for _, key := range dropped {
-		delete(p.keys, key)
+	for _, key := range evicted {
+		delete(inventory.keys, key)
 	}
 	for _, key := range stored {
-		if _, known := p.keys[key]; !known {
-			p.keys[key] = struct{}{}
-			p.order = append(p.order, key)
+		if _, known := inventory.keys[key]; !known {
+			inventory.keys[key] = struct{}{}
+			inventory.order = append(inventory.order, key)
 		}
 	}
-	if len(p.order) > 2*maxHoldings {
-		p.order = slices.DeleteFunc(p.order, func(key parts.Key) bool {
-			_, there := p.keys[key]
-			return !there
+	if len(inventory.order) > 2*maxReportedKeys {
+		inventory.order = slices.DeleteFunc(inventory.order, func(key parts.Key) bool {
+			_, cached := inventory.keys[key]
+			return !cached
 		})
 	}
 }
 
-// only forgets endpoints that are not read any more.
-func (k *kept) only(read func(tables.EndpointID) bool) {
-	maps.DeleteFunc(k.endpoints, func(id tables.EndpointID, _ *keptParts) bool { return !read(id) })
+// retain removes the endpoints that this instance no longer reads.
+func (c *cacheInventory) retain(read func(tables.EndpointID) bool) {
+	maps.DeleteFunc(c.endpoints, func(id tables.EndpointID, _ *endpointInventory) bool { return !read(id) })
 }
 
-// holdings lists what each endpoint keeps, the newest parts where they are many.
-func (k *kept) holdings() []dispatch.EndpointCache {
+// holdings lists the cache contents of each endpoint, newest first and at most
+// maxReportedKeys.
+func (c *cacheInventory) holdings() []dispatch.EndpointCache {
 	var all []dispatch.EndpointCache
-	for _, id := range slices.Sorted(maps.Keys(k.endpoints)) {
-		p := k.endpoints[id]
-		one := dispatch.EndpointCache{Endpoint: id}
-		for _, key := range slices.Backward(p.order) {
-			if _, there := p.keys[key]; there && len(one.Keys) < maxHoldings {
-				one.Keys = append(one.Keys, key)
+	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) {
+		inventory := c.endpoints[id]
+		contents := dispatch.EndpointCache{Endpoint: id}
+		for _, key := range slices.Backward(inventory.order) {
+			if _, cached := inventory.keys[key]; cached && len(contents.Keys) < maxReportedKeys {
+				contents.Keys = append(contents.Keys, key)
 			}
 		}
-		all = append(all, one)
+		all = append(all, contents)
 	}
 	return all
 }
--- a/node/controlmetrics.go
+++ b/node/controlmetrics.go
@@ -7,9 +7,9 @@
 	"github.com/carawaystile/carawaystile/metrics"
 )
 
-// measureControl publishes what this control instance is and knows, and how old
-// that is, whenever somebody reads the measurements.
-func (n *Node) measureControl() {
+// registerControlMetrics registers the metrics of the control role, which are computed
+// whenever the metrics are scraped.
+func (n *Node) registerControlMetrics() {
 	leads := n.registry.Gauge("carawaystile_leads", "1 if this control replica leads the group.")
 	voter := n.registry.Gauge("carawaystile_votes", "1 if this control replica votes.")
 	orders := n.registry.Gauge("carawaystile_orders_lease_held", "1 if this instance gives orders to endpoints.")
@@ -17,11 +17,11 @@
 	listed := n.registry.Gauge("carawaystile_list_age_seconds", "Time since this instance last read the platform's list, or heard it from the leader.")
 	n.registry.BeforeWrite(func() {
 		status := n.replica.Status()
-		leads.Update(flag(status.IsLeader))
-		voter.Update(flag(status.IsVoter))
+		leads.Update(boolToFloat(status.IsLeader))
+		voter.Update(boolToFloat(status.IsVoter))
 		lag.Update(lagSeconds(status.Lag))
-		orders.Update(flag(n.runner.HoldsLease()))
-		latest := max(n.listRead.Load(), n.followed.Load())
+		orders.Update(boolToFloat(n.rollout.HoldsLease()))
+		latest := max(n.listReadAt.Load(), n.leaderHeardAt.Load())
 		listed.Update((n.now() - time.Duration(latest)).Seconds())
 		n.replica.View(func(st *state.State) {
 			for _, document := range st.Documents() {
@@ -32,6 +32,7 @@
 	})
 }
 
+// lagSeconds returns the lag in seconds, and -1 for an unknown lag, which is negative.
 func lagSeconds(lag time.Duration) float64 {
 	if lag < 0 {
 		return -1
@@ -39,7 +40,8 @@
 	return lag.Seconds()
 }
 
-func flag(set bool) float64 {
+// boolToFloat returns 1 for true and 0 for false.
+func boolToFloat(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/node/entry.go
+++ b/node/entry.go
@@ -21,20 +21,22 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// heldPart is the part of an instance's memory that request bodies may take.
-const heldPart = 4
+// requestBodyMemoryDivisor is the inverse of the fraction of an instance's memory that
+// buffered request bodies may occupy.
+const requestBodyMemoryDivisor = 4
 
-// startEntry starts the entry role.
+// startEntry starts the entry role: the proxy with its scheduler and rate limiter, the client
+// that follows control instances, and the listeners for callers and readiness probes.
 func (n *Node) startEntry() error {
 	s, p := n.options.Settings, n.options.Platform
 	client := exchange.NewClient(exchange.Options{Headers: p.Headers, Dial: n.dial})
-	n.background.Go(func() { client.Run(n.stopping) })
+	n.background.Go(func() { client.Run(n.lifetime) })
 	n.entry = forward.New(forward.Options{
 		Headers: p.Headers,
 		Client:  client,
 		Dispatch: dispatch.Options{
 			Zone: s.Zone,
-			Seed: n.seed(),
+			Seed: n.randomSeed(),
 			RetryBudget: dispatch.RetryBudget{
 				Ratio: s.Retries.Ratio, Extra: s.Retries.Extra, Window: s.Retries.Window,
 			},
@@ -44,24 +46,24 @@
 		Registry:         n.registry,
 		Log:              n.log,
 		Now:              n.now,
-		BootID:           n.bootText(),
+		BootID:           n.bootID(),
 		DrainDelay:       s.Drain.Announce,
-		MaxBufferedBytes: int64(s.MemoryMB) << 20 / heldPart,
-		ShareSuspects:    n.shareSuspects,
-		Scheduler:        n.startScheduling(),
-		RateLimiter:      n.startUsage(),
+		MaxBufferedBytes: int64(s.MemoryMB) << 20 / requestBodyMemoryDivisor,
+		ShareSuspects:    n.broadcastSuspects,
+		Scheduler:        n.newScheduleClient(),
+		RateLimiter:      n.newUsageClient(),
 		UsageTolerance:   n.usageTolerance(),
-		Context:          n.stopping,
+		Context:          n.lifetime,
 	})
-	n.schedules = schedule.NewServer(n.entry, n.now)
-	n.follow = deployment.NewClient(deployment.ClientOptions{
+	n.scheduleServer = schedule.NewServer(n.entry, n.now)
+	n.deploymentClient = deployment.NewClient(deployment.ClientOptions{
 		Instance:   string(s.Instance),
 		Sources:    n.controlSources,
-		OnDocument: n.takeDocument,
+		OnDocument: n.applyDocument,
 		OnWeightVersion: func(named *rpc.WeightsNamed) {
 			n.entry.RecordWeightsVersion(named.GetModel(), named.GetVersion(), time.Duration(named.GetAgeNanos()))
 		},
-		OnEndpoints: func(c *fleet.Replica) { n.entry.SetEndpoints(c.Endpoints()) },
+		OnEndpoints: func(r *fleet.Replica) { n.entry.SetEndpoints(r.Endpoints()) },
 		OnAnswer: func(_ deployment.Source, answer *rpc.FollowAnswer) {
 			if !answer.GetBehind() {
 				n.entry.RecordControlSync(time.Duration(answer.GetLagNanos()))
@@ -69,15 +71,15 @@
 		},
 		Log: n.log,
 	})
-	n.background.Go(func() { n.follow.Run(n.stopping) })
+	n.background.Go(func() { n.deploymentClient.Run(n.lifetime) })
 	n.background.Go(func() {
-		if n.entry.WaitInitialized(n.stopping) {
-			n.knownAt.Store(int64(n.now()))
+		if n.entry.WaitInitialized(n.lifetime) {
+			n.initializedAt.Store(int64(n.now()))
 		}
 	})
-	n.startCaches()
-	n.callers = &http.Server{Handler: n.entry}
-	if err := n.serve(n.callers, s.Listen.Callers); err != nil {
+	n.startCacheSync()
+	n.callerServer = &http.Server{Handler: n.entry}
+	if err := n.serve(n.callerServer, s.Listen.Callers); err != nil {
 		return err
 	}
 	ready := http.NewServeMux()
@@ -85,8 +87,9 @@
 	return n.serve(&http.Server{Handler: ready}, s.Listen.Ready)
 }
 
-// takeDocument puts a newer document in force.
-func (n *Node) takeDocument(document *rpc.Document) {
+// applyDocument applies a newer document of operators: a configuration or the target version
+// of a model's weights.
+func (n *Node) applyDocument(document *rpc.Document) {
 	if model, ok := deployment.ModelOfWeightsDocument(document.GetName()); ok {
 		n.entry.RecordWeightsVersion(model, document.GetNumber(), 0)
 		events.WeightsWanted.Log(n.log, zap.String("model", model), zap.Uint64("weights", document.GetNumber()))
@@ -97,53 +100,54 @@
 	}
 	table, err := n.options.Platform.ParseConfiguration(document.GetContent())
 	if err != nil {
-		// Control instances have read it before: the two differ in version.
+		// A control instance has validated the document, so its software version differs.
 		events.ConfigurationUnreadable.Log(n.log, zap.Uint64("revision", document.GetNumber()), zap.Error(err))
 		return
 	}
-	n.accounts.SetLimits(n.usageLimits(table))
+	n.usageServer.SetLimits(n.usageLimits(table))
 	n.entry.Configure(table)
 }
 
-// seed differs between instances and between two lives of one.
-func (n *Node) seed() uint64 {
+// randomSeed returns a seed that differs between instances and between starts of one instance.
+func (n *Node) randomSeed() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(n.options.Settings.Instance))
 	return h.Sum64() ^ n.boot
 }
 
 const (
-	// hintPeriod is the time between two sendings of hints. Requests of one
-	// prompt come some tens of milliseconds apart when it is hot.
-	hintPeriod = 15 * time.Millisecond
-	// reportPeriod is the same for an instance for which others choose: it has to report
-	// only what engines say that they keep, which comes late anyway.
-	reportPeriod = 100 * time.Millisecond
-	// hintPart is the part of the machine's link that hints may take, and
-	// maxHintBytes a bound in bytes a second where the link is fast: 30 instances
-	// of 10 requests a second need some 50 KB/s.
-	hintPart     = 0.05
-	maxHintBytes = 400_000
-	// remotePeriod is the time between two sendings to other zones, and remotePart
-	// what of the budget they may take: bytes between zones are dear.
-	remotePeriod = 250 * time.Millisecond
-	remotePart   = 0.2
-	// remoteLoadsPeriod and remoteLoadsPart are the same for loads, which schedulers of
-	// other zones hear of.
-	remoteLoadsPeriod = 100 * time.Millisecond
-	remoteLoadsPart   = 0.5
+	// hintInterval is the minimum interval between two sends of hints. Requests of a
+	// frequently used prompt arrive some tens of milliseconds apart.
+	hintInterval = 15 * time.Millisecond
+	// cacheReportInterval is the interval for an instance whose endpoints schedulers select:
+	// it only reports the cache events of engines, which are late anyway.
+	cacheReportInterval = 100 * time.Millisecond
+	// hintLinkFraction is the fraction of the machine's network bandwidth that hints may use,
+	// and maxHintBytesPerSecond an upper bound for fast links: 30 instances of 10 requests a
+	// second need some 50 KB/s.
+	hintLinkFraction      = 0.05
+	maxHintBytesPerSecond = 400_000
+	// remotePlacementInterval is the interval between two sends of placements to other zones,
+	// and remotePlacementFraction their fraction of the hint bandwidth. Traffic between zones
+	// is expensive.
+	remotePlacementInterval = 250 * time.Millisecond
+	remotePlacementFraction = 0.2
+	// remoteLoadInterval and remoteLoadFraction are the same for load reports to the
+	// schedulers of other zones.
+	remoteLoadInterval = 100 * time.Millisecond
+	remoteLoadFraction = 0.5
 )
 
-// hintBytes is what this instance may send of hints in a second.
-func (n *Node) hintBytes() int {
+// hintBytesPerSecond returns the bandwidth budget for the hints that this instance sends.
+func (n *Node) hintBytesPerSecond() int {
 	link := n.options.Settings.LinkMbps * 1e6 / 8
-	return min(maxHintBytes, max(gossip.HintBytesPerSecond, int(hintPart*link)))
+	return min(maxHintBytesPerSecond, max(gossip.HintBytesPerSecond, int(hintLinkFraction*link)))
 }
 
-// hintsOfRequests is what has changed since the last call of where this
-// instance placed parts of prompts and of what it has at endpoints.
-func (n *Node) hintsOfRequests() membership.Hints {
-	n.schedules.ExpireAttempts()
+// collectHints returns the changes since the last call: the parts of prompts that this
+// instance placed at endpoints, and its load at endpoints.
+func (n *Node) collectHints() membership.Hints {
+	n.scheduleServer.ExpireAttempts()
 	placements, loads := n.entry.TakeUpdates()
 	var hints membership.Hints
 	for _, p := range placements {
@@ -152,104 +156,107 @@
 	for _, l := range loads {
 		hints.Loads = append(hints.Loads, membership.Load{
 			Endpoint: l.Endpoint, Running: l.Running, CacheTokens: l.MemoryTokens, PrefillTokens: l.PrefillTokens, LinkBusy: l.LinkBusy, AbsentFor: l.AbsentFor,
-			Limit: reportedLimit(l.Limit),
+			Limit: membershipRateLimit(l.Limit),
 		})
 	}
-	n.remote.Add(membership.Hints{Placements: hints.Placements})
+	n.remotePlacements.Add(membership.Hints{Placements: hints.Placements})
 	if len(hints.Loads) > 0 && len(n.schedulers()) > 0 {
 		n.remoteLoads.Add(membership.Hints{Loads: hints.Loads})
 	}
 	return hints
 }
 
-// placedElsewhere takes what another instance placed.
-func (n *Node) placedElsewhere(p membership.Placement) {
+// handlePlacement applies a placement or a cache event that another instance has sent.
+func (n *Node) handlePlacement(p membership.Placement) {
 	if n.entry == nil {
 		return
 	}
-	placed := dispatch.CacheUpdate{Endpoint: p.Endpoint, Key: parts.Key(p.Block), Evicted: p.Evicted}
+	update := dispatch.CacheUpdate{Endpoint: p.Endpoint, Key: parts.Key(p.Block), Evicted: p.Evicted}
 	if !p.Reported {
-		n.entry.ApplyCacheUpdate(placed)
+		n.entry.ApplyCacheUpdate(update)
 		return
 	}
-	// All schedulers of the zone get it; one reports to the other zones.
-	if n.entry.ApplyCacheEvent(placed) && n.leadsSchedulers() {
+	// All schedulers of the zone receive the event; only the first forwards it to other zones.
+	if n.entry.ApplyCacheEvent(update) && n.isFirstScheduler() {
 		p.Reported = false
-		n.remote.Add(membership.Hints{Placements: []membership.Placement{p}})
+		n.remotePlacements.Add(membership.Hints{Placements: []membership.Placement{p}})
 	}
 }
 
-// loadedElsewhere takes what another instance has at an endpoint.
-func (n *Node) loadedElsewhere(l membership.Load) {
+// handleLoad applies the load that another instance has at an endpoint.
+func (n *Node) handleLoad(l membership.Load) {
 	if n.entry != nil {
 		n.entry.ApplyLoadReport(l.Instance, dispatch.LoadReport{
 			Endpoint: l.Endpoint, Running: l.Running, MemoryTokens: l.CacheTokens, PrefillTokens: l.PrefillTokens, LinkBusy: l.LinkBusy, AbsentFor: l.AbsentFor,
-			Limit: receivedLimit(l.Limit),
+			Limit: dispatchRateLimit(l.Limit),
 		})
 	}
 }
 
-func reportedLimit(l *dispatch.RateLimitReport) *membership.RateLimit {
+// membershipRateLimit converts an endpoint's rate limit for sending; nil stays nil.
+func membershipRateLimit(l *dispatch.RateLimitReport) *membership.RateLimit {
 	if l == nil {
 		return nil
 	}
 	return &membership.RateLimit{Limited: l.Limited, PerSecond: l.PerSecond, Age: l.Age}
 }
 
-func receivedLimit(l *membership.RateLimit) *dispatch.RateLimitReport {
+// dispatchRateLimit converts a received rate limit of an endpoint; nil stays nil.
+func dispatchRateLimit(l *membership.RateLimit) *dispatch.RateLimitReport {
 	if l == nil {
 		return nil
 	}
 	return &dispatch.RateLimitReport{RateLimit: dispatch.RateLimit{Limited: l.Limited, PerSecond: l.PerSecond}, Age: l.Age}
 }
 
-// sendHints lets the other instances know of this one's requests.
+// sendHints gossips this instance's placements and loads until the instance stops.
 func (n *Node) sendHints() {
-	n.hints.Run(n.stopping, gossip.HintOptions{
-		Period:         hintPeriod,
+	n.zoneHints.Run(n.lifetime, gossip.HintOptions{
+		Period:         hintInterval,
 		Pace:           n.hintPace,
-		BytesPerSecond: n.hintBytes(),
-		Collect:        n.hintsOfRequests,
-		Receivers:      func() int { return n.members.Load().HintReceivers() },
-		Tell:           func(news membership.Hints) { n.members.Load().SendHints(news) },
+		BytesPerSecond: n.hintBytesPerSecond(),
+		Collect:        n.collectHints,
+		Receivers:      func() int { return n.gossip.Load().HintReceivers() },
+		Tell:           func(hints membership.Hints) { n.gossip.Load().SendHints(hints) },
 	})
 }
 
-// hintPace is the time between two sendings as the instance's part in the choices asks
-// for it: each wakes it up.
+// hintPace returns the current interval between two sends of hints. It is longer for an
+// instance that selects no endpoints, because each send wakes the process up.
 func (n *Node) hintPace() time.Duration {
-	if n.choosesItself() {
-		return hintPeriod
+	if n.selectsEndpoints() {
+		return hintInterval
 	}
-	return reportPeriod
+	return cacheReportInterval
 }
 
-// sendRemotePlacements lets other zones know where this instance placed parts of prompts.
+// sendRemotePlacements sends placements to other zones until the instance stops.
 func (n *Node) sendRemotePlacements() {
-	n.remote.Run(n.stopping, gossip.HintOptions{
-		Period:         remotePeriod,
-		BytesPerSecond: int(remotePart * float64(n.hintBytes())),
+	n.remotePlacements.Run(n.lifetime, gossip.HintOptions{
+		Period:         remotePlacementInterval,
+		BytesPerSecond: int(remotePlacementFraction * float64(n.hintBytesPerSecond())),
 		Receivers:      func() int { return 1 },
-		Tell:           func(news membership.Hints) { n.members.Load().SendToOtherZones(news.Placements) },
+		Tell:           func(hints membership.Hints) { n.gossip.Load().SendToOtherZones(hints.Placements) },
 	})
 }
 
-// remoteLoadsPace lets an instance sleep that is no scheduler.
-func (n *Node) remoteLoadsPace() time.Duration {
-	if len(n.schedulers()) > 0 && n.choosesItself() {
-		return remoteLoadsPeriod
+// remoteLoadPace returns the current interval between two sends of loads to other zones. It is
+// one second for an instance that has none to send because it is no scheduler.
+func (n *Node) remoteLoadPace() time.Duration {
+	if len(n.schedulers()) > 0 && n.selectsEndpoints() {
+		return remoteLoadInterval
 	}
 	return time.Second
 }
 
-// sendRemoteLoads lets the schedulers of other zones know what this instance has at
-// endpoints.
+// sendRemoteLoads sends this instance's load at endpoints to the schedulers of other zones
+// until the instance stops.
 func (n *Node) sendRemoteLoads() {
-	n.remoteLoads.Run(n.stopping, gossip.HintOptions{
-		Period:         remoteLoadsPeriod,
-		Pace:           n.remoteLoadsPace,
-		BytesPerSecond: int(remoteLoadsPart * float64(n.hintBytes())),
-		Receivers:      func() int { return n.members.Load().RemoteSchedulers() },
-		Tell:           func(news membership.Hints) { n.members.Load().SendLoadsToOtherZones(news.Loads) },
+	n.remoteLoads.Run(n.lifetime, gossip.HintOptions{
+		Period:         remoteLoadInterval,
+		Pace:           n.remoteLoadPace,
+		BytesPerSecond: int(remoteLoadFraction * float64(n.hintBytesPerSecond())),
+		Receivers:      func() int { return n.gossip.Load().RemoteSchedulers() },
+		Tell:           func(hints membership.Hints) { n.gossip.Load().SendLoadsToOtherZones(hints.Loads) },
 	})
 }
--- a/node/members.go
+++ b/node/members.go
@@ -18,11 +18,12 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// datagramKey marks the datagrams of forwarding deployments. The network keeps
-// strangers out; this only drops what is not meant for the system.
+// datagramKey is the shared key of the datagrams of forwarding deployments. It is not a secret:
+// the network keeps unauthorised senders out, and the key only rejects datagrams that are not
+// meant for the system.
 const datagramKey = "carawaystile forwarding deployment"
 
-// startMembership joins the other instances.
+// startMembership joins the gossip membership and starts to send hints.
 func (n *Node) startMembership() error {
 	s := n.options.Settings
 	var seeds []netip.AddrPort
@@ -34,88 +35,94 @@
 	joined, err := gossip.Start(gossip.Options{
 		Membership: membership.Options{
 			Self: membership.InstanceInfo{
-				Instance: s.Instance, Zone: s.Zone, Roles: membership.Roles(s.Entry, s.Control), Size: sizeOf(s.Processors),
+				Instance: s.Instance, Zone: s.Zone, Roles: membership.Roles(s.Entry, s.Control), Size: processorWeight(s.Processors),
 				Address: s.Advertise.Membership, Control: s.Advertise.Instances, Boot: n.boot,
 			},
 			Seeds:         seeds,
-			RandomSeed:    n.seed(),
+			RandomSeed:    n.randomSeed(),
 			UseSchedulers: true,
 		},
 		Listen:   s.Listen.Membership,
 		Ring:     keys.Of(datagramKey),
 		Log:      n.log,
-		Changed:  n.membersChanged,
-		Placed:   n.placedElsewhere,
-		Loaded:   n.loadedElsewhere,
-		Schedule: n.scheduleMessage,
-		Usage:    n.usageMessage,
+		Changed:  n.handleMembersChanged,
+		Placed:   n.handlePlacement,
+		Loaded:   n.handleLoad,
+		Schedule: n.handleScheduleMessage,
+		Usage:    n.handleUsageMessage,
 		Relay: func(placements []membership.Placement) {
-			n.hints.Add(membership.Hints{Placements: placements})
+			n.zoneHints.Add(membership.Hints{Placements: placements})
 		},
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	n.members.Store(joined)
+	n.gossip.Store(joined)
 	if n.entry != nil {
 		n.background.Go(n.sendHints)
 		n.background.Go(n.sendRemotePlacements)
 		n.background.Go(n.sendRemoteLoads)
-		n.background.Go(func() { n.accounts.Run(n.stopping) })
+		n.background.Go(func() { n.usageServer.Run(n.lifetime) })
 	}
 	return nil
 }
 
-// membersChanged lets the entry know how many share limits with it.
-func (n *Node) membersChanged(members []membership.Member) {
+// handleMembersChanged passes on what depends on the set of entry instances: this instance's
+// rank among them, the number of them that share rate limits, the loss of one that may have
+// owned token buckets, and the number of schedulers.
+func (n *Node) handleMembersChanged(members []membership.Member) {
 	if n.entry == nil {
 		return
 	}
-	rank, of := 0, 0
+	rank, count := 0, 0
 	for _, m := range members {
 		if m.Roles&membership.RoleEntry == 0 || m.State >= membership.Dead {
 			continue
 		}
-		of++
+		count++
 		if m.Instance < n.options.Settings.Instance {
 			rank++
 		}
 	}
-	peers := n.peerCount.most(n.now(), of)
-	n.sharing.Store(int64(peers))
+	peers := n.peerCount.observe(n.now(), count)
+	n.limitSharers.Store(int64(peers))
 	n.entry.SetInstanceRank(rank, peers)
-	n.noteLostEntries(members)
+	n.detectLostEntries(members)
 	n.entry.SetSchedulerCounts(membership.CountSchedulers(members, n.options.Settings.Zone))
 }
 
-// peerMemory is for how long the highest number of peers counts.
-const peerMemory = time.Minute
+// peerCountWindow is the time for which a maximum number of entry instances stays valid.
+const peerCountWindow = time.Minute
 
-// peerCount remembers the most entry instances that were known of late. Those
-// that are cut off are not known and go on all the same.
-type peerCount struct {
-	mu    sync.Mutex
-	of    int
-	since tables.Instant
+// peerCountMax is the recent maximum of the number of known entry instances. Instances that
+// are partitioned are not known but continue to admit requests, so they still count towards
+// shared limits. It is safe for concurrent use.
+type peerCountMax struct {
+	mu        sync.Mutex
+	count     int
+	countedAt tables.Instant
 }
 
-func (p *peerCount) most(now tables.Instant, of int) int {
+// observe records a current number and returns the maximum. After peerCountWindow without a
+// number that reaches the maximum, the current one replaces it.
+func (p *peerCountMax) observe(now tables.Instant, count int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if of >= p.of || now-p.since > peerMemory {
-		p.of, p.since = of, now
+	if count >= p.count || now-p.countedAt > peerCountWindow {
+		p.count, p.countedAt = count, now
 	}
-	return p.of
+	return p.count
 }
 
-// sourceCache keeps one client for each control instance. It is safe for
+// controlClientCache caches one RPC client for each control instance. It is safe for
 // concurrent use.
-type sourceCache struct {
+type controlClientCache struct {
 	mu      sync.Mutex
 	clients map[string]rpc.Deployment
 }
 
-func (c *sourceCache) source(address string, client *http.Client) deployment.Source {
+// source returns the cached client for an address, or creates it.
+func (c *controlClientCache) source(address string, client *http.Client) deployment.Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.clients[address]
@@ -129,23 +136,23 @@
 	return deployment.Source{Name: address, Deployment: known}
 }
 
-// controlSources lists the control instances, those of the own zone first:
-// they are reached when the zone is cut off. Seeds come after those that
-// membership knows of.
+// controlSources lists the control instances in order of preference: those of the instance's
+// zone, which stay reachable when the zone is partitioned, then those of other zones, then the
+// seeds that are not known members.
 func (n *Node) controlSources() []deployment.Source {
-	var near, far []netip.AddrPort
-	if joined := n.members.Load(); joined != nil {
+	var sameZone, otherZones []netip.AddrPort
+	if joined := n.gossip.Load(); joined != nil {
 		for _, m := range joined.Members() {
 			switch {
 			case m.Roles&membership.RoleControl == 0 || m.State >= membership.Dead:
 			case m.Zone == n.options.Settings.Zone:
-				near = append(near, m.Control)
+				sameZone = append(sameZone, m.Control)
 			default:
-				far = append(far, m.Control)
+				otherZones = append(otherZones, m.Control)
 			}
 		}
 	}
-	all := append(near, far...)
+	all := append(sameZone, otherZones...)
 	for _, seed := range n.seedInstances() {
 		if !slices.Contains(all, seed) {
 			all = append(all, seed)
@@ -153,14 +160,14 @@
 	}
 	sources := make([]deployment.Source, 0, len(all))
 	for _, at := range all {
-		sources = append(sources, n.sources.source(at.String(), n.client))
+		sources = append(sources, n.controlClients.source(at.String(), n.client))
 	}
 	return sources
 }
 
-// entryMembers lists the living entry instances, this one among them.
-func (n *Node) entryMembers() []membership.Member {
-	joined := n.members.Load()
+// liveEntryMembers returns the entry instances that are not dead, including this one.
+func (n *Node) liveEntryMembers() []membership.Member {
+	joined := n.gossip.Load()
 	if joined == nil {
 		return nil
 	}
@@ -173,10 +180,10 @@
 	return all
 }
 
-// entryPeers lists where the other living entry instances answer.
-func (n *Node) entryPeers() []netip.AddrPort {
+// entryPeerAddresses returns the RPC addresses of the other live entry instances.
+func (n *Node) entryPeerAddresses() []netip.AddrPort {
 	var all []netip.AddrPort
-	for _, m := range n.entryMembers() {
+	for _, m := range n.liveEntryMembers() {
 		if m.Instance != n.options.Settings.Instance {
 			all = append(all, m.Control)
 		}
@@ -184,16 +191,16 @@
 	return all
 }
 
-// cachePeers lists where the entry instances answer that get reports of what endpoints
-// keep: those that choose, in all zones.
-func (n *Node) cachePeers() []netip.AddrPort {
-	joined := n.members.Load()
+// cacheReportReceivers returns the RPC addresses of the other entry instances that select
+// endpoints, in all zones: the schedulers, or all entry instances if there are no schedulers.
+func (n *Node) cacheReportReceivers() []netip.AddrPort {
+	joined := n.gossip.Load()
 	if joined == nil {
 		return nil
 	}
 	schedulers := joined.AllSchedulers()
 	if len(schedulers) == 0 {
-		return n.entryPeers()
+		return n.entryPeerAddresses()
 	}
 	var all []netip.AddrPort
 	for _, s := range schedulers {
@@ -204,16 +211,16 @@
 	return all
 }
 
-// callPeers calls every other living entry instance.
-func (n *Node) callPeers(call func(ctx context.Context, at string)) {
-	for _, at := range n.entryPeers() {
+// callEntryPeers calls every other live entry instance, each in its own goroutine.
+func (n *Node) callEntryPeers(call func(ctx context.Context, at string)) {
+	for _, at := range n.entryPeerAddresses() {
 		go func() {
-			ctx, cancel := context.WithTimeout(n.stopping, notifyTimeout)
+			ctx, cancel := context.WithTimeout(n.lifetime, suspectNotifyTimeout)
 			defer cancel()
 			call(ctx, "http://"+at.String())
 		}()
 	}
 }
 
-// notifyTimeout bounds notifying one instance of a crash, with all tries.
-const notifyTimeout = 2500 * time.Millisecond
+// suspectNotifyTimeout bounds the report of a crash to one instance, including retries.
+const suspectNotifyTimeout = 2500 * time.Millisecond
--- a/node/readerselection.go
+++ b/node/readerselection.go
@@ -8,46 +8,49 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// reader is an entry instance with the hash that its draws are made of.
-type reader struct {
+// readerCandidate is an entry instance with its hash for rendezvous hashing.
+type readerCandidate struct {
 	instance tables.InstanceID
 	hash     uint64
 }
 
-// readers are the entry instances that may read what endpoints keep.
-type readers struct {
-	all    []reader
-	byZone map[tables.Zone][]reader
+// readerSelector assigns each endpoint to the entry instance that reads its cache events, by
+// rendezvous hashing. When an instance joins or leaves, only the endpoints that it gains or
+// loses move.
+type readerSelector struct {
+	all    []readerCandidate
+	byZone map[tables.Zone][]readerCandidate
 }
 
-func newReaders(entries []membership.Member) *readers {
-	r := &readers{byZone: map[tables.Zone][]reader{}}
+// newReaderSelector returns a selector over the given entry instances.
+func newReaderSelector(entries []membership.Member) *readerSelector {
+	r := &readerSelector{byZone: map[tables.Zone][]readerCandidate{}}
 	for _, m := range entries {
-		one := reader{instance: m.Instance, hash: xxhash.Sum64String(string(m.Instance))}
-		r.all = append(r.all, one)
-		r.byZone[m.Zone] = append(r.byZone[m.Zone], one)
+		candidate := readerCandidate{instance: m.Instance, hash: xxhash.Sum64String(string(m.Instance))}
+		r.all = append(r.all, candidate)
+		r.byZone[m.Zone] = append(r.byZone[m.Zone], candidate)
 	}
 	return r
 }
 
-// in says whether a zone has readers of its own.
-func (r *readers) in(zone tables.Zone) bool { return len(r.byZone[zone]) > 0 }
+// hasZone reports whether a zone has entry instances.
+func (r *readerSelector) hasZone(zone tables.Zone) bool { return len(r.byZone[zone]) > 0 }
 
-// of picks the instance that reads an endpoint: of those in its zone, or of all
-// where the zone has none, the one with the highest draw of a hash over both. It is
-// empty if there is no instance.
-func (r *readers) of(id tables.EndpointID, zone tables.Zone) tables.InstanceID {
+// readerOf returns the instance that reads an endpoint: the one with the highest hash of both
+// among those in the endpoint's zone, or among all if the zone has none. It is empty if there
+// is no instance.
+func (r *readerSelector) readerOf(id tables.EndpointID, zone tables.Zone) tables.InstanceID {
 	candidates := r.byZone[zone]
 	if len(candidates) == 0 {
 		candidates = r.all
 	}
 	hash := xxhash.Sum64String(string(id))
-	var picked tables.InstanceID
-	var best uint64
-	for _, one := range candidates {
-		if draw := placement.Mix64(hash ^ one.hash); picked == "" || draw > best {
-			picked, best = one.instance, draw
+	var reader tables.InstanceID
+	var bestScore uint64
+	for _, candidate := range candidates {
+		if score := placement.Mix64(hash ^ candidate.hash); reader == "" || score > bestScore {
+			reader, bestScore = candidate.instance, score
 		}
 	}
-	return picked
+	return reader
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -10,10 +10,10 @@
 	"github.com/carawaystile/carawaystile/systems/quarantine"
 )
 
-// A field of a suspect that is not sent makes the other instances judge the
-// crash by less than this one knows: one was once forgotten, and a request that
-// crashes endpoints late looked harmless elsewhere.
-func TestSuspectsAreSentWhole(t *testing.T) {
+// Guards against a field of a suspect that is not encoded: other instances then judge
+// the crash with less information. A missing field once made a request that crashes
+// endpoints late look harmless to them.
+func TestSuspectEncodingKeepsAllFields(t *testing.T) {
 	s := quarantine.Suspect{
 		Fingerprint: 7,
 		Incarnation: quarantine.Incarnation{Endpoint: "e", Boot: "b"},
@@ -24,7 +24,7 @@
 	for _, part := range []any{s, s.Incarnation, s.CrashPoint} {
 		fields := reflect.ValueOf(part)
 		for i := range fields.NumField() {
-			assert.Assert(t, !fields.Field(i).IsZero(), "the test leaves %s empty", fields.Type().Field(i).Name)
+			assert.Assert(t, !fields.Field(i).IsZero(), "field %s of the test's suspect is not set", fields.Type().Field(i).Name)
 		}
 	}
 	assert.Equal(t, decodeSuspect(encodeSuspect(s)), s)
--- a/peers/send.go
+++ b/peers/send.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// tellTries is how often a report is told to one instance, tellTimeout bounds
-	// each try, and tellPause is the wait before the next.
-	tellTries   = 3
-	tellTimeout = 700 * time.Millisecond
-	tellPause   = 50 * time.Millisecond
+	// sendAttempts is the maximum number of attempts to send a report to one instance,
+	// attemptTimeout bounds each of them, and retryDelay is the wait between two.
+	sendAttempts   = 3
+	attemptTimeout = 700 * time.Millisecond
+	retryDelay     = 50 * time.Millisecond
 )
 
-// SendReport passes a report on to one instance.
+// SendReport sends a report to one instance, with retries.
 //
-// A report that is lost is told again. The caller of a request that crashes
-// endpoints sends it again at once, most likely through another instance; one that
-// was never told runs it at two further endpoints and takes down what else runs
-// there. A kept connection that the other side has just closed is enough for a loss.
+// The caller of a request that crashes endpoints usually resends it at once, most
+// likely through another instance. An instance that missed the report runs the request
+// at two more endpoints and so aborts everything else that runs there. A report is
+// already lost if the peer has just closed an idle connection that was to be reused.
 func SendReport(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
 	var err error
-	for try := range tellTries {
-		if try > 0 && wait.For(ctx, tellPause) != nil {
+	for attempt := range sendAttempts {
+		if attempt > 0 && wait.For(ctx, retryDelay) != nil {
 			return err
 		}
-		if err = tellOnce(ctx, to, report); err == nil {
+		if err = sendOnce(ctx, to, report); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func tellOnce(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
-	bounded, cancel := context.WithTimeout(ctx, tellTimeout)
+// sendOnce makes one attempt to send a report.
+func sendOnce(ctx context.Context, to rpc.Peer, report *rpc.SuspectReport) error {
+	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err := to.Suspect(bounded, report)
 	return err
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// route returns a valid route that sends all requests to one service.
 func route(host, prefix string) Route {
 	return Route{
 		Name: host + prefix, Host: host, Prefix: prefix, Timeout: time.Second,
@@ -18,7 +19,7 @@
 
 func services() []Service { return []Service{{Name: "desk"}, {Name: "models"}} }
 
-func TestTheLongestPrefixOfTheHostTakesTheRequest(t *testing.T) {
+func TestLongestPrefixOfHostMatches(t *testing.T) {
 	table, err := NewTable(Configuration{
 		Services: services(),
 		Routes:   []Route{route("a.example", "/x/"), route("a.example", "/x/y/"), route("b.example", "/")},
@@ -30,9 +31,9 @@
 	assert.Assert(t, table.Match("c.example", "/x/") == nil)
 }
 
-// An operator sends a configuration that contradicts itself. Put in force, a
-// part of the callers would be sent nowhere or answered for somebody else.
-func TestInvalidConfigurationsAreRefused(t *testing.T) {
+// A contradictory configuration must be rejected. If it took effect, requests would
+// have no service to go to or would be attributed to the wrong organisation.
+func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	noService := route("a.example", "/")
 	noService.TrafficSplit[0].Service = "nobody"
 	noWeight := route("a.example", "/")
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestWeightsDivideRequestsAndEachRequestKeepsItsService(t *testing.T) {
+func TestTrafficSplitFollowsWeightsAndIsDeterministic(t *testing.T) {
 	split := route("a.example", "/")
 	split.TrafficSplit = []WeightedService{{Service: "desk", Weight: 90}, {Service: "models", Weight: 10}}
 	table, err := NewTable(Configuration{Services: services(), Routes: []Route{split}})
