--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -30,31 +30,31 @@
 type Options struct {
 	// Membership says who this instance is and whom to join through.
 	Membership membership.Options
-	// Listen is where datagrams are taken; invalid means at the address of
+	// ListenAddress is where datagrams are taken; invalid means at the address of
 	// Membership's Self.
-	Listen netip.AddrPort
+	ListenAddress netip.AddrPort
 	// Ring holds the key that datagrams are sealed with.
 	Ring *keys.Ring
 	Log  *zap.Logger
-	// Changed is called when an instance came, went or changed its state.
-	Changed func([]membership.Member)
-	// Newer is called with the control address of an instance that has a newer
+	// OnMembersChanged is called when an instance came, went or changed its state.
+	OnMembersChanged func([]membership.Member)
+	// OnNewerRevision is called with the control address of an instance that has a newer
 	// revision in force.
-	Newer func(netip.AddrPort)
-	// Placed hands out placements of other instances.
-	Placed func(membership.Placement)
-	// Relay takes placements of another zone that are to be told in this one.
-	Relay func([]membership.Placement)
-	// Loaded hands out what other instances have at endpoints.
-	Loaded func(membership.Load)
-	// Schedule takes a message between an entry instance and a scheduler. It must not
+	OnNewerRevision func(netip.AddrPort)
+	// OnPlacement hands out placements of other instances.
+	OnPlacement func(membership.Placement)
+	// OnRelay takes placements of another zone that are to be told in this one.
+	OnRelay func([]membership.Placement)
+	// OnLoad hands out what other instances have at endpoints.
+	OnLoad func(membership.Load)
+	// OnSchedule takes a message between an entry instance and a scheduler. It must not
 	// block for long.
-	Schedule func(from membership.Sender, message *rpc.ScheduleMessage)
-	// Usage takes a message about organisations' usage. It must not block.
-	Usage func(from membership.Sender, message *rpc.UsageMessage)
-	// Reaches says whether datagrams to an address arrive; nil means that all
+	OnSchedule func(from membership.Sender, message *rpc.ScheduleMessage)
+	// OnUsage takes a message about organisations' usage. It must not block.
+	OnUsage func(from membership.Sender, message *rpc.UsageMessage)
+	// IsReachable says whether datagrams to an address arrive; nil means that all
 	// do. Tests cut availability zones off here.
-	Reaches func(to netip.AddrPort) bool
+	IsReachable func(to netip.AddrPort) bool
 }
 
 // Traffic counts what was sent and received.
@@ -89,11 +89,11 @@
 	if options.Log == nil {
 		options.Log = zap.NewNop()
 	}
-	advertised := options.Listen.IsValid()
+	advertised := options.ListenAddress.IsValid()
 	if !advertised {
-		options.Listen = options.Membership.Self.Address
+		options.ListenAddress = options.Membership.Self.Address
 	}
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.Listen))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.ListenAddress))
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
@@ -131,8 +131,8 @@
 	return g.membership.Members()
 }
 
-// Share returns this instance's part of the load, above 0 and at most 1.
-func (g *Gossip) Share() float64 {
+// LoadShare returns this instance's part of the load, above 0 and at most 1.
+func (g *Gossip) LoadShare() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.LoadShare()
@@ -152,8 +152,8 @@
 	})
 }
 
-// SendToOtherZones lets zones that SendHints leaves out know of placements.
-func (g *Gossip) SendToOtherZones(placements []membership.Placement) {
+// SendPlacementsToOtherZones lets zones that SendHints leaves out know of placements.
+func (g *Gossip) SendPlacementsToOtherZones(placements []membership.Placement) {
 	g.run(func(m *membership.Membership, now tables.Instant) membership.Output {
 		return m.SendPlacementsToOtherZones(now, placements)
 	})
@@ -166,8 +166,8 @@
 	})
 }
 
-// RemoteSchedulers counts the schedulers of other zones.
-func (g *Gossip) RemoteSchedulers() int {
+// RemoteSchedulerCount counts the schedulers of other zones.
+func (g *Gossip) RemoteSchedulerCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.RemoteSchedulerCount()
@@ -210,15 +210,15 @@
 	return g.membership.EntriesByZone()
 }
 
-// HintReceivers is how many instances hints are told to.
-func (g *Gossip) HintReceivers() int {
+// HintReceiverCount is how many instances hints are told to.
+func (g *Gossip) HintReceiverCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.HintReceiverCount()
 }
 
-// PlatformList takes the platform's list as a hint.
-func (g *Gossip) PlatformList(list []membership.PlatformInstance) {
+// SetPlatformList takes the platform's list as a hint.
+func (g *Gossip) SetPlatformList(list []membership.PlatformInstance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.membership.SetPlatformList(list)
@@ -242,7 +242,7 @@
 	g.mu.Lock()
 	out := f(g.membership, g.now())
 	var changed []membership.Member
-	if version := g.membership.Version(); version != g.version && g.options.Changed != nil {
+	if version := g.membership.Version(); version != g.version && g.options.OnMembersChanged != nil {
 		g.version = version
 		changed = g.membership.Members()
 	}
@@ -264,7 +264,7 @@
 }
 
 func (g *Gossip) send(d membership.Datagram, sealed []byte) {
-	if g.options.Reaches != nil && !g.options.Reaches(d.To) {
+	if g.options.IsReachable != nil && !g.options.IsReachable(d.To) {
 		return
 	}
 	if _, err := g.conn.WriteToUDPAddrPort(sealed, d.To); err != nil {
@@ -277,36 +277,36 @@
 
 func (g *Gossip) tell(out membership.Output, changed []membership.Member) {
 	if out.UsageMessage != nil {
-		if g.options.Usage != nil {
-			g.options.Usage(out.From, out.UsageMessage)
+		if g.options.OnUsage != nil {
+			g.options.OnUsage(out.From, out.UsageMessage)
 		}
 		return
 	}
 	if out.ScheduleMessage != nil {
-		if g.options.Schedule != nil {
-			g.options.Schedule(out.From, out.ScheduleMessage)
+		if g.options.OnSchedule != nil {
+			g.options.OnSchedule(out.From, out.ScheduleMessage)
 		}
 		return
 	}
 	g.calls.Lock()
 	defer g.calls.Unlock()
 	if changed != nil {
-		g.options.Changed(changed)
+		g.options.OnMembersChanged(changed)
 	}
-	if out.NewerRevisionAt.IsValid() && g.options.Newer != nil {
-		g.options.Newer(out.NewerRevisionAt)
+	if out.NewerRevisionAt.IsValid() && g.options.OnNewerRevision != nil {
+		g.options.OnNewerRevision(out.NewerRevisionAt)
 	}
-	if g.options.Placed != nil {
+	if g.options.OnPlacement != nil {
 		for _, p := range out.Hints.Placements {
-			g.options.Placed(p)
+			g.options.OnPlacement(p)
 		}
 	}
-	if g.options.Relay != nil && out.Hints.Relay {
-		g.options.Relay(out.Hints.Placements)
+	if g.options.OnRelay != nil && out.Hints.Relay {
+		g.options.OnRelay(out.Hints.Placements)
 	}
-	if g.options.Loaded != nil {
+	if g.options.OnLoad != nil {
 		for _, l := range out.Hints.Loads {
-			g.options.Loaded(l)
+			g.options.OnLoad(l)
 		}
 	}
 }
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -46,9 +46,9 @@
 	placed := make(chan membership.Placement, 1)
 	newer := make(chan netip.AddrPort, 100)
 	first := start(t, key, 0, nil, Options{
-		Changed: func(members []membership.Member) { changed <- members },
-		Placed:  func(p membership.Placement) { placed <- p },
-		Newer:   func(at netip.AddrPort) { newer <- at },
+		OnMembersChanged: func(members []membership.Member) { changed <- members },
+		OnPlacement:      func(p membership.Placement) { placed <- p },
+		OnNewerRevision:  func(at netip.AddrPort) { newer <- at },
 	})
 	seeds := []netip.AddrPort{first.Address()}
 	second := start(t, key, 1, seeds, Options{})
@@ -65,7 +65,7 @@
 	second.SendHints(membership.Hints{Placements: []membership.Placement{{Endpoint: "e", Boot: "b", Block: 1}}})
 	assert.Equal(t, (<-placed).Block, tables.BlockHash(1))
 	assert.Equal(t, (<-newer).Port(), uint16(1))
-	assert.Equal(t, first.Share(), 0.5)
+	assert.Equal(t, first.LoadShare(), 0.5)
 	for first.Traffic().Dropped == 0 {
 		<-newer
 	}
--- a/control/gossip/hints.go
+++ b/control/gossip/hint_queue.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// HintBytesPerSecond bounds what an instance sends of hints, over all
+	// DefaultHintBytesPerSecond bounds what an instance sends of hints, over all
 	// receivers, where nothing else is set: a third of what control may cost at
 	// the target.
-	HintBytesPerSecond = 10_000
+	DefaultHintBytesPerSecond = 10_000
 	// hintBytes is about what one hint takes in a datagram, and hintHead what the
 	// datagram itself does.
 	hintBytes = 32
@@ -28,9 +28,9 @@
 	maxPlacements = 1024
 )
 
-// Hints holds what the other instances are to hear of this one's requests. It is
+// HintQueue holds what the other instances are to hear of this one's requests. It is
 // safe for concurrent use. The zero value is ready to use.
-type Hints struct {
+type HintQueue struct {
 	mu         sync.Mutex
 	placements []membership.Placement
 	// loads keeps the latest of each endpoint only: a load that waits is
@@ -39,7 +39,7 @@
 }
 
 // Add takes hints of this instance. It does not block.
-func (h *Hints) Add(more membership.Hints) {
+func (h *HintQueue) Add(more membership.Hints) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.placements = append(h.placements, more.Placements...)
@@ -55,14 +55,14 @@
 }
 
 // waiting is how many hints there are.
-func (h *Hints) waiting() int {
+func (h *HintQueue) waiting() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.placements) + len(h.loads)
 }
 
 // take removes at most limit hints, loads first: they are old sooner.
-func (h *Hints) take(limit int) membership.Hints {
+func (h *HintQueue) take(limit int) membership.Hints {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var taken membership.Hints
@@ -80,31 +80,31 @@
 	return taken
 }
 
-// HintOptions say how hints are told.
-type HintOptions struct {
-	// Period is the least time between two tellings.
-	Period time.Duration
-	// Pace returns another period for the time being, 0 for none; nil for always
+// HintSenderOptions say how hints are told.
+type HintSenderOptions struct {
+	// Interval is the least time between two tellings.
+	Interval time.Duration
+	// NextInterval returns another period for the time being, 0 for none; nil for always
 	// Period. It is asked once a period.
-	Pace func() time.Duration
+	NextInterval func() time.Duration
 	// BytesPerSecond bounds what is sent over all receivers.
 	BytesPerSecond int
 	// Collect returns hints that have come up since the last call; nil for those
 	// that are only added.
 	Collect func() membership.Hints
-	// Receivers is how many instances are told; nothing is told while there are
+	// ReceiverCount is how many instances are told; nothing is told while there are
 	// none.
-	Receivers func() int
-	Tell      func(membership.Hints)
+	ReceiverCount func() int
+	Send          func(membership.Hints)
 }
 
 // Run passes hints on every period until the context ends. While the budget is
 // used up they wait and come together, so that with many receivers each hears
 // less often.
-func (h *Hints) Run(ctx context.Context, o HintOptions) {
-	ticker := time.NewTicker(o.Period)
+func (h *HintQueue) Run(ctx context.Context, o HintSenderOptions) {
+	ticker := time.NewTicker(o.Interval)
 	defer ticker.Stop()
-	budget, waits, period := 0.0, 0*time.Second, o.Period
+	budget, waits, period := 0.0, 0*time.Second, o.Interval
 	for {
 		select {
 		case <-ctx.Done():
@@ -124,7 +124,7 @@
 		if h.waiting() == 0 {
 			continue
 		}
-		receivers := max(1, o.Receivers())
+		receivers := max(1, o.ReceiverCount())
 		if waits < pause(receivers) {
 			continue
 		}
@@ -135,16 +135,16 @@
 		news := h.take(limit)
 		budget -= float64(receivers * (hintHead + hintBytes*(len(news.Placements)+len(news.Loads))))
 		waits = 0
-		o.Tell(news)
+		o.Send(news)
 	}
 }
 
 // period is the time until the next telling.
-func (o *HintOptions) period() time.Duration {
-	if o.Pace == nil {
-		return o.Period
+func (o *HintSenderOptions) period() time.Duration {
+	if o.NextInterval == nil {
+		return o.Interval
 	}
-	return cmp.Or(o.Pace(), o.Period)
+	return cmp.Or(o.NextInterval(), o.Interval)
 }
 
 const (
--- a/control/gossip/hints_test.go
+++ b/control/gossip/hint_queue_test.go
@@ -14,7 +14,7 @@
 // With many receivers the budget is used up. Hints then wait and come together;
 // of an endpoint's load only the newest is worth its bytes.
 func TestHintsThatWaitComeTogether(t *testing.T) {
-	var h Hints
+	var h HintQueue
 	h.Add(membership.Hints{
 		Placements: []membership.Placement{{Endpoint: "e1", Block: 1}, {Endpoint: "e1", Block: 2}},
 		Loads:      []membership.Load{{Endpoint: "e1", Running: 1}, {Endpoint: "e2", Running: 1}},
@@ -30,20 +30,20 @@
 // What is told costs its bytes once for each receiver. An instance that counted
 // them wrongly would fill the links of a whole zone.
 func TestHintsKeepTheirBudget(t *testing.T) {
-	var h Hints
+	var h HintQueue
 	ctx, cancel := context.WithCancel(t.Context())
 	const receivers, bytes, period = fewReceivers, 100_000, time.Millisecond
 	ticks, sent := 0, 0
-	h.Run(ctx, HintOptions{
-		Period: period, BytesPerSecond: bytes,
+	h.Run(ctx, HintSenderOptions{
+		Interval: period, BytesPerSecond: bytes,
 		Collect: func() membership.Hints {
 			if ticks++; ticks == 400 {
 				cancel()
 			}
 			return membership.Hints{Placements: []membership.Placement{{Endpoint: "e", Block: tables.BlockHash(ticks)}}}
 		},
-		Receivers: func() int { return receivers },
-		Tell: func(news membership.Hints) {
+		ReceiverCount: func() int { return receivers },
+		Send: func(news membership.Hints) {
 			sent += receivers * (hintHead + hintBytes*len(news.Placements))
 		},
 	})
@@ -54,20 +54,20 @@
 // Thirty instances of a zone hear of every change of each other. Were they told
 // in every period, taking datagrams in would cost them more than their callers.
 func TestManyReceiversAreToldLessOften(t *testing.T) {
-	var h Hints
+	var h HintQueue
 	ctx, cancel := context.WithCancel(t.Context())
 	const receivers, period = 29, 10 * time.Millisecond
 	ticks, tellings, told := 0, 0, 0
-	h.Run(ctx, HintOptions{
-		Period: period, BytesPerSecond: 10_000_000,
+	h.Run(ctx, HintSenderOptions{
+		Interval: period, BytesPerSecond: 10_000_000,
 		Collect: func() membership.Hints {
 			if ticks++; ticks == 60 {
 				cancel()
 			}
 			return membership.Hints{Placements: []membership.Placement{{Endpoint: "e", Block: tables.BlockHash(ticks)}}}
 		},
-		Receivers: func() int { return receivers },
-		Tell:      func(news membership.Hints) { tellings++; told += len(news.Placements) },
+		ReceiverCount: func() int { return receivers },
+		Send:          func(news membership.Hints) { tellings++; told += len(news.Placements) },
 	})
 	assert.Equal(t, pause(receivers), 200*time.Millisecond)
 	assert.Equal(t, tellings, 3)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -84,7 +84,7 @@
 	members atomic.Pointer[gossip.Gossip]
 	peers   *peers
 	// placements wait to be told to the other instances.
-	hints   gossip.Hints
+	hints   gossip.HintQueue
 	inForce atomic.Pointer[inForce]
 	// The control role; nil without it.
 	replica   *server.Server
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -83,10 +83,10 @@
 
 // tellPlacements lets the other instances know where prefixes were placed.
 func (d *Daemon) tellPlacements() {
-	d.hints.Run(d.stopping, gossip.HintOptions{
-		Period:         placementPeriod,
-		BytesPerSecond: gossip.HintBytesPerSecond,
-		Receivers:      func() int { return d.members.Load().HintReceivers() },
-		Tell:           func(news membership.Hints) { d.members.Load().SendHints(news) },
+	d.hints.Run(d.stopping, gossip.HintSenderOptions{
+		Interval:       placementPeriod,
+		BytesPerSecond: gossip.DefaultHintBytesPerSecond,
+		ReceiverCount:  func() int { return d.members.Load().HintReceiverCount() },
+		Send:           func(news membership.Hints) { d.members.Load().SendHints(news) },
 	})
 }
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -33,12 +33,12 @@
 			Seeds:      p.Peers,
 			RandomSeed: d.seed(),
 		},
-		Ring:    d.instanceKeys,
-		Log:     d.options.Log,
-		Changed: d.membersChanged,
-		Newer:   d.fetchFrom,
-		Placed:  d.placedElsewhere,
-		Reaches: d.options.Reaches,
+		Ring:             d.instanceKeys,
+		Log:              d.options.Log,
+		OnMembersChanged: d.membersChanged,
+		OnNewerRevision:  d.fetchFrom,
+		OnPlacement:      d.placedElsewhere,
+		IsReachable:      d.options.Reaches,
 	})
 	if err != nil {
 		return trace.Wrap(err)
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -91,6 +91,6 @@
 	// A list without the system's own instances says nothing of them. Taken as
 	// it stands it would say that all of them are gone.
 	if joined := d.members.Load(); joined != nil && len(own) > 0 {
-		joined.PlatformList(own)
+		joined.SetPlatformList(own)
 	}
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -141,7 +141,7 @@
 // hintBytesPerSecond returns the bandwidth budget for the hints that this instance sends.
 func (n *Node) hintBytesPerSecond() int {
 	link := n.options.Settings.LinkMbps * 1e6 / 8
-	return min(maxHintBytesPerSecond, max(gossip.HintBytesPerSecond, int(hintLinkFraction*link)))
+	return min(maxHintBytesPerSecond, max(gossip.DefaultHintBytesPerSecond, int(hintLinkFraction*link)))
 }
 
 // collectHints returns the changes since the last call: the parts of prompts that this
@@ -211,13 +211,13 @@
 
 // sendHints gossips this instance's placements and loads until the instance stops.
 func (n *Node) sendHints() {
-	n.zoneHints.Run(n.lifetime, gossip.HintOptions{
-		Period:         hintInterval,
-		Pace:           n.hintPace,
+	n.zoneHints.Run(n.lifetime, gossip.HintSenderOptions{
+		Interval:       hintInterval,
+		NextInterval:   n.hintPace,
 		BytesPerSecond: n.hintBytesPerSecond(),
 		Collect:        n.collectHints,
-		Receivers:      func() int { return n.gossip.Load().HintReceivers() },
-		Tell:           func(hints membership.Hints) { n.gossip.Load().SendHints(hints) },
+		ReceiverCount:  func() int { return n.gossip.Load().HintReceiverCount() },
+		Send:           func(hints membership.Hints) { n.gossip.Load().SendHints(hints) },
 	})
 }
 
@@ -232,11 +232,11 @@
 
 // sendRemotePlacements sends placements to other zones until the instance stops.
 func (n *Node) sendRemotePlacements() {
-	n.remotePlacements.Run(n.lifetime, gossip.HintOptions{
-		Period:         remotePlacementInterval,
+	n.remotePlacements.Run(n.lifetime, gossip.HintSenderOptions{
+		Interval:       remotePlacementInterval,
 		BytesPerSecond: int(remotePlacementFraction * float64(n.hintBytesPerSecond())),
-		Receivers:      func() int { return 1 },
-		Tell:           func(hints membership.Hints) { n.gossip.Load().SendToOtherZones(hints.Placements) },
+		ReceiverCount:  func() int { return 1 },
+		Send:           func(hints membership.Hints) { n.gossip.Load().SendPlacementsToOtherZones(hints.Placements) },
 	})
 }
 
@@ -252,11 +252,11 @@
 // sendRemoteLoads sends this instance's load at endpoints to the schedulers of other zones
 // until the instance stops.
 func (n *Node) sendRemoteLoads() {
-	n.remoteLoads.Run(n.lifetime, gossip.HintOptions{
-		Period:         remoteLoadInterval,
-		Pace:           n.remoteLoadPace,
+	n.remoteLoads.Run(n.lifetime, gossip.HintSenderOptions{
+		Interval:       remoteLoadInterval,
+		NextInterval:   n.remoteLoadPace,
 		BytesPerSecond: int(remoteLoadFraction * float64(n.hintBytesPerSecond())),
-		Receivers:      func() int { return n.gossip.Load().RemoteSchedulers() },
-		Tell:           func(hints membership.Hints) { n.gossip.Load().SendLoadsToOtherZones(hints.Loads) },
+		ReceiverCount:  func() int { return n.gossip.Load().RemoteSchedulerCount() },
+		Send:           func(hints membership.Hints) { n.gossip.Load().SendLoadsToOtherZones(hints.Loads) },
 	})
 }
--- a/node/members.go
+++ b/node/members.go
@@ -42,15 +42,15 @@
 			RandomSeed:    n.randomSeed(),
 			UseSchedulers: true,
 		},
-		Listen:   s.Listen.Membership,
-		Ring:     keys.Of(datagramKey),
-		Log:      n.log,
-		Changed:  n.handleMembersChanged,
-		Placed:   n.handlePlacement,
-		Loaded:   n.handleLoad,
-		Schedule: n.handleScheduleMessage,
-		Usage:    n.handleUsageMessage,
-		Relay: func(placements []membership.Placement) {
+		ListenAddress:    s.Listen.Membership,
+		Ring:             keys.Of(datagramKey),
+		Log:              n.log,
+		OnMembersChanged: n.handleMembersChanged,
+		OnPlacement:      n.handlePlacement,
+		OnLoad:           n.handleLoad,
+		OnSchedule:       n.handleScheduleMessage,
+		OnUsage:          n.handleUsageMessage,
+		OnRelay: func(placements []membership.Placement) {
 			n.zoneHints.Add(membership.Hints{Placements: placements})
 		},
 	})
--- a/node/node.go
+++ b/node/node.go
@@ -108,11 +108,11 @@
 	limitSharers atomic.Int64
 	// zoneHints queues hints for the instances that receive them directly, mainly those of the
 	// zone.
-	zoneHints gossip.Hints
+	zoneHints gossip.HintQueue
 	// remotePlacements queues placements for other zones.
-	remotePlacements gossip.Hints
+	remotePlacements gossip.HintQueue
 	// remoteLoads queues loads for the schedulers of other zones.
-	remoteLoads gossip.Hints
+	remoteLoads gossip.HintQueue
 
 	// The following fields belong to the entry role and are nil without it.
 	entry            *forward.Server
