--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -1,5 +1,7 @@
-// Package gossip runs the failure detection of package systems/membership over
-// UDP.
+// Package gossip runs the SWIM failure detector of package systems/membership over
+// UDP. It also sends the hints that instances exchange: gossip about request
+// placements and endpoint load. Datagrams are sealed with the key of the
+// deployment.
 package gossip
 
 import (
@@ -20,85 +22,96 @@
 )
 
 const (
+	// tickInterval is the time between two ticks of the failure detector.
 	tickInterval = 100 * time.Millisecond
-	// readBuffer is above the largest datagram.
-	readBuffer = 2048
+	// readBufferBytes exceeds the largest datagram.
+	readBufferBytes = 2048
 )
 
-// Options sets a Gossip up. The functions are called by one goroutine at a time
-// and must not call the Gossip's Close; nil ones are not called.
+// Options configures a Gossip. Callbacks may be nil. They must not call Close. All
+// but OnSchedule and OnUsage are called one at a time.
 type Options struct {
-	// Membership says who this instance is and whom to join through.
+	// Membership identifies this instance and names the seeds that it joins
+	// through.
 	Membership membership.Options
-	// ListenAddress is where datagrams are taken; invalid means at the address of
-	// Membership's Self.
+	// ListenAddress is the local address that the socket is bound to. If it is
+	// invalid, the socket is bound to the address of Membership.Self.
 	ListenAddress netip.AddrPort
-	// Ring holds the key that datagrams are sealed with.
+	// Ring holds the keys that seal datagrams.
 	Ring *keys.Ring
 	Log  *zap.Logger
-	// OnMembersChanged is called when an instance came, went or changed its state.
+	// OnMembersChanged is called with all known members when an instance has
+	// joined, left or changed its state.
 	OnMembersChanged func([]membership.Member)
-	// OnNewerRevision is called with the control address of an instance that has a newer
-	// revision in force.
+	// OnNewerRevision is called with the control address of an instance that has a
+	// newer configuration revision in force.
 	OnNewerRevision func(netip.AddrPort)
-	// OnPlacement hands out placements of other instances.
+	// OnPlacement is called with each placement that another instance announced.
 	OnPlacement func(membership.Placement)
-	// OnRelay takes placements of another zone that are to be told in this one.
+	// OnRelay is called with placements of another zone that this instance has to
+	// forward within its own zone.
 	OnRelay func([]membership.Placement)
-	// OnLoad hands out what other instances have at endpoints.
+	// OnLoad is called with each load that another instance announced.
 	OnLoad func(membership.Load)
-	// OnSchedule takes a message between an entry instance and a scheduler. It must not
+	// OnSchedule is called with a message between an entry instance and a
+	// scheduler. It runs on the goroutine that reads the socket, so it must not
 	// block for long.
 	OnSchedule func(from membership.Sender, message *rpc.ScheduleMessage)
-	// OnUsage takes a message about organisations' usage. It must not block.
+	// OnUsage is called with a message about the usage of organisations. It runs on
+	// the goroutine that reads the socket, so it must not block.
 	OnUsage func(from membership.Sender, message *rpc.UsageMessage)
-	// IsReachable says whether datagrams to an address arrive; nil means that all
-	// do. Tests cut availability zones off here.
+	// IsReachable returns whether datagrams to an address are sent; nil sends all.
+	// Tests use it to partition availability zones.
 	IsReachable func(to netip.AddrPort) bool
 }
 
-// Traffic counts what was sent and received.
+// Traffic holds counters of datagrams and bytes. Dropped counts datagrams that
+// could not be sent, opened or decoded.
 type Traffic struct {
 	SentBytes, SentDatagrams         uint64
 	ReceivedBytes, ReceivedDatagrams uint64
 	Dropped                          uint64
 }
 
-// Gossip is a running detection. It is safe for concurrent use.
+// Gossip is a running member of the SWIM group. It owns the UDP socket, drives the
+// timers of the failure detector and runs the callbacks. It is safe for concurrent
+// use.
 type Gossip struct {
-	options Options
-	conn    *net.UDPConn
-	started time.Time
-	stop    chan struct{}
-	running sync.WaitGroup
-
-	mu         sync.Mutex
-	membership *membership.Membership
-	version    uint64
-
-	// calls is held while the functions of the options are called.
-	calls sync.Mutex
-
-	sentBytes, sent         atomic.Uint64
-	receivedBytes, received atomic.Uint64
-	dropped                 atomic.Uint64
+	options    Options
+	conn       *net.UDPConn
+	started    time.Time
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+
+	// mu guards membership and notifiedVersion. The latter is the membership
+	// version that OnMembersChanged was last called for.
+	mu              sync.Mutex
+	membership      *membership.Membership
+	notifiedVersion uint64
+
+	// callbacks is held while callbacks run, so that they run one at a time.
+	callbacks sync.Mutex
+
+	sentBytes, sentDatagrams         atomic.Uint64
+	receivedBytes, receivedDatagrams atomic.Uint64
+	droppedDatagrams                 atomic.Uint64
 }
 
-// Start listens and joins.
+// Start binds the socket and joins the group through the seeds.
 func Start(options Options) (*Gossip, error) {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
 	}
-	advertised := options.ListenAddress.IsValid()
-	if !advertised {
+	hasListenAddress := options.ListenAddress.IsValid()
+	if !hasListenAddress {
 		options.ListenAddress = options.Membership.Self.Address
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.ListenAddress))
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	if !advertised {
-		// Tests listen on any port; the others must learn the real one.
+	if !hasListenAddress {
+		// Tests bind port 0; the other members need the port that was assigned.
 		options.Membership.Self.Address = conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	}
 	g := &Gossip{
@@ -108,79 +121,85 @@
 		stop:       make(chan struct{}),
 		membership: membership.New(options.Membership),
 	}
-	g.running.Go(g.read)
-	g.running.Go(g.tick)
+	g.goroutines.Go(g.readLoop)
+	g.goroutines.Go(g.tickLoop)
 	return g, nil
 }
 
-// Address is where datagrams are taken.
+// Address returns the address that this instance advertises for datagrams.
 func (g *Gossip) Address() netip.AddrPort { return g.options.Membership.Self.Address }
 
-// Close tells the others that this instance leaves, and stops.
+// Close announces that this instance leaves, closes the socket and waits for the
+// goroutines.
 func (g *Gossip) Close() {
-	g.run((*membership.Membership).Leave)
+	g.update((*membership.Membership).Leave)
 	close(g.stop)
 	_ = g.conn.Close()
-	g.running.Wait()
+	g.goroutines.Wait()
 }
 
-// Members returns all known instances, by name.
+// Members returns all known members, sorted by name.
 func (g *Gossip) Members() []membership.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.Members()
 }
 
-// LoadShare returns this instance's part of the load, above 0 and at most 1.
+// LoadShare returns this instance's fraction of the total load, above 0 and at most
+// 1.
 func (g *Gossip) LoadShare() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.LoadShare()
 }
 
-// SetRevision tells the others which revision is in force here.
+// SetRevision announces the configuration revision that is in force at this
+// instance, and since when.
 func (g *Gossip) SetRevision(revision tables.Revision, since time.Time) {
-	g.run(func(m *membership.Membership, now tables.Instant) membership.Output {
+	g.update(func(m *membership.Membership, now tables.Instant) membership.Output {
 		return m.SetRevision(now, revision, since)
 	})
 }
 
-// SendHints lets the others know of this instance's requests.
+// SendHints sends hints about this instance's requests to the other instances that
+// receive them (see HintReceiverCount).
 func (g *Gossip) SendHints(hints membership.Hints) {
-	g.run(func(m *membership.Membership, now tables.Instant) membership.Output {
+	g.update(func(m *membership.Membership, now tables.Instant) membership.Output {
 		return m.SendHints(now, hints)
 	})
 }
 
-// SendPlacementsToOtherZones lets zones that SendHints leaves out know of placements.
+// SendPlacementsToOtherZones sends placements to the zones that SendHints leaves
+// out.
 func (g *Gossip) SendPlacementsToOtherZones(placements []membership.Placement) {
-	g.run(func(m *membership.Membership, now tables.Instant) membership.Output {
+	g.update(func(m *membership.Membership, now tables.Instant) membership.Output {
 		return m.SendPlacementsToOtherZones(now, placements)
 	})
 }
 
-// SendLoadsToOtherZones lets the schedulers of other zones know of loads.
+// SendLoadsToOtherZones sends loads to the schedulers of other zones.
 func (g *Gossip) SendLoadsToOtherZones(loads []membership.Load) {
-	g.run(func(m *membership.Membership, now tables.Instant) membership.Output {
+	g.update(func(m *membership.Membership, now tables.Instant) membership.Output {
 		return m.SendLoadsToOtherZones(now, loads)
 	})
 }
 
-// RemoteSchedulerCount counts the schedulers of other zones.
+// RemoteSchedulerCount returns the number of schedulers in other zones.
 func (g *Gossip) RemoteSchedulerCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.RemoteSchedulerCount()
 }
 
-// Schedulers lists the schedulers of the own zone, the best first.
+// Schedulers returns the schedulers of this instance's zone, the preferred one
+// first.
 func (g *Gossip) Schedulers() []membership.EntryInstance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.Schedulers()
 }
 
-// AllSchedulers lists the schedulers of all zones.
+// AllSchedulers returns the schedulers of all zones.
 func (g *Gossip) AllSchedulers() []membership.EntryInstance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -195,7 +214,7 @@
 	g.sendAll(out.Datagrams)
 }
 
-// SendUsage sends a message about organisations' usage.
+// SendUsage sends a message about the usage of organisations.
 func (g *Gossip) SendUsage(to netip.AddrPort, message *rpc.UsageMessage) {
 	g.mu.Lock()
 	out := g.membership.EncodeUsage(to, message)
@@ -203,56 +222,59 @@
 	g.sendAll(out.Datagrams)
 }
 
-// EntriesByZone lists the living entry instances of each zone. It is not to be changed.
+// EntriesByZone returns the living entry instances of each zone. The caller must
+// not modify the result.
 func (g *Gossip) EntriesByZone() map[tables.Zone][]membership.EntryInstance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.EntriesByZone()
 }
 
-// HintReceiverCount is how many instances hints are told to.
+// HintReceiverCount returns the number of instances that SendHints sends to.
 func (g *Gossip) HintReceiverCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.membership.HintReceiverCount()
 }
 
-// SetPlatformList takes the platform's list as a hint.
+// SetPlatformList passes the platform's list of instances to the failure detector,
+// which treats it as a hint.
 func (g *Gossip) SetPlatformList(list []membership.PlatformInstance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.membership.SetPlatformList(list)
 }
 
-// Traffic returns the counts since the start.
+// Traffic returns the counters since Start.
 func (g *Gossip) Traffic() Traffic {
 	return Traffic{
 		SentBytes:         g.sentBytes.Load(),
-		SentDatagrams:     g.sent.Load(),
+		SentDatagrams:     g.sentDatagrams.Load(),
 		ReceivedBytes:     g.receivedBytes.Load(),
-		ReceivedDatagrams: g.received.Load(),
-		Dropped:           g.dropped.Load(),
+		ReceivedDatagrams: g.receivedDatagrams.Load(),
+		Dropped:           g.droppedDatagrams.Load(),
 	}
 }
 
 func (g *Gossip) now() tables.Instant { return time.Since(g.started) }
 
-// run lets the detection do something and carries out what comes of it.
-func (g *Gossip) run(f func(*membership.Membership, tables.Instant) membership.Output) {
+// update calls f on the membership state machine with mu held, then sends the
+// resulting datagrams and runs the resulting callbacks.
+func (g *Gossip) update(f func(*membership.Membership, tables.Instant) membership.Output) {
 	g.mu.Lock()
 	out := f(g.membership, g.now())
 	var changed []membership.Member
-	if version := g.membership.Version(); version != g.version && g.options.OnMembersChanged != nil {
-		g.version = version
+	if version := g.membership.Version(); version != g.notifiedVersion && g.options.OnMembersChanged != nil {
+		g.notifiedVersion = version
 		changed = g.membership.Members()
 	}
 	g.mu.Unlock()
 	g.sendAll(out.Datagrams)
-	g.tell(out, changed)
+	g.runCallbacks(out, changed)
 }
 
-// sendAll sends datagrams. Hints go to many with one payload, which is sealed
-// once.
+// sendAll seals and sends datagrams. Hints have the same payload for all receivers,
+// so consecutive datagrams that share a payload are sealed once.
 func (g *Gossip) sendAll(datagrams []membership.Datagram) {
 	var payload, sealed []byte
 	for _, d := range datagrams {
@@ -268,14 +290,16 @@
 		return
 	}
 	if _, err := g.conn.WriteToUDPAddrPort(sealed, d.To); err != nil {
-		g.dropped.Add(1)
+		g.droppedDatagrams.Add(1)
 		return
 	}
-	g.sent.Add(1)
+	g.sentDatagrams.Add(1)
 	g.sentBytes.Add(uint64(len(sealed)))
 }
 
-func (g *Gossip) tell(out membership.Output, changed []membership.Member) {
+// runCallbacks passes received messages to the callbacks. Schedule and usage
+// messages do not wait for the other callbacks.
+func (g *Gossip) runCallbacks(out membership.Output, changed []membership.Member) {
 	if out.UsageMessage != nil {
 		if g.options.OnUsage != nil {
 			g.options.OnUsage(out.From, out.UsageMessage)
@@ -288,8 +312,8 @@
 		}
 		return
 	}
-	g.calls.Lock()
-	defer g.calls.Unlock()
+	g.callbacks.Lock()
+	defer g.callbacks.Unlock()
 	if changed != nil {
 		g.options.OnMembersChanged(changed)
 	}
@@ -311,21 +335,21 @@
 	}
 }
 
-func (g *Gossip) tick() {
+func (g *Gossip) tickLoop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			g.run((*membership.Membership).Tick)
+			g.update((*membership.Membership).Tick)
 		case <-g.stop:
 			return
 		}
 	}
 }
 
-func (g *Gossip) read() {
-	buffer := make([]byte, readBuffer)
+func (g *Gossip) readLoop() {
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buffer)
 		select {
@@ -334,8 +358,8 @@
 		default:
 		}
 		if err != nil {
-			// An ICMP answer to an earlier datagram ends up here; the socket
-			// goes on working.
+			// An ICMP error for an earlier datagram is returned here; the socket
+			// remains usable.
 			continue
 		}
 		g.receive(buffer[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
@@ -343,17 +367,17 @@
 }
 
 func (g *Gossip) receive(sealed []byte, from netip.AddrPort) {
-	g.received.Add(1)
+	g.receivedDatagrams.Add(1)
 	g.receivedBytes.Add(uint64(len(sealed)))
 	payload, ok := g.options.Ring.Open(sealed)
 	if !ok {
-		g.dropped.Add(1)
+		g.droppedDatagrams.Add(1)
 		return
 	}
-	g.run(func(m *membership.Membership, now tables.Instant) membership.Output {
+	g.update(func(m *membership.Membership, now tables.Instant) membership.Output {
 		out, err := m.Receive(now, from, payload)
 		if err != nil {
-			g.dropped.Add(1)
+			g.droppedDatagrams.Add(1)
 			events.DatagramDropped.Log(g.options.Log, zap.Error(err))
 		}
 		return out
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -15,7 +15,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func start(t *testing.T, key string, i int, seeds []netip.AddrPort, options Options) *Gossip {
+func startGossip(t *testing.T, key string, i int, seeds []netip.AddrPort, options Options) *Gossip {
 	path := filepath.Join(t.TempDir(), "key")
 	assert.NilError(t, os.WriteFile(path, []byte(key), 0o600))
 	ring, err := keys.Read(path)
@@ -38,21 +38,22 @@
 	return g
 }
 
-// An instance with another key, such as one of another deployment, sends to the
-// same address. It must neither be believed nor stop the others.
-func TestInstancesFindEachOtherOverUDP(t *testing.T) {
-	const key, other = "0123456789abcdef0123456789abcdef", "another-key-of-thirty-two-letters"
+// Guards against datagrams sealed with another key, for example from another
+// deployment that sends to the same address. They must be dropped without affecting
+// discovery among instances that share the key.
+func TestDiscoveryIgnoresOtherKeys(t *testing.T) {
+	const key, foreignKey = "0123456789abcdef0123456789abcdef", "another-key-of-thirty-two-letters"
 	changed := make(chan []membership.Member, 100)
 	placed := make(chan membership.Placement, 1)
 	newer := make(chan netip.AddrPort, 100)
-	first := start(t, key, 0, nil, Options{
+	first := startGossip(t, key, 0, nil, Options{
 		OnMembersChanged: func(members []membership.Member) { changed <- members },
 		OnPlacement:      func(p membership.Placement) { placed <- p },
 		OnNewerRevision:  func(at netip.AddrPort) { newer <- at },
 	})
 	seeds := []netip.AddrPort{first.Address()}
-	second := start(t, key, 1, seeds, Options{})
-	stranger := start(t, other, 2, seeds, Options{})
+	second := startGossip(t, key, 1, seeds, Options{})
+	foreign := startGossip(t, foreignKey, 2, seeds, Options{})
 	second.SetRevision(4, time.Unix(1, 0))
 	members := <-changed
 	for len(members) < 2 {
@@ -69,5 +70,5 @@
 	for first.Traffic().Dropped == 0 {
 		<-newer
 	}
-	assert.Equal(t, len(stranger.Members()), 1)
+	assert.Equal(t, len(foreign.Members()), 1)
 }
--- a/control/gossip/hint_queue.go
+++ b/control/gossip/hint_queue.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// DefaultHintBytesPerSecond bounds what an instance sends of hints, over all
-	// receivers, where nothing else is set: a third of what control may cost at
-	// the target.
+	// DefaultHintBytesPerSecond is the default limit on the hint bytes that an
+	// instance sends, summed over all receivers. It is a third of what control
+	// traffic may cost at the target size of a deployment.
 	DefaultHintBytesPerSecond = 10_000
-	// hintBytes is about what one hint takes in a datagram, and hintHead what the
-	// datagram itself does.
-	hintBytes = 32
-	hintHead  = 80
-	// hintBurst is for how long an unused budget is kept.
-	hintBurst = 2 * time.Second
-	// maxPlacements bounds the placements that wait; the oldest go first, since
-	// prefixes are hot for seconds.
-	maxPlacements = 1024
+	// bytesPerHint is the approximate encoded size of one hint, and
+	// datagramOverheadBytes that of a datagram without hints.
+	bytesPerHint          = 32
+	datagramOverheadBytes = 80
+	// burstWindow is the capacity of the token bucket, as the time in which it
+	// fills at the configured rate.
+	burstWindow = 2 * time.Second
+	// maxQueuedPlacements bounds the queued placements. The oldest are dropped
+	// first, since prefixes are hot for seconds only.
+	maxQueuedPlacements = 1024
 )
 
-// HintQueue holds what the other instances are to hear of this one's requests. It is
-// safe for concurrent use. The zero value is ready to use.
+// HintQueue is a bounded queue of the hints that this instance has to send to
+// others. Run drains it under a byte rate limit. It is safe for concurrent use. The
+// zero value is ready to use.
 type HintQueue struct {
 	mu         sync.Mutex
 	placements []membership.Placement
-	// loads keeps the latest of each endpoint only: a load that waits is
-	// overtaken by the next.
+	// loads holds only the latest load of each endpoint, because a newer load
+	// supersedes one that is still queued.
 	loads map[tables.EndpointID]membership.Load
 }
 
-// Add takes hints of this instance. It does not block.
+// Add queues hints of this instance. It does not block.
 func (h *HintQueue) Add(more membership.Hints) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.placements = append(h.placements, more.Placements...)
-	if over := len(h.placements) - maxPlacements; over > 0 {
+	if over := len(h.placements) - maxQueuedPlacements; over > 0 {
 		h.placements = append(h.placements[:0], h.placements[over:]...)
 	}
 	if h.loads == nil {
@@ -54,15 +56,16 @@
 	}
 }
 
-// waiting is how many hints there are.
-func (h *HintQueue) waiting() int {
+// queued returns the number of queued hints.
+func (h *HintQueue) queued() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.placements) + len(h.loads)
 }
 
-// take removes at most limit hints, loads first: they are old sooner.
-func (h *HintQueue) take(limit int) membership.Hints {
+// dequeue removes and returns at most limit hints. Loads come first because they
+// become outdated sooner.
+func (h *HintQueue) dequeue(limit int) membership.Hints {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var taken membership.Hints
@@ -80,31 +83,33 @@
 	return taken
 }
 
-// HintSenderOptions say how hints are told.
+// HintSenderOptions configures HintQueue.Run.
 type HintSenderOptions struct {
-	// Interval is the least time between two tellings.
+	// Interval is the minimum time between two sends.
 	Interval time.Duration
-	// NextInterval returns another period for the time being, 0 for none; nil for always
-	// Period. It is asked once a period.
+	// NextInterval returns the interval to use until the next call; 0 means
+	// Interval. It is called once per interval. If it is nil, Interval is always
+	// used.
 	NextInterval func() time.Duration
-	// BytesPerSecond bounds what is sent over all receivers.
+	// BytesPerSecond limits the bytes that are sent, summed over all receivers.
 	BytesPerSecond int
-	// Collect returns hints that have come up since the last call; nil for those
-	// that are only added.
+	// Collect returns the hints that have arisen since the last call. If it is nil,
+	// only hints passed to Add are sent.
 	Collect func() membership.Hints
-	// ReceiverCount is how many instances are told; nothing is told while there are
-	// none.
+	// ReceiverCount returns the number of instances that Send sends to. Zero is
+	// treated as one.
 	ReceiverCount func() int
-	Send          func(membership.Hints)
+	// Send sends the hints to every receiver.
+	Send func(membership.Hints)
 }
 
-// Run passes hints on every period until the context ends. While the budget is
-// used up they wait and come together, so that with many receivers each hears
-// less often.
+// Run sends queued hints every interval until the context ends. A token bucket of
+// bytes limits the rate. While the bucket is empty, hints stay in the queue and are
+// later sent together, so with many receivers each gets fewer, larger datagrams.
 func (h *HintQueue) Run(ctx context.Context, o HintSenderOptions) {
 	ticker := time.NewTicker(o.Interval)
 	defer ticker.Stop()
-	budget, waits, period := 0.0, 0*time.Second, o.Interval
+	budget, sinceSend, interval := 0.0, 0*time.Second, o.Interval
 	for {
 		select {
 		case <-ctx.Done():
@@ -114,33 +119,33 @@
 		if o.Collect != nil {
 			h.Add(o.Collect())
 		}
-		budget += float64(o.BytesPerSecond) * period.Seconds()
-		budget = min(budget, float64(o.BytesPerSecond)*hintBurst.Seconds())
-		waits += period
-		if next := o.period(); next != period {
-			period = next
-			ticker.Reset(period)
+		budget += float64(o.BytesPerSecond) * interval.Seconds()
+		budget = min(budget, float64(o.BytesPerSecond)*burstWindow.Seconds())
+		sinceSend += interval
+		if next := o.nextInterval(); next != interval {
+			interval = next
+			ticker.Reset(interval)
 		}
-		if h.waiting() == 0 {
+		if h.queued() == 0 {
 			continue
 		}
 		receivers := max(1, o.ReceiverCount())
-		if waits < pause(receivers) {
+		if sinceSend < minSendDelay(receivers) {
 			continue
 		}
-		limit := (int(budget)/receivers - hintHead) / hintBytes
+		limit := (int(budget)/receivers - datagramOverheadBytes) / bytesPerHint
 		if limit <= 0 {
 			continue
 		}
-		news := h.take(limit)
-		budget -= float64(receivers * (hintHead + hintBytes*(len(news.Placements)+len(news.Loads))))
-		waits = 0
-		o.Send(news)
+		hints := h.dequeue(limit)
+		budget -= float64(receivers * (datagramOverheadBytes + bytesPerHint*(len(hints.Placements)+len(hints.Loads))))
+		sinceSend = 0
+		o.Send(hints)
 	}
 }
 
-// period is the time until the next telling.
-func (o *HintSenderOptions) period() time.Duration {
+// nextInterval returns the time until the next send.
+func (o *HintSenderOptions) nextInterval() time.Duration {
 	if o.NextInterval == nil {
 		return o.Interval
 	}
@@ -148,14 +153,15 @@
 }
 
 const (
-	// fewReceivers hear of hints in every period; each further one makes the time
-	// between two tellings longer by pauseFor. What an instance receives in a second
-	// grows with the group otherwise.
-	fewReceivers = 9
-	pauseFor     = 10 * time.Millisecond
+	// Up to fullRateReceivers receivers get hints in every interval. Each further
+	// receiver adds delayPerReceiver to the time between two sends. Otherwise the
+	// datagrams that an instance receives per second would grow with the group.
+	fullRateReceivers = 9
+	delayPerReceiver  = 10 * time.Millisecond
 )
 
-// pause is the least time between two tellings to so many receivers.
-func pause(receivers int) time.Duration {
-	return time.Duration(max(0, receivers-fewReceivers)) * pauseFor
+// minSendDelay returns the minimum time between two sends to the given number of
+// receivers.
+func minSendDelay(receivers int) time.Duration {
+	return time.Duration(max(0, receivers-fullRateReceivers)) * delayPerReceiver
 }
--- a/control/gossip/hint_queue_test.go
+++ b/control/gossip/hint_queue_test.go
@@ -11,28 +11,29 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// With many receivers the budget is used up. Hints then wait and come together;
-// of an endpoint's load only the newest is worth its bytes.
-func TestHintsThatWaitComeTogether(t *testing.T) {
+// Guards against spending the byte budget on outdated loads. Hints that exceed the
+// budget are queued, and of several loads of one endpoint only the newest is sent.
+func TestQueueKeepsLatestLoad(t *testing.T) {
 	var h HintQueue
 	h.Add(membership.Hints{
 		Placements: []membership.Placement{{Endpoint: "e1", Block: 1}, {Endpoint: "e1", Block: 2}},
 		Loads:      []membership.Load{{Endpoint: "e1", Running: 1}, {Endpoint: "e2", Running: 1}},
 	})
 	h.Add(membership.Hints{Loads: []membership.Load{{Endpoint: "e1", Running: 5}}})
-	first := h.take(3)
+	first := h.dequeue(3)
 	assert.DeepEqual(t, first.Loads, []membership.Load{{Endpoint: "e1", Running: 5}, {Endpoint: "e2", Running: 1}})
 	assert.Equal(t, len(first.Placements), 1)
-	assert.Equal(t, h.take(9).Placements[0].Block, tables.BlockHash(2))
-	assert.Equal(t, h.waiting(), 0)
+	assert.Equal(t, h.dequeue(9).Placements[0].Block, tables.BlockHash(2))
+	assert.Equal(t, h.queued(), 0)
 }
 
-// What is told costs its bytes once for each receiver. An instance that counted
-// them wrongly would fill the links of a whole zone.
-func TestHintsKeepTheirBudget(t *testing.T) {
+// Guards against exceeding the byte limit. Each hint costs its bytes once per
+// receiver; without counting that, one instance could saturate the links of a whole
+// zone.
+func TestSendRateStaysWithinBudget(t *testing.T) {
 	var h HintQueue
 	ctx, cancel := context.WithCancel(t.Context())
-	const receivers, bytes, period = fewReceivers, 100_000, time.Millisecond
+	const receivers, bytes, period = fullRateReceivers, 100_000, time.Millisecond
 	ticks, sent := 0, 0
 	h.Run(ctx, HintSenderOptions{
 		Interval: period, BytesPerSecond: bytes,
@@ -43,21 +44,22 @@
 			return membership.Hints{Placements: []membership.Placement{{Endpoint: "e", Block: tables.BlockHash(ticks)}}}
 		},
 		ReceiverCount: func() int { return receivers },
-		Send: func(news membership.Hints) {
-			sent += receivers * (hintHead + hintBytes*len(news.Placements))
+		Send: func(hints membership.Hints) {
+			sent += receivers * (datagramOverheadBytes + bytesPerHint*len(hints.Placements))
 		},
 	})
-	most := int(float64(ticks) * period.Seconds() * bytes)
-	assert.Assert(t, sent <= most && sent > most/2, "%d bytes of %d", sent, most)
+	maxBytes := int(float64(ticks) * period.Seconds() * bytes)
+	assert.Assert(t, sent <= maxBytes && sent > maxBytes/2, "sent %d bytes, the limit is %d", sent, maxBytes)
 }
 
-// Thirty instances of a zone hear of every change of each other. Were they told
-// in every period, taking datagrams in would cost them more than their callers.
-func TestManyReceiversAreToldLessOften(t *testing.T) {
+// Guards against hint traffic that grows with the size of the group. With 30
+// instances in a zone and a send in every interval, receiving datagrams would cost
+// them more than serving requests.
+func TestSendIntervalGrowsWithReceivers(t *testing.T) {
 	var h HintQueue
 	ctx, cancel := context.WithCancel(t.Context())
 	const receivers, period = 29, 10 * time.Millisecond
-	ticks, tellings, told := 0, 0, 0
+	ticks, sends, sentHints := 0, 0, 0
 	h.Run(ctx, HintSenderOptions{
 		Interval: period, BytesPerSecond: 10_000_000,
 		Collect: func() membership.Hints {
@@ -67,9 +69,9 @@
 			return membership.Hints{Placements: []membership.Placement{{Endpoint: "e", Block: tables.BlockHash(ticks)}}}
 		},
 		ReceiverCount: func() int { return receivers },
-		Send:          func(news membership.Hints) { tellings++; told += len(news.Placements) },
+		Send:          func(hints membership.Hints) { sends++; sentHints += len(hints.Placements) },
 	})
-	assert.Equal(t, pause(receivers), 200*time.Millisecond)
-	assert.Equal(t, tellings, 3)
-	assert.Equal(t, told, 60)
+	assert.Equal(t, minSendDelay(receivers), 200*time.Millisecond)
+	assert.Equal(t, sends, 3)
+	assert.Equal(t, sentHints, 60)
 }
