--- a/control/deployment/client.go
+++ b/control/deployment/client.go
@@ -13,171 +13,179 @@
 )
 
 const (
-	// followWait is how long a source is asked to wait for news, and
-	// followTimeout how long it may take to answer. A source that falls silent
-	// is given up before a change would be late.
+	// followWait is the duration of a long poll, and followTimeout bounds the whole
+	// call. An unresponsive source is abandoned early enough for the next one to
+	// deliver a change in time.
 	followWait    = time.Second
 	followTimeout = 1400 * time.Millisecond
-	// pauseAfterFailure is the wait before the next source is asked.
-	pauseAfterFailure = 30 * time.Millisecond
-	// pauseWhileBehind is the wait before the next round when no source knows its
-	// documents to be the newest. Endpoints come and go meanwhile, and callers are
-	// sent to those that have left until the next round tells of them.
-	pauseWhileBehind = 30 * time.Millisecond
+	// retryDelay is the delay before the next source is asked after a failure.
+	retryDelay = 30 * time.Millisecond
+	// staleRetryDelay is the delay before the next round if no source is up to
+	// date. It is short because endpoints come and go in the meantime, and requests
+	// are sent to endpoints that have left until the next round reports that.
+	staleRetryDelay = 30 * time.Millisecond
 )
 
-// ClientOptions set a Client up. The functions are called by one goroutine.
+// ClientOptions configures a Client. The callbacks are called from the goroutine of
+// Run.
 type ClientOptions struct {
+	// Instance is the name of this instance.
 	Instance string
-	// Sources lists whom to follow, nearest first. It is asked again each time.
+	// Sources returns the control instances that can be followed, nearest first. It
+	// is called before each request.
 	Sources func() []Source
-	// OnDocument takes a document that is newer than the last of its name.
+	// OnDocument is called with each document that is newer than the previous one
+	// of its name.
 	OnDocument func(*rpc.Document)
-	// OnWeightVersion takes when versions of weights were named; nil for nobody. It is
-	// called before Document is with the newest of them.
+	// OnWeightVersion is called with target versions of weights and their ages,
+	// before OnDocument is called with the newest of them. It may be nil.
 	OnWeightVersion func(*rpc.WeightsNamed)
-	// OnEndpoints takes the endpoints whenever they have changed.
+	// OnEndpoints is called when the endpoint table has changed.
 	OnEndpoints func(*fleet.Replica)
-	// OnAnswer is told of each answer; nil for nobody.
+	// OnAnswer is called with each answer to a long poll. It may be nil.
 	OnAnswer func(from Source, answer *rpc.FollowAnswer)
-	// Now is a monotonic clock; nil for that of the process.
+	// Now is a monotonic clock. It defaults to that of the process.
 	Now func() time.Duration
 	Log *zap.Logger
 }
 
-// Client follows control instances, one at a time.
+// Client keeps documents and the endpoint table up to date by long polling one
+// control instance at a time. It fails over when that instance is unresponsive or
+// behind its group, and fails back to a nearer one after it has recovered.
 type Client struct {
 	options ClientOptions
-	have    map[string]uint64
-	fleet   *fleet.Replica
-	// fleetFrom is the source that the endpoints are from.
-	fleetFrom string
-	choice    choice
-	// followed is the source that answered last, and lost are those of which was
-	// logged that they do not answer or may be behind.
-	followed string
-	lost     map[string]bool
+	// versions holds the number of the newest document by name.
+	versions  map[string]uint64
+	endpoints *fleet.Replica
+	// endpointsSource is the source that the endpoint table was last requested
+	// from.
+	endpointsSource string
+	selector        sourceSelector
+	// lastFollowed is the source whose selection was logged last. loggedLost holds
+	// the sources whose failure has been logged since they were last selected.
+	lastFollowed string
+	loggedLost   map[string]bool
 }
 
-// NewClient returns a client that has nothing yet.
+// NewClient returns a client without documents and endpoints.
 func NewClient(options ClientOptions) *Client {
 	if options.Now == nil {
 		started := time.Now()
 		options.Now = func() time.Duration { return time.Since(started) }
 	}
 	return &Client{
-		options: options, have: map[string]uint64{}, lost: map[string]bool{}, fleet: fleet.NewReplica(),
-		choice: choice{failed: map[string]time.Duration{}},
+		options: options, versions: map[string]uint64{}, loggedLost: map[string]bool{}, endpoints: fleet.NewReplica(),
+		selector: sourceSelector{failedAt: map[string]time.Duration{}},
 	}
 }
 
-// Run follows until the context ends.
+// Run follows sources until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if pause := c.step(ctx); pause > 0 {
-			_ = wait.For(ctx, pause) // the loop looks at the context
+			_ = wait.For(ctx, pause) // the loop checks the context
 		}
 	}
 }
 
-// step chooses a source, asks it once, and returns how long to wait before the
+// step selects a source, sends it one long poll, and returns the delay before the
 // next step.
 func (c *Client) step(ctx context.Context) time.Duration {
-	source, found := c.choose(ctx)
+	source, found := c.selectSource(ctx)
 	if !found {
-		return pauseAfterFailure
+		return retryDelay
 	}
 	asked := c.options.Now()
-	answer, err := c.ask(ctx, source)
+	answer, err := c.follow(ctx, source)
 	took := c.options.Now() - asked
 	if err != nil {
-		c.choice.leave(source, c.options.Now())
-		c.noteLost(ctx, source, zap.Duration("took", took), zap.Error(err))
-		return pauseAfterFailure
+		c.selector.markFailed(source, c.options.Now())
+		c.logLost(ctx, source, zap.Duration("took", took), zap.Error(err))
+		return retryDelay
 	}
-	c.take(source, answer, took-time.Duration(answer.GetWaitedNanos()))
+	c.handleAnswer(source, answer, took-time.Duration(answer.GetWaitedNanos()))
 	if answer.GetBehind() {
-		// Others may have newer documents.
-		c.choice.leave(source, c.options.Now())
-		c.noteBehind(ctx, source, answer)
-		return pauseWhileBehind
+		// Other sources may have newer documents.
+		c.selector.markFailed(source, c.options.Now())
+		c.logBehind(ctx, source, answer)
+		return staleRetryDelay
 	}
-	c.choice.following = source.Name
-	c.noteFollowed(source)
+	c.selector.current = source.Name
+	c.logFollowed(source)
 	return 0
 }
 
-func (c *Client) ask(ctx context.Context, source Source) (*rpc.FollowAnswer, error) {
+func (c *Client) follow(ctx context.Context, source Source) (*rpc.FollowAnswer, error) {
 	bounded, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	if c.fleetFrom != source.Name {
-		c.fleetFrom = source.Name
-		c.fleet.RequestFullUpdate()
+	if c.endpointsSource != source.Name {
+		c.endpointsSource = source.Name
+		c.endpoints.RequestFullUpdate()
 	}
 	request := &rpc.FollowRequest{
 		Instance:  c.options.Instance,
-		Documents: c.have,
+		Documents: c.versions,
 		WaitNanos: int64(followWait),
 	}
-	request.FleetSource, request.FleetVersion = c.fleet.Position()
+	request.FleetSource, request.FleetVersion = c.endpoints.Position()
 	answer, err := source.Follow(bounded, request)
 	if err != nil {
 		return nil, err
 	}
-	return answer, unpack(answer)
+	return answer, decompressDocuments(answer)
 }
 
-// noteLost logs that a source is left, once until it is followed again. While no
-// source answers, each is logged once: all are asked many times a second, and the
-// log of that would push out what explains it.
-func (c *Client) noteLost(ctx context.Context, source Source, why ...zap.Field) {
-	if ctx.Err() != nil || c.lost[source.Name] {
+// logLost logs once that a source has failed, until it is selected again. While no
+// source answers, all are asked many times per second, and logging each attempt
+// would evict the entries that explain the outage.
+func (c *Client) logLost(ctx context.Context, source Source, why ...zap.Field) {
+	if ctx.Err() != nil || c.loggedLost[source.Name] {
 		return
 	}
-	c.lost[source.Name] = true
+	c.loggedLost[source.Name] = true
 	events.SourceLost.Log(c.options.Log, append(why, zap.String("source", source.Name))...)
 }
 
-func (c *Client) noteBehind(ctx context.Context, source Source, answer *rpc.FollowAnswer) {
-	c.noteLost(ctx, source, zap.Bool("behind", true), zap.Duration("lag", time.Duration(answer.GetLagNanos())))
+func (c *Client) logBehind(ctx context.Context, source Source, answer *rpc.FollowAnswer) {
+	c.logLost(ctx, source, zap.Bool("behind", true), zap.Duration("lag", time.Duration(answer.GetLagNanos())))
 }
 
-// noteFollowed logs when another source than before is followed, or one that was
-// lost is back.
-func (c *Client) noteFollowed(source Source) {
-	if c.followed == source.Name && !c.lost[source.Name] {
+// logFollowed logs that another source was selected, or that a failed source has
+// recovered.
+func (c *Client) logFollowed(source Source) {
+	if c.lastFollowed == source.Name && !c.loggedLost[source.Name] {
 		return
 	}
-	c.followed = source.Name
-	delete(c.lost, source.Name)
+	c.lastFollowed = source.Name
+	delete(c.loggedLost, source.Name)
 	events.SourceFollowed.Log(c.options.Log, zap.String("source", source.Name))
 }
 
-// take hands out what is new. A document never goes back, whichever source
-// told of it. onWay is the time that the question and its answer took beside the
-// source's wait for news.
-func (c *Client) take(source Source, answer *rpc.FollowAnswer, onWay time.Duration) {
+// handleAnswer applies an answer and runs the callbacks. The version of a document
+// never decreases, whichever source sends it. transferTime is the duration of the
+// call less the time for which the source held it.
+func (c *Client) handleAnswer(source Source, answer *rpc.FollowAnswer, transferTime time.Duration) {
 	if c.options.OnWeightVersion != nil {
 		for _, named := range answer.GetWeightsNamed() {
 			c.options.OnWeightVersion(named)
 		}
 	}
 	for _, document := range answer.GetDocuments() {
-		if have, known := c.have[document.GetName()]; known && document.GetNumber() <= have {
+		if have, known := c.versions[document.GetName()]; known && document.GetNumber() <= have {
 			continue
 		}
-		c.have[document.GetName()] = document.GetNumber()
+		c.versions[document.GetName()] = document.GetNumber()
 		events.DocumentTaken.Log(c.options.Log, zap.String("source", source.Name),
 			zap.String("document", document.GetName()), zap.Uint64("number", document.GetNumber()),
-			zap.Int("bytes", len(document.GetContent())), zap.Duration("on_way", onWay),
+			zap.Int("bytes", len(document.GetContent())), zap.Duration("on_way", transferTime),
 			zap.Duration("lag", time.Duration(answer.GetLagNanos())))
 		c.options.OnDocument(document)
 	}
 	if answer.GetFleet() != nil {
-		if err := c.fleet.Apply(answer.GetFleet()); err != nil {
+		if err := c.endpoints.Apply(answer.GetFleet()); err != nil {
 			events.EndpointUnreadable.Log(c.options.Log, zap.String("source", source.Name), zap.Error(err))
 		}
-		c.options.OnEndpoints(c.fleet)
+		c.options.OnEndpoints(c.endpoints)
 	}
 	if c.options.OnAnswer != nil {
 		c.options.OnAnswer(source, answer)
--- a/control/deployment/client_test.go
+++ b/control/deployment/client_test.go
@@ -17,22 +17,22 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// scriptedSource answers as the test says.
+// scriptedSource answers each request with a function that the test sets.
 type scriptedSource struct {
 	answer func(*rpc.FollowRequest) (*rpc.FollowAnswer, error)
 
 	mu sync.Mutex
-	// probes says of each question whether it was a probe, and patience adds up how
-	// long the callers would have waited.
-	probes   []bool
-	patience time.Duration
+	// probes holds for each request whether it was a probe. totalTimeout is the sum
+	// of the timeouts of all requests.
+	probes       []bool
+	totalTimeout time.Duration
 }
 
 func (s *scriptedSource) Follow(ctx context.Context, request *rpc.FollowRequest) (*rpc.FollowAnswer, error) {
 	s.mu.Lock()
 	s.probes = append(s.probes, request.GetProbe())
 	if until, bounded := ctx.Deadline(); bounded {
-		s.patience += time.Until(until)
+		s.totalTimeout += time.Until(until)
 	}
 	s.mu.Unlock()
 	answer, err := s.answer(request)
@@ -42,11 +42,11 @@
 	return answer, err
 }
 
-type gone struct{}
+type unreachableError struct{}
 
-func (*gone) Error() string { return "gone" }
+func (*unreachableError) Error() string { return "source is unreachable" }
 
-func documents(number uint64, behind bool) func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) {
+func serveDocument(number uint64, behind bool) func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) {
 	return func(request *rpc.FollowRequest) (*rpc.FollowAnswer, error) {
 		answer := &rpc.FollowAnswer{Behind: behind}
 		if have, known := request.GetDocuments()["d"]; !known || number > have {
@@ -56,8 +56,9 @@
 	}
 }
 
-// follower is a client whose documents are noted.
-func follower(sources ...*scriptedSource) (*Client, *[]uint64) {
+// newTestClient returns a client of the given sources and the numbers of the
+// documents that it received.
+func newTestClient(sources ...*scriptedSource) (*Client, *[]uint64) {
 	taken := &[]uint64{}
 	return NewClient(ClientOptions{
 		Sources: func() []Source {
@@ -73,24 +74,24 @@
 	}), taken
 }
 
-// The control instance of the own zone is cut off from its group and does not
-// know of the newest configuration. An instance that stayed with it would go on
-// under one that operators have replaced.
-func TestASourceThatIsBehindIsLeft(t *testing.T) {
-	c, taken := follower(&scriptedSource{answer: documents(5, true)}, &scriptedSource{answer: documents(7, false)})
+// Guards against a client that stays with the control instance of its own zone
+// while that one is isolated from its group. It would keep a configuration in force
+// that operators have replaced.
+func TestStaleSourceIsReplaced(t *testing.T) {
+	c, taken := newTestClient(&scriptedSource{answer: serveDocument(5, true)}, &scriptedSource{answer: serveDocument(7, false)})
 	for range 3 {
 		c.step(t.Context())
 	}
 	assert.DeepEqual(t, *taken, []uint64{5, 7})
 }
 
-// The control instance of the own zone falls behind while it is followed. What it
-// has is not put in force once another one knows of something newer.
-func TestASourceThatFallsBehindIsLeft(t *testing.T) {
-	first, second := &scriptedSource{answer: documents(5, false)}, &scriptedSource{answer: documents(7, false)}
-	c, taken := follower(first, second)
+// Guards against a client that stays with the control instance of its own zone
+// after that one has fallen behind, although another one has a newer document.
+func TestSourceThatBecomesStaleIsReplaced(t *testing.T) {
+	first, second := &scriptedSource{answer: serveDocument(5, false)}, &scriptedSource{answer: serveDocument(7, false)}
+	c, taken := newTestClient(first, second)
 	c.step(t.Context())
-	first.answer = documents(6, true)
+	first.answer = serveDocument(6, true)
 	c.step(t.Context())
 	c.step(t.Context())
 	assert.DeepEqual(t, *taken, []uint64{5, 6, 7})
@@ -98,15 +99,15 @@
 	assert.DeepEqual(t, second.probes, []bool{true, false, false})
 }
 
-// A source has an older document than one that was followed before. Put in
-// force, callers would be treated by what was replaced.
-func TestADocumentNeverGoesBack(t *testing.T) {
+// Guards against an older document replacing a newer one after failover to a source
+// that is behind. Requests would be handled by a configuration that was replaced.
+func TestDocumentVersionNeverDecreases(t *testing.T) {
 	stale := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) {
 		return &rpc.FollowAnswer{Documents: []*rpc.Document{{Name: "d", Number: 5}}}, nil
 	}
-	failing := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &gone{} }
-	first := &scriptedSource{answer: documents(7, false)}
-	c, taken := follower(first, &scriptedSource{answer: stale})
+	failing := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &unreachableError{} }
+	first := &scriptedSource{answer: serveDocument(7, false)}
+	c, taken := newTestClient(first, &scriptedSource{answer: stale})
 	c.step(t.Context())
 	first.answer = failing
 	c.step(t.Context())
@@ -114,41 +115,41 @@
 	assert.DeepEqual(t, *taken, []uint64{7})
 }
 
-// Two control instances number the states of their endpoints each for itself.
-// After a change of source a difference by the old number would leave endpoints
-// out for good.
-func TestAChangeOfSourceAsksForAllEndpoints(t *testing.T) {
+// Guards against requesting a difference from a new source by the version number of
+// the previous one. Each control instance numbers its endpoint table independently,
+// so endpoints would be missing permanently.
+func TestSourceChangeRequestsFullEndpointTable(t *testing.T) {
 	table := fleet.NewTable(9)
 	table.ApplyList([]fleet.Endpoint{{ID: "e", Address: netip.MustParseAddrPort("127.0.0.1:1"), Weights: map[string]uint64{}}})
 	serve := func(request *rpc.FollowRequest) (*rpc.FollowAnswer, error) {
-		told, _ := table.UpdateSince(request.GetFleetSource(), request.GetFleetVersion())
-		return &rpc.FollowAnswer{Fleet: told}, nil
+		update, _ := table.UpdateSince(request.GetFleetSource(), request.GetFleetVersion())
+		return &rpc.FollowAnswer{Fleet: update}, nil
 	}
-	failing := &scriptedSource{answer: func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &gone{} }}
-	c, _ := follower(failing, &scriptedSource{answer: serve})
+	failing := &scriptedSource{answer: func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &unreachableError{} }}
+	c, _ := newTestClient(failing, &scriptedSource{answer: serve})
 	var known map[tables.EndpointID]fleet.Endpoint
 	c.options.OnEndpoints = func(copied *fleet.Replica) { known = copied.Endpoints() }
 	c.step(t.Context())
 	c.step(t.Context())
 	assert.Equal(t, len(known), 1)
-	source, _ := c.fleet.Position()
+	source, _ := c.endpoints.Position()
 	assert.Equal(t, source, uint64(9))
 }
 
-// All control instances are out of reach for seconds and asked some thirty times
-// a second meanwhile. The log must say so once for each, and once that they are
-// back, or it holds nothing else when the engineer on call looks.
-func TestALossIsLoggedOnce(t *testing.T) {
-	failing := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &gone{} }
-	first, second := &scriptedSource{answer: failing}, &scriptedSource{answer: documents(5, true)}
-	c, _ := follower(first, second)
+// Guards against a flooded log while all control instances are unreachable for
+// seconds and are asked some thirty times per second. Each loss and the recovery
+// must be logged once, or the log holds nothing else for the engineer on call.
+func TestSourceLossIsLoggedOnce(t *testing.T) {
+	failing := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &unreachableError{} }
+	first, second := &scriptedSource{answer: failing}, &scriptedSource{answer: serveDocument(5, true)}
+	c, _ := newTestClient(first, second)
 	core, logged := observer.New(zap.InfoLevel)
 	c.options.Log = zap.New(core)
 	for range 20 {
 		c.step(t.Context())
 	}
 	assert.Equal(t, logged.FilterMessage(events.SourceLost.Text).Len(), 2)
-	first.answer = documents(7, false)
+	first.answer = serveDocument(7, false)
 	for range 4 {
 		c.step(t.Context())
 	}
--- a/control/deployment/compression.go
+++ b/control/deployment/compression.go
@@ -11,39 +11,43 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// minPacked is the size in bytes from which on a document is compressed. Smaller
-// ones fit into a packet or two.
-const minPacked = 2 << 10
+// minCompressedBytes is the size from which on a document is compressed. Smaller
+// documents fit into one or two packets.
+const minCompressedBytes = 2 << 10
 
-// maxUnpacked bounds the size in bytes of a document that is taken. It is above what
-// operators may send.
-const maxUnpacked = 64 << 20
+// maxDecompressedBytes bounds the size of a document after decompression. It
+// exceeds the size that operators may send.
+const maxDecompressedBytes = 64 << 20
 
-// DocumentTooLargeError means that a document is larger than an instance takes.
+// DocumentTooLargeError reports a document whose content exceeds Limit bytes.
 type DocumentTooLargeError struct{ Limit int }
 
-// Error names the limit.
-func (*DocumentTooLargeError) Error() string { return "the document is too large" }
+// Error states that the limit was exceeded.
+func (*DocumentTooLargeError) Error() string {
+	return "the document exceeds the size limit after decompression"
+}
 
-// packer compresses documents for followers. Each change sends the whole document to
-// every one of them: over a slow link an operator's largest document would take
-// longer than the answer may, the follower would give its source up and begin anew,
-// and never have it. Routes and organisations repeat themselves and shrink to a tenth.
+// documentCompressor compresses documents for followers, with a cache of the newest
+// compressed content of each document. Each change sends the whole document to
+// every follower. Over a slow link, the largest document would exceed the timeout
+// of an answer; the follower would switch to another source, start again and never
+// receive it. Routes and organisations are repetitive and compress to a tenth.
 //
-// Each number of a document is compressed once. A packer is safe for concurrent use.
-type packer struct {
-	mu     sync.Mutex
-	packed map[string]packedDocument
+// Each version of a document is compressed once. A documentCompressor is safe for
+// concurrent use.
+type documentCompressor struct {
+	mu    sync.Mutex
+	cache map[string]compressedDocument
 }
 
-type packedDocument struct {
+type compressedDocument struct {
 	number  uint64
 	content []byte
 }
 
-// add puts a document into an answer.
-func (p *packer) add(answer *rpc.FollowAnswer, document *rpc.Document) {
-	content := p.pack(document)
+// addDocument adds a document to an answer, compressed if that is worthwhile.
+func (p *documentCompressor) addDocument(answer *rpc.FollowAnswer, document *rpc.Document) {
+	content := p.compressDocument(document)
 	if content == nil {
 		answer.Documents = append(answer.Documents, document)
 		return
@@ -55,28 +59,29 @@
 	answer.Packed[document.GetName()] = content
 }
 
-// pack returns the compressed content, nil if the document goes as it is.
-func (p *packer) pack(document *rpc.Document) []byte {
-	if len(document.GetContent()) < minPacked {
+// compressDocument returns the compressed content, nil if the document is to be
+// sent uncompressed.
+func (p *documentCompressor) compressDocument(document *rpc.Document) []byte {
+	if len(document.GetContent()) < minCompressedBytes {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known, ok := p.packed[document.GetName()]; ok && known.number == document.GetNumber() {
+	if known, ok := p.cache[document.GetName()]; ok && known.number == document.GetNumber() {
 		return known.content
 	}
-	content, err := compressed(document.GetContent())
+	content, err := gzipCompress(document.GetContent())
 	if err != nil {
-		return nil // a buffer takes every write; if not, the document goes as it is
+		return nil // writes to a buffer do not fail; if one did, the document would be sent uncompressed
 	}
-	if p.packed == nil {
-		p.packed = map[string]packedDocument{}
+	if p.cache == nil {
+		p.cache = map[string]compressedDocument{}
 	}
-	p.packed[document.GetName()] = packedDocument{number: document.GetNumber(), content: content}
+	p.cache[document.GetName()] = compressedDocument{number: document.GetNumber(), content: content}
 	return content
 }
 
-func compressed(content []byte) ([]byte, error) {
+func gzipCompress(content []byte) ([]byte, error) {
 	var out bytes.Buffer
 	writer, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
@@ -91,15 +96,15 @@
 	return out.Bytes(), nil
 }
 
-// unpack gives the documents of an answer their contents. It fails if one cannot be
-// read; the answer must not be used then.
-func unpack(answer *rpc.FollowAnswer) error {
+// decompressDocuments restores the contents of the documents in an answer. If it
+// fails, the answer must be discarded.
+func decompressDocuments(answer *rpc.FollowAnswer) error {
 	for _, document := range answer.GetDocuments() {
 		packed, ok := answer.GetPacked()[document.GetName()]
 		if !ok {
 			continue
 		}
-		content, err := uncompressed(packed)
+		content, err := gzipDecompress(packed)
 		if err != nil {
 			return err
 		}
@@ -108,17 +113,17 @@
 	return nil
 }
 
-func uncompressed(packed []byte) ([]byte, error) {
+func gzipDecompress(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	content, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
+	content, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(content) > maxUnpacked {
-		return nil, trace.Wrap(&DocumentTooLargeError{Limit: maxUnpacked})
+	if len(content) > maxDecompressedBytes {
+		return nil, trace.Wrap(&DocumentTooLargeError{Limit: maxDecompressedBytes})
 	}
 	return content, nil
 }
--- a/control/deployment/compression_test.go
+++ b/control/deployment/compression_test.go
@@ -16,8 +16,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// largestDocument is as large as operators may send: routes with names that do not
-// repeat.
+// largestDocument returns a document of the largest size that operators may send:
+// routes whose names do not repeat.
 func largestDocument(t testing.TB) []byte {
 	type route struct {
 		Name, Host, Prefix, Kind, Service string
@@ -33,11 +33,11 @@
 	}
 	content, err := json.Marshal(routes)
 	assert.NilError(t, err)
-	assert.Assert(t, len(content) > 7<<19 && len(content) < 9<<19, "%d bytes", len(content))
+	assert.Assert(t, len(content) > 7<<19 && len(content) < 9<<19, "the document has %d bytes", len(content))
 	return content
 }
 
-// wireSource passes answers on as bytes, and counts them.
+// wireSource encodes and decodes answers as on the wire, and counts their bytes.
 type wireSource struct {
 	*Service
 	bytes int
@@ -57,51 +57,51 @@
 	return passed, proto.Unmarshal(encoded, passed)
 }
 
-// An operator adds thousands of routes. The document takes longer over an instance's
-// slow link than a source may take to answer, so the instance gives that source up
-// and asks the next one, which sends it all again: the change is never in force
-// there, and the link has no room for callers.
-func TestTheLargestDocumentFitsThroughASlowLink(t *testing.T) {
+// Guards against a document with thousands of routes that takes longer over a slow
+// link than a source may take to answer. The instance would switch to the next
+// source, which sends all of it again: the change would never be in force there,
+// and the link would have no capacity left for requests.
+func TestLargestDocumentFitsSlowLink(t *testing.T) {
 	const linkBytesPerSecond = 7.5e6 / 8
 	service := NewService(Options{
-		Replica: single(t), Fleet: fleet.NewTable(1), HoldsOrderLease: func() bool { return true },
+		Replica: startSingleReplica(t), Fleet: fleet.NewTable(1), HoldsOrderLease: func() bool { return true },
 		Now: func() tables.Instant { return 0 },
 	})
 	content := largestDocument(t)
 	assert.NilError(t, service.Put(t.Context(), ConfigurationDocument, 7, content))
 	source := &wireSource{Service: service}
-	c, _ := follower()
+	c, _ := newTestClient()
 	var taken []byte
 	c.options.OnDocument = func(d *rpc.Document) { taken = d.GetContent() }
 	c.options.Sources = func() []Source { return []Source{{Name: "a", Deployment: source}} }
 	c.step(t.Context())
 	assert.Assert(t, bytes.Equal(taken, content))
 	onWay := time.Duration(float64(source.bytes) / linkBytesPerSecond * float64(time.Second))
-	assert.Assert(t, onWay < followTimeout, "%d bytes take %v", source.bytes, onWay)
+	assert.Assert(t, onWay < followTimeout, "the transfer of %d bytes takes %v", source.bytes, onWay)
 }
 
-// What a source sends is no document: the one in force stays, and another source is
-// asked.
-func TestADocumentThatCannotBeUnpackedIsNotTaken(t *testing.T) {
+// Guards against accepting content that cannot be decompressed. The document in
+// force must stay, and another source must be asked.
+func TestCorruptDocumentIsRejected(t *testing.T) {
 	damaged := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) {
 		return &rpc.FollowAnswer{
 			Documents: []*rpc.Document{{Name: "d", Number: 5}},
 			Packed:    map[string][]byte{"d": []byte("no gzip")},
 		}, nil
 	}
-	c, taken := follower(&scriptedSource{answer: damaged}, &scriptedSource{answer: documents(4, false)})
+	c, taken := newTestClient(&scriptedSource{answer: damaged}, &scriptedSource{answer: serveDocument(4, false)})
 	c.step(t.Context())
 	c.step(t.Context())
 	assert.DeepEqual(t, *taken, []uint64{4})
 }
 
-// BenchmarkPack compresses the largest document; a change costs that once at each
-// control instance.
-func BenchmarkPack(b *testing.B) {
+// BenchmarkCompress measures the compression of the largest document, which each
+// control instance does once per change.
+func BenchmarkCompress(b *testing.B) {
 	content := largestDocument(b)
 	b.SetBytes(int64(len(content)))
 	for b.Loop() {
-		packed, err := compressed(content)
+		packed, err := gzipCompress(content)
 		assert.NilError(b, err)
 		b.ReportMetric(float64(len(content))/float64(len(packed)), "ratio")
 	}
--- a/control/deployment/service.go
+++ b/control/deployment/service.go
@@ -1,6 +1,8 @@
-// Package deployment keeps what all instances of a forwarding deployment have
-// to know: the operators' documents, which the control group agrees on, and the
-// table of endpoints, which each control instance has of its own.
+// Package deployment distributes the state that all instances of a forwarding
+// deployment share: the operators' documents, which the control group replicates,
+// and the table of endpoints, which each control instance keeps on its own. Service
+// serves both by long polling at each control instance; Client follows one control
+// instance at a time and fails over to others.
 package deployment
 
 import (
@@ -20,72 +22,78 @@
 )
 
 const (
-	// ConfigurationDocument is the document with the configuration.
+	// ConfigurationDocument is the name of the document that holds the
+	// configuration.
 	ConfigurationDocument = "configuration"
-	weightsPrefix         = "weights/"
-	// maxWait bounds the wait of one Follow.
-	maxWait = 10 * time.Second
-	// gatherPerEndpoint times the number of endpoints is how long changes of endpoints
-	// are gathered before a follower is notified, and maxGather bounds it. New weights
-	// change every endpoint several times within seconds: sent one by one, each change
-	// would cost every follower a question and an answer.
-	gatherPerEndpoint = 100 * time.Microsecond
-	maxGather         = 100 * time.Millisecond
-	// gatherFrom is the number of endpoints below which nothing is gathered: their
-	// changes are few, and each is worth knowing at once.
-	gatherFrom = 50
+	weightsDocumentPrefix = "weights/"
+	// maxFollowWait bounds the long poll of one Follow call.
+	maxFollowWait = 10 * time.Second
+	// Changes of endpoints are collected for batchDelayPerEndpoint times the number
+	// of endpoints, at most maxBatchDelay, before a follower is notified. A rollout
+	// of new weights changes every endpoint several times within seconds; without
+	// batching, each change would cost every follower a request and a response.
+	batchDelayPerEndpoint = 100 * time.Microsecond
+	maxBatchDelay         = 100 * time.Millisecond
+	// minBatchedEndpoints is the number of endpoints below which changes are sent
+	// without delay: there are few of them, and each matters at once.
+	minBatchedEndpoints = 50
 )
 
-// WeightsDocument is the document whose number is the version that a model should
-// be served with.
-func WeightsDocument(model string) string { return weightsPrefix + model }
+// WeightsDocument returns the name of the document that sets the target version of
+// a model's weights. The version is the number of the document.
+func WeightsDocument(model string) string { return weightsDocumentPrefix + model }
 
-// ModelOfWeightsDocument returns the model that a document names weights of.
+// ModelOfWeightsDocument returns the model whose weights a document sets the target
+// version of. It returns false if the name is not that of such a document.
 func ModelOfWeightsDocument(document string) (string, bool) {
-	return strings.CutPrefix(document, weightsPrefix)
+	return strings.CutPrefix(document, weightsDocumentPrefix)
 }
 
-// Service is the deployment's part of a control instance. It implements
-// rpc.Deployment and is safe for concurrent use.
+// Service serves the documents and the endpoint table of one control instance to
+// followers, by long polling. It implements rpc.Deployment and is safe for
+// concurrent use.
 type Service struct {
 	replica *server.Server
 	fleet   *fleet.Table
-	// givesOrders says whether this instance gives orders now.
-	givesOrders func() bool
-	now         func() tables.Instant
-	after       func(time.Duration) <-chan time.Time
+	// holdsOrderLease returns whether this instance holds the lease for orders.
+	holdsOrderLease func() bool
+	now             func() tables.Instant
+	after           func(time.Duration) <-chan time.Time
 
-	packer packer
-	// mu guards weights, which holds when this instance saw versions named.
-	mu      sync.Mutex
-	weights weights.History
+	compressor documentCompressor
+	// mu guards weightHistory, which records when this instance saw each target
+	// version first.
+	mu            sync.Mutex
+	weightHistory weights.History
 }
 
-// Options set a Service up.
+// Options configures a Service.
 type Options struct {
 	Replica *server.Server
 	Fleet   *fleet.Table
-	// HoldsOrderLease says whether this instance gives orders to endpoints now.
+	// HoldsOrderLease returns whether this instance holds the lease under which
+	// orders are sent to endpoints.
 	HoldsOrderLease func() bool
-	// Now must go on while the machine is suspended.
+	// Now is a monotonic clock that continues while the machine is suspended.
 	Now func() tables.Instant
-	// After is time.After if it is nil.
+	// After defaults to time.After.
 	After func(time.Duration) <-chan time.Time
 }
 
-// NewService returns the service over a replica and the instance's table.
+// NewService returns a Service that reads documents from the replica and endpoints
+// from the table in the options.
 func NewService(o Options) *Service {
 	if o.After == nil {
 		o.After = time.After
 	}
-	return &Service{replica: o.Replica, fleet: o.Fleet, givesOrders: o.HoldsOrderLease, now: o.Now, after: o.After}
+	return &Service{replica: o.Replica, fleet: o.Fleet, holdsOrderLease: o.HoldsOrderLease, now: o.Now, after: o.After}
 }
 
-// Run notes when versions of weights are named, until the context ends.
+// Run records when target versions of weights change, until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	for {
 		changed := s.replica.Changed()
-		s.noteWeights()
+		s.recordTargetVersions()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -94,50 +102,52 @@
 	}
 }
 
-// noteWeights takes the versions that the group has agreed on into the history.
-func (s *Service) noteWeights() {
-	wanted := s.TargetVersions()
+// recordTargetVersions adds the replicated target versions to the history.
+func (s *Service) recordTargetVersions() {
+	targets := s.TargetVersions()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for model, version := range wanted {
-		s.weights.Record(weights.TargetVersion{Model: model, Version: version, SetAt: now})
+	for model, version := range targets {
+		s.weightHistory.Record(weights.TargetVersion{Model: model, Version: version, SetAt: now})
 	}
 }
 
-// TargetVersions lists the version that each model should be served with.
+// TargetVersions returns the version of its weights that each model should be
+// served with, by model.
 func (s *Service) TargetVersions() map[string]uint64 {
-	wanted := map[string]uint64{}
+	targets := map[string]uint64{}
 	s.replica.View(func(st *state.State) {
 		for _, document := range st.Documents() {
 			if model, ok := ModelOfWeightsDocument(document.GetName()); ok {
-				wanted[model] = document.GetNumber()
+				targets[model] = document.GetNumber()
 			}
 		}
 	})
-	return wanted
+	return targets
 }
 
-// named says when the versions of a model were named that the caller does not
-// have.
-func (s *Service) named(model string, have uint64) []*rpc.WeightsNamed {
+// newerVersions returns the target versions of a model above the given one, each
+// with its age.
+func (s *Service) newerVersions(model string, have uint64) []*rpc.WeightsNamed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var named []*rpc.WeightsNamed
-	for _, n := range s.weights.NewerThan(model, have) {
-		named = append(named, &rpc.WeightsNamed{Model: n.Model, Version: n.Version, AgeNanos: int64(s.now() - n.SetAt)})
+	var newer []*rpc.WeightsNamed
+	for _, n := range s.weightHistory.NewerThan(model, have) {
+		newer = append(newer, &rpc.WeightsNamed{Model: n.Model, Version: n.Version, AgeNanos: int64(s.now() - n.SetAt)})
 	}
-	return named
+	return newer
 }
 
-// RefusedError means that the control group would not take a document.
+// RefusedError reports that the control group refused a document.
 type RefusedError struct{ Reason rpc.RefusalReason }
 
-// Error gives the reason.
+// Error names the reason of the refusal.
 func (e *RefusedError) Error() string { return "document refused: " + e.Reason.String() }
 
-// Put has the group agree on a document. It returns once a quorum holds it on
-// disk, or one with a higher number.
+// Put replicates a document. It returns once a quorum has made it durable, or if a
+// document with this name and a higher number is in force. The number is the
+// version of the document.
 func (s *Service) Put(ctx context.Context, name string, number uint64, content []byte) error {
 	result, err := s.replica.Execute(ctx, &rpc.Command{Action: &rpc.Command_PutDocument{PutDocument: &rpc.PutDocument{
 		Document: &rpc.Document{Name: name, Number: number, Content: content},
@@ -151,9 +161,9 @@
 	return nil
 }
 
-// Newest returns the newest content that the group had agreed on when it was
-// called, nil if there is none. Without a quorum it fails: a replica that is cut
-// off cannot know whether it is behind.
+// Newest returns the content of a document by a linearizable read, nil if there is
+// no such document. It fails without a quorum, because an isolated replica cannot
+// tell whether it is behind.
 func (s *Service) Newest(ctx context.Context, name string) ([]byte, error) {
 	if err := s.replica.Barrier(ctx); err != nil {
 		return nil, trace.Wrap(err)
@@ -163,78 +173,84 @@
 	return content, nil
 }
 
-// Follow answers when there is something new to the caller, and a probe at once.
+// Follow is a long poll. It returns when the caller lacks a document or a change of
+// endpoints, when this replica is behind its group, or when the requested wait has
+// elapsed. It answers a probe at once with the state of this replica only.
 func (s *Service) Follow(ctx context.Context, request *rpc.FollowRequest) (*rpc.FollowAnswer, error) {
 	if request.GetProbe() {
 		status := s.replica.Status()
 		return &rpc.FollowAnswer{Behind: !status.IsCurrent, LagNanos: int64(status.Lag)}, nil
 	}
-	timer := time.NewTimer(min(max(0, time.Duration(request.GetWaitNanos())), maxWait))
+	timer := time.NewTimer(min(max(0, time.Duration(request.GetWaitNanos())), maxFollowWait))
 	defer timer.Stop()
 	asked := s.now()
-	answer, waited := s.awaitNews(ctx, timer.C, func() news { return s.news(request) })
+	answer, timedOut := s.awaitUpdate(ctx, timer.C, func() pendingUpdate { return s.pendingUpdate(request) })
 	answer.WaitedNanos = int64(s.now() - asked)
-	if waited {
-		// It has waited in vain, and is brought up to date.
+	if timedOut {
+		// The answer was built before the wait; its lag is renewed.
 		answer.LagNanos = int64(s.replica.Status().Lag)
 	}
 	return answer, nil
 }
 
-// news is what a follower does not have.
-type news struct {
+// pendingUpdate is an answer with what the follower lacks, and the channels that
+// signal further changes.
+type pendingUpdate struct {
 	answer *rpc.FollowAnswer
-	// changed is closed when documents may have changed, listed when endpoints have.
-	changed, listed <-chan struct{}
+	// documentsChanged is closed when documents may have changed, endpointsChanged
+	// when endpoints have.
+	documentsChanged, endpointsChanged <-chan struct{}
 }
 
-// awaitNews waits until there is something new, and says whether it has waited in vain.
-func (s *Service) awaitNews(ctx context.Context, enough <-chan time.Time, look func() news) (answer *rpc.FollowAnswer, inVain bool) {
-	for gathered := false; ; {
-		n := look()
-		if len(n.answer.GetDocuments()) > 0 || n.answer.GetBehind() || n.answer.GetFleet().GetFull() {
-			return n.answer, false
+// awaitUpdate calls look until its answer holds an update, and returns that answer.
+// It returns true if the timeout has elapsed without an update.
+func (s *Service) awaitUpdate(ctx context.Context, timeout <-chan time.Time, poll func() pendingUpdate) (answer *rpc.FollowAnswer, timedOut bool) {
+	for batched := false; ; {
+		update := poll()
+		if len(update.answer.GetDocuments()) > 0 || update.answer.GetBehind() || update.answer.GetFleet().GetFull() {
+			return update.answer, false
 		}
-		if n.answer.GetFleet() != nil {
-			if gathered || s.fleet.Len() < gatherFrom {
-				return n.answer, false
+		if update.answer.GetFleet() != nil {
+			if batched || s.fleet.Len() < minBatchedEndpoints {
+				return update.answer, false
 			}
-			gathered = true
-			s.gather(ctx, n.changed)
+			batched = true
+			s.batchEndpointChanges(ctx, update.documentsChanged)
 			continue
 		}
 		select {
-		case <-n.changed:
-		case <-n.listed:
-		case <-enough:
-			return n.answer, true
+		case <-update.documentsChanged:
+		case <-update.endpointsChanged:
+		case <-timeout:
+			return update.answer, true
 		case <-ctx.Done():
-			return n.answer, false
+			return update.answer, false
 		}
 	}
 }
 
-// gather lets changes of endpoints come together, until a document may have changed.
-func (s *Service) gather(ctx context.Context, changed <-chan struct{}) {
+// batchEndpointChanges waits for further changes of endpoints, but not longer than
+// until a document may have changed.
+func (s *Service) batchEndpointChanges(ctx context.Context, changed <-chan struct{}) {
 	select {
-	case <-s.after(min(maxGather, time.Duration(s.fleet.Len())*gatherPerEndpoint)):
+	case <-s.after(min(maxBatchDelay, time.Duration(s.fleet.Len())*batchDelayPerEndpoint)):
 	case <-changed:
 	case <-ctx.Done():
 	}
 }
 
-// news looks up what the caller does not have.
-func (s *Service) news(request *rpc.FollowRequest) news {
+// pendingUpdate returns what the caller lacks at this moment.
+func (s *Service) pendingUpdate(request *rpc.FollowRequest) pendingUpdate {
 	changed := s.replica.Changed()
-	update, listed := s.fleet.UpdateSince(request.GetFleetSource(), request.GetFleetVersion())
+	update, endpointsChanged := s.fleet.UpdateSince(request.GetFleetSource(), request.GetFleetVersion())
 	status := s.replica.Status()
 	answer := &rpc.FollowAnswer{
 		Fleet: update,
-		// A replica that knows its leader may still lag: its disk may hang, or it
-		// was sent nothing for a while. Those that stay with it would treat callers
-		// by a configuration that operators have replaced.
+		// A replica that knows its leader may still lag, because its disk hangs or
+		// because it received nothing for a while. Followers that stayed with it
+		// would apply a configuration that operators have replaced.
 		Behind:      !status.IsCurrent,
-		OrdersGiven: s.givesOrders(),
+		OrdersGiven: s.holdsOrderLease(),
 		LagNanos:    int64(status.Lag),
 	}
 	var newer []*rpc.Document
@@ -243,14 +259,14 @@
 			if have, known := request.GetDocuments()[document.GetName()]; !known || document.GetNumber() > have {
 				newer = append(newer, document)
 				if model, ok := ModelOfWeightsDocument(document.GetName()); ok {
-					answer.WeightsNamed = append(answer.WeightsNamed, s.named(model, have)...)
+					answer.WeightsNamed = append(answer.WeightsNamed, s.newerVersions(model, have)...)
 				}
 			}
 		}
 	})
-	// Compressing takes too long to keep the replica's state locked meanwhile.
+	// Compression takes too long to run while the replica's state is locked.
 	for _, document := range newer {
-		s.packer.add(answer, document)
+		s.compressor.addDocument(answer, document)
 	}
-	return news{answer: answer, changed: changed, listed: listed}
+	return pendingUpdate{answer: answer, documentsChanged: changed, endpointsChanged: endpointsChanged}
 }
--- a/control/deployment/service_test.go
+++ b/control/deployment/service_test.go
@@ -14,17 +14,17 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-type nowhere struct{}
+type noDialer struct{}
 
-func (nowhere) Control(string) rpc.Control { return nil }
+func (noDialer) Control(string) rpc.Control { return nil }
 
-// single starts a group of one replica.
-func single(t *testing.T) *server.Server {
+// startSingleReplica starts a group of one replica.
+func startSingleReplica(t *testing.T) *server.Server {
 	t.Helper()
 	folder, err := store.OpenFolder(t.TempDir())
 	assert.NilError(t, err)
 	replica, err := server.Start(server.Options{
-		Self: server.Instance{Name: "c", Address: "127.0.0.1:1"}, Dialer: nowhere{},
+		Self: server.Instance{Name: "c", Address: "127.0.0.1:1"}, Dialer: noDialer{},
 		LogStore: server.FolderLogStore{Folder: folder}, TickInterval: 20 * time.Millisecond,
 	})
 	assert.NilError(t, err)
@@ -36,11 +36,11 @@
 	return replica
 }
 
-// Two versions of weights are named some seconds apart, and then an entry
-// instance restarts. Told of the newest version only, it would count from its
-// own start and send callers to weights that were replaced long before.
-func TestANewcomerLearnsHowLongWeightsAreOutdated(t *testing.T) {
-	replica := single(t)
+// Guards against a restarted entry instance that is told of the newest version of
+// weights only. It would count the age of outdated versions from its own start and
+// send requests to weights that were replaced long before.
+func TestNewFollowerGetsVersionAges(t *testing.T) {
+	replica := startSingleReplica(t)
 	now := tables.Instant(0)
 	s := NewService(Options{
 		Replica: replica, Fleet: fleet.NewTable(1), HoldsOrderLease: func() bool { return true },
@@ -49,7 +49,7 @@
 	for version := uint64(1); version <= 3; version++ {
 		now = time.Duration(version) * 3 * time.Second
 		assert.NilError(t, s.Put(t.Context(), WeightsDocument("m"), version, nil))
-		s.noteWeights()
+		s.recordTargetVersions()
 	}
 	now = 20 * time.Second
 
@@ -68,12 +68,12 @@
 	assert.Equal(t, answer.GetWeightsNamed()[0].GetVersion(), uint64(3))
 }
 
-// TestChangesOfEndpointsComeTogether guards against followers that are busy with nothing
-// but questions and answers while new weights change one endpoint after the other.
-func TestChangesOfEndpointsComeTogether(t *testing.T) {
+// Guards against followers that spend their time on requests and responses while a
+// rollout of new weights changes one endpoint after the other.
+func TestEndpointChangesAreBatched(t *testing.T) {
 	table := fleet.NewTable(1)
 	var listed []fleet.Endpoint
-	for i := range gatherFrom {
+	for i := range minBatchedEndpoints {
 		listed = append(listed, fleet.Endpoint{ID: tables.EndpointID(fmt.Sprint("e", i)), Weights: map[string]uint64{}})
 	}
 	table.ApplyList(listed)
@@ -86,34 +86,34 @@
 		close(passed)
 		return passed
 	}})
-	look := func() news {
-		told, listed := table.UpdateSince(1, version)
-		return news{answer: &rpc.FollowAnswer{Fleet: told}, listed: listed}
+	poll := func() pendingUpdate {
+		update, endpointsChanged := table.UpdateSince(1, version)
+		return pendingUpdate{answer: &rpc.FollowAnswer{Fleet: update}, endpointsChanged: endpointsChanged}
 	}
 	table.RecordWeights("e1", "m", 2)
-	answer, _ := s.awaitNews(t.Context(), nil, look)
+	answer, _ := s.awaitUpdate(t.Context(), nil, poll)
 	assert.Equal(t, waits, 1)
 	assert.Equal(t, len(answer.GetFleet().GetEndpoints()), 2)
 }
 
-// TestDocumentsAndWholeTablesAreToldAtOnce guards against operators' changes that wait for
-// endpoints', and against an instance that starts and has to wait.
-func TestDocumentsAndWholeTablesAreToldAtOnce(t *testing.T) {
+// Guards against documents that are delayed by the batching of endpoint changes,
+// and against a starting instance that has to wait for its first endpoint table.
+func TestDocumentsAndFullTablesAreNotDelayed(t *testing.T) {
 	s := NewService(Options{Fleet: fleet.NewTable(1), After: func(time.Duration) <-chan time.Time {
-		t.Fatal("it waits")
+		t.Fatal("the update was delayed by batching")
 		return nil
 	}})
 	for name, answer := range map[string]*rpc.FollowAnswer{
-		"document":    {Documents: []*rpc.Document{{Name: "d"}}, Fleet: &rpc.Fleet{}},
-		"whole table": {Fleet: &rpc.Fleet{Full: true}},
-		"behind":      {Behind: true, Fleet: &rpc.Fleet{}},
+		"document":   {Documents: []*rpc.Document{{Name: "d"}}, Fleet: &rpc.Fleet{}},
+		"full table": {Fleet: &rpc.Fleet{Full: true}},
+		"behind":     {Behind: true, Fleet: &rpc.Fleet{}},
 	} {
-		got, _ := s.awaitNews(t.Context(), nil, func() news { return news{answer: answer} })
+		got, _ := s.awaitUpdate(t.Context(), nil, func() pendingUpdate { return pendingUpdate{answer: answer} })
 		assert.Equal(t, got, answer, name)
 	}
 }
 
 func position(table *fleet.Table) (source, version uint64) {
-	told, _ := table.UpdateSince(0, 0)
-	return told.GetSource(), told.GetVersion()
+	update, _ := table.UpdateSince(0, 0)
+	return update.GetSource(), update.GetVersion()
 }
--- a/control/deployment/source_selection.go
+++ b/control/deployment/source_selection.go
@@ -11,105 +11,113 @@
 )
 
 const (
-	// probeTimeout is how long a source may take to say whether it knows its
-	// documents to be the newest. Two silent sources in a row then cost a client
-	// followTimeout + probeTimeout, less than a change may take to be in force;
-	// asked with a wait for news, they would cost twice the former.
+	// probeTimeout bounds a probe. Failing over past two unresponsive sources in a
+	// row then takes followTimeout + probeTimeout, which is less than the time
+	// within which a change must be in force. With long polls in place of probes it
+	// would take twice followTimeout.
 	probeTimeout = 400 * time.Millisecond
-	// backToNearer is after how long a source that failed is tried before others
-	// again, and the time between two looks whether a nearer one is back.
-	backToNearer = 3 * time.Second
+	// failbackInterval is how long a failed source is tried only after all others.
+	// It is also the time between two probes for a nearer source that has
+	// recovered.
+	failbackInterval = 3 * time.Second
 )
 
-// Source is a control instance that can be followed.
+// Source is a control instance that a Client can follow.
 type Source struct {
-	// Name tells sources apart in logs.
+	// Name identifies the source in logs and among the sources of a Client.
 	Name string
 	rpc.Deployment
 }
 
-// choice is what a client remembers for the choice of its source.
-type choice struct {
-	// following is the source that answered last and knew its documents to be the
-	// newest, empty for none.
-	following string
-	// failed is when sources were last found silent or behind, by the client's clock.
-	failed map[string]time.Duration
-	// looked is when nearer sources were last looked at.
-	looked time.Duration
-	// rounds counts those in which no source knew its documents to be the newest.
-	rounds int
+// sourceSelector keeps the state by which a Client selects its source: nearest
+// first, with recently failed sources last.
+type sourceSelector struct {
+	// current is the source that answered last and was up to date, empty if there
+	// is none.
+	current string
+	// failedAt is when each source was last found unresponsive or behind, by the
+	// client's clock.
+	failedAt map[string]time.Duration
+	// lastProbedAt is when nearer sources were last probed.
+	lastProbedAt time.Duration
+	// fallbackRounds counts the selections that fell back to a source that is not
+	// known to be up to date. It rotates the choice among such sources.
+	fallbackRounds int
 }
 
-// leave remembers that a source does not serve.
-func (h *choice) leave(source Source, now time.Duration) {
-	h.failed[source.Name] = now
-	if h.following == source.Name {
-		h.following = ""
+// markFailed records that a source is unresponsive or behind.
+func (s *sourceSelector) markFailed(source Source, now time.Duration) {
+	s.failedAt[source.Name] = now
+	if s.current == source.Name {
+		s.current = ""
 	}
 }
 
-// order lists the sources in the order in which to try them: nearest first, those
-// that failed of late last.
-func (h *choice) order(sources []Source, now time.Duration) []Source {
-	var good, doubted []Source
+// preferenceOrder returns the sources in the order in which to try them: in the
+// given order, but those that failed within the failbackInterval last.
+func (s *sourceSelector) preferenceOrder(sources []Source, now time.Duration) []Source {
+	var healthy, suspect []Source
 	for _, source := range sources {
-		if at, failed := h.failed[source.Name]; failed && now-at < backToNearer {
-			doubted = append(doubted, source)
+		if at, failed := s.failedAt[source.Name]; failed && now-at < failbackInterval {
+			suspect = append(suspect, source)
 		} else {
-			good = append(good, source)
+			healthy = append(healthy, source)
 		}
 	}
-	return append(good, doubted...)
+	return append(healthy, suspect...)
 }
 
-// forget drops what is remembered of sources that are gone.
-func (h *choice) forget(sources []Source) {
+// prune deletes the state of sources that are no longer listed.
+func (s *sourceSelector) prune(sources []Source) {
 	listed := func(name string) bool {
 		return slices.ContainsFunc(sources, func(s Source) bool { return s.Name == name })
 	}
-	for name := range h.failed {
+	for name := range s.failedAt {
 		if !listed(name) {
-			delete(h.failed, name)
+			delete(s.failedAt, name)
 		}
 	}
-	if !listed(h.following) {
-		h.following = ""
+	if !listed(s.current) {
+		s.current = ""
 	}
 }
 
-// choose returns the source to follow: the nearest that knows its documents to be
-// the newest. The one followed so far is trusted until it fails.
-func (c *Client) choose(ctx context.Context) (Source, bool) {
+// selectSource returns the source to follow: the nearest that is up to date. It
+// keeps the current source until that fails, and probes for a nearer one once per
+// failbackInterval.
+func (c *Client) selectSource(ctx context.Context) (Source, bool) {
 	sources := c.options.Sources()
 	if len(sources) == 0 {
 		return Source{}, false
 	}
-	if len(c.have) == 0 && c.choice.following == "" {
-		// Anything is better than nothing: an instance that has just started takes
-		// what the next source has, at once. One that serves but has no documents is
-		// followed like any other: it holds the call until an operator sends one.
-		c.choice.rounds++
-		return sources[(c.choice.rounds-1)%len(sources)], true
+	if len(c.versions) == 0 && c.selector.current == "" {
+		// A client without documents accepts any source, because old documents are
+		// better than none: an instance that has just started takes what the next
+		// source has. A source that is up to date but has no documents becomes the
+		// current one as usual; it holds the call until an operator sends a
+		// document.
+		c.selector.fallbackRounds++
+		return sources[(c.selector.fallbackRounds-1)%len(sources)], true
 	}
-	c.choice.forget(sources)
+	c.selector.prune(sources)
 	now := c.options.Now()
-	if c.choice.following != "" && now-c.choice.looked < backToNearer {
-		n := slices.IndexFunc(sources, func(s Source) bool { return s.Name == c.choice.following })
+	if c.selector.current != "" && now-c.selector.lastProbedAt < failbackInterval {
+		n := slices.IndexFunc(sources, func(s Source) bool { return s.Name == c.selector.current })
 		return sources[n], true
 	}
-	c.choice.looked = now
-	return c.lookAround(ctx, sources), true
+	c.selector.lastProbedAt = now
+	return c.probeSources(ctx, sources), true
 }
 
-// lookAround probes the sources in order until one serves. If none does, the round
-// still ends with one to ask: without a quorum no source knows its documents to be
-// the newest, and the table of endpoints has to be followed all the same.
-func (c *Client) lookAround(ctx context.Context, sources []Source) Source {
-	answering := sources
+// probeSources probes the sources in order of preference until one is up to date.
+// If none is, it returns one of those that answered, or else any. Without a quorum
+// no source is known to be up to date, but the client still has to follow the
+// endpoint table.
+func (c *Client) probeSources(ctx context.Context, sources []Source) Source {
+	candidates := sources
 	var behind []Source
-	for _, source := range c.choice.order(sources, c.options.Now()) {
-		if source.Name == c.choice.following {
+	for _, source := range c.selector.preferenceOrder(sources, c.options.Now()) {
+		if source.Name == c.selector.current {
 			return source
 		}
 		answer, err := c.probe(ctx, source)
@@ -121,14 +129,14 @@
 		}
 	}
 	if len(behind) > 0 {
-		answering = behind
+		candidates = behind
 	}
-	c.choice.rounds++
-	return answering[c.choice.rounds%len(answering)]
+	c.selector.fallbackRounds++
+	return candidates[c.selector.fallbackRounds%len(candidates)]
 }
 
-// probe asks a source whether it knows its documents to be the newest, and notes if
-// it does not serve.
+// probe asks a source whether it is up to date, and marks it as failed if it is not
+// or does not answer.
 func (c *Client) probe(ctx context.Context, source Source) (*rpc.FollowAnswer, error) {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -136,11 +144,11 @@
 	answer, err := source.Follow(bounded, &rpc.FollowRequest{Instance: c.options.Instance, Probe: true})
 	switch {
 	case err != nil:
-		c.choice.leave(source, c.options.Now())
-		c.noteLost(ctx, source, zap.Duration("took", c.options.Now()-asked), zap.Error(err))
+		c.selector.markFailed(source, c.options.Now())
+		c.logLost(ctx, source, zap.Duration("took", c.options.Now()-asked), zap.Error(err))
 	case answer.GetBehind():
-		c.choice.leave(source, c.options.Now())
-		c.noteBehind(ctx, source, answer)
+		c.selector.markFailed(source, c.options.Now())
+		c.logBehind(ctx, source, answer)
 	}
 	return answer, err
 }
--- a/control/deployment/source_selection_test.go
+++ b/control/deployment/source_selection_test.go
@@ -9,65 +9,65 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// changeInForce is the shortest time within which a change has to be in force
-// everywhere.
-const changeInForce = 2 * time.Second
+// maxPropagationDelay is the shortest time within which a change has to be in force
+// at all instances.
+const maxPropagationDelay = 2 * time.Second
 
-func silent(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &gone{} }
+func unresponsive(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return nil, &unreachableError{} }
 
-// Two control instances of a zone freeze together and a change is decided. Their
-// machines take connections all the while, so only time tells that they are silent.
-// An instance that waits for news from one after the other treats callers by the
-// configuration before for longer than operators were promised.
-func TestTwoSilentSourcesCostLessThanAChangeMayTake(t *testing.T) {
-	first, second := &scriptedSource{answer: documents(5, false)}, &scriptedSource{answer: documents(5, false)}
-	third := &scriptedSource{answer: documents(7, false)}
-	c, taken := follower(first, second, third)
+// Guards against slow failover when two control instances of a zone freeze at once
+// while a change is committed. Their hosts still accept connections, so only a
+// timeout detects the failure. Long polls to one after the other would keep the
+// replaced configuration in force longer than operators were promised.
+func TestFailoverPastTwoUnresponsiveSources(t *testing.T) {
+	first, second := &scriptedSource{answer: serveDocument(5, false)}, &scriptedSource{answer: serveDocument(5, false)}
+	third := &scriptedSource{answer: serveDocument(7, false)}
+	c, taken := newTestClient(first, second, third)
 	c.step(t.Context())
-	first.answer, second.answer = silent, silent
-	first.patience, second.patience = 0, 0
+	first.answer, second.answer = unresponsive, unresponsive
+	first.totalTimeout, second.totalTimeout = 0, 0
 	c.step(t.Context())
 	c.step(t.Context())
 	assert.DeepEqual(t, *taken, []uint64{5, 7})
-	assert.Assert(t, first.patience+second.patience+pauseAfterFailure < changeInForce)
+	assert.Assert(t, first.totalTimeout+second.totalTimeout+retryDelay < maxPropagationDelay)
 }
 
-// A control instance is silent for minutes. Tried again and again before the one
-// that answers, it would leave callers under an older configuration for seconds at
-// each try.
-func TestASourceThatFailedIsTriedLast(t *testing.T) {
-	first, second := &scriptedSource{answer: documents(5, false)}, &scriptedSource{answer: documents(5, false)}
-	c, _ := follower(first, second)
+// Guards against retrying a source that has been unresponsive for minutes before
+// one that answers. Each such attempt would leave an older configuration in force
+// for seconds.
+func TestFailedSourceIsTriedLast(t *testing.T) {
+	first, second := &scriptedSource{answer: serveDocument(5, false)}, &scriptedSource{answer: serveDocument(5, false)}
+	c, _ := newTestClient(first, second)
 	now := time.Duration(0)
 	c.options.Now = func() time.Duration { return now }
 	c.step(t.Context())
-	first.answer = silent
+	first.answer = unresponsive
 	for range 5 {
 		c.step(t.Context())
 	}
 	assert.DeepEqual(t, first.probes, []bool{false, false})
-	now += backToNearer
+	now += failbackInterval
 	c.step(t.Context())
 	assert.DeepEqual(t, first.probes, []bool{false, false, true})
-	assert.Equal(t, c.choice.following, "b")
-	first.answer = documents(5, false)
-	now += backToNearer
+	assert.Equal(t, c.selector.current, "b")
+	first.answer = serveDocument(5, false)
+	now += failbackInterval
 	c.step(t.Context())
-	assert.Equal(t, c.choice.following, "a")
+	assert.Equal(t, c.selector.current, "a")
 }
 
-// The group has no quorum, so no control instance knows its documents to be the
-// newest. Endpoints come and go all the same: an instance that asked nobody would
-// send callers to those that have left.
-func TestWithoutAQuorumSourcesAreFollowedSlowly(t *testing.T) {
-	first, second := &scriptedSource{answer: documents(5, false)}, &scriptedSource{answer: documents(6, true)}
-	c, taken := follower(first, second)
+// Guards against a client that stops following when the group has no quorum and no
+// source is up to date. Endpoints still come and go, and requests would be sent to
+// endpoints that have left.
+func TestStaleSourcesArePolledWithDelay(t *testing.T) {
+	first, second := &scriptedSource{answer: serveDocument(5, false)}, &scriptedSource{answer: serveDocument(6, true)}
+	c, taken := newTestClient(first, second)
 	c.step(t.Context())
-	first.answer = documents(5, true)
+	first.answer = serveDocument(5, true)
 	c.step(t.Context())
 	pauses := 0
 	for range 4 {
-		if c.step(t.Context()) == pauseWhileBehind {
+		if c.step(t.Context()) == staleRetryDelay {
 			pauses++
 		}
 	}
@@ -75,42 +75,42 @@
 	assert.DeepEqual(t, *taken, []uint64{5, 6})
 }
 
-// An instance starts while the control group has no leader yet. Callers would be
-// refused until there is one if it did not take what the first source has.
-func TestAnInstanceThatKnowsNothingTakesWhatItGets(t *testing.T) {
-	first := &scriptedSource{answer: documents(5, true)}
-	c, taken := follower(first, &scriptedSource{answer: documents(7, false)})
+// Guards against a starting instance that waits for an up-to-date source while the
+// control group has no leader. It would refuse requests until one is elected.
+func TestNewClientAcceptsStaleSource(t *testing.T) {
+	first := &scriptedSource{answer: serveDocument(5, true)}
+	c, taken := newTestClient(first, &scriptedSource{answer: serveDocument(7, false)})
 	c.step(t.Context())
 	assert.DeepEqual(t, *taken, []uint64{5})
 	assert.DeepEqual(t, first.probes, []bool{false})
 }
 
-// Guards against instances that change between sources without a pause while no operator
-// has sent a configuration: each source answers one that it does not know at once, with
+// Guards against clients that switch sources without delay before an operator has
+// sent a configuration. A source answers a client that is new to it at once, with
 // all endpoints.
-func TestBeforeTheFirstDocumentOneSourceIsFollowed(t *testing.T) {
+func TestClientKeepsSourceBeforeFirstDocument(t *testing.T) {
 	empty := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return &rpc.FollowAnswer{}, nil }
 	first, second := &scriptedSource{answer: empty}, &scriptedSource{answer: empty}
-	c, taken := follower(first, second)
+	c, taken := newTestClient(first, second)
 	c.options.Now = func() time.Duration { return 0 }
 	for range 10 {
 		c.step(t.Context())
 	}
 	assert.Equal(t, len(first.probes), 10)
 	assert.Equal(t, len(second.probes), 0)
-	first.answer = documents(5, false)
+	first.answer = serveDocument(5, false)
 	c.step(t.Context())
 	assert.DeepEqual(t, *taken, []uint64{5})
 }
 
-// Guards against an instance that stays with a source that fell silent before there was a
-// document, while another one has one.
-func TestASilentSourceIsLeftBeforeTheFirstDocument(t *testing.T) {
+// Guards against a client that stays with a source that became unresponsive before
+// the first document, while another source has one.
+func TestUnresponsiveSourceIsReplacedBeforeFirstDocument(t *testing.T) {
 	empty := func(*rpc.FollowRequest) (*rpc.FollowAnswer, error) { return &rpc.FollowAnswer{}, nil }
-	first, second := &scriptedSource{answer: empty}, &scriptedSource{answer: documents(5, false)}
-	c, taken := follower(first, second)
+	first, second := &scriptedSource{answer: empty}, &scriptedSource{answer: serveDocument(5, false)}
+	c, taken := newTestClient(first, second)
 	c.step(t.Context())
-	first.answer = silent
+	first.answer = unresponsive
 	c.step(t.Context())
 	c.step(t.Context())
 	assert.DeepEqual(t, *taken, []uint64{5})
