--- a/control/server/backup.go
+++ b/control/server/backup.go
@@ -13,12 +13,12 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// recoveredIndexStep is added to the log index of a restored state. Fencing
-// numbers come from the index, so those of the new group are above all that the
-// old one can have given after the backup.
-const recoveredIndexStep = 1 << 32
+// restoredIndexOffset is added to the log index of a restored state. Fencing tokens
+// are log indexes, so the tokens of the new group exceed all that the old group can
+// have granted after the backup.
+const restoredIndexOffset = 1 << 32
 
-// Backup returns the replicated state as agreed by the quorum.
+// Backup returns the replicated state by a linearizable read.
 func (s *Server) Backup(ctx context.Context) (*rpc.Backup, error) {
 	if err := s.Barrier(ctx); err != nil {
 		return nil, trace.Wrap(err)
@@ -29,15 +29,16 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return &rpc.Backup{Index: s.applied, Snapshot: snapshot}, nil
+	return &rpc.Backup{Index: s.appliedIndex, Snapshot: snapshot}, nil
 }
 
-// BackupFromLog returns the state on the disk of one replica, for when a majority
-// was lost and the group cannot decide any more. It takes in all entries of the
-// log: each that was accepted is among them if this replica has it, and one that
-// was not accepted does less harm than one that is missing.
-func BackupFromLog(disk LogStore, limits state.Limits) (*rpc.Backup, error) {
-	log, err := disk.Open()
+// BackupFromLog returns the state in the log of one replica. It is for disaster
+// recovery after the loss of a majority, when the group can no longer commit. It
+// applies all entries of the log, committed or not: every committed entry that this
+// replica has is among them, and an entry that was not committed does less harm
+// than a missing one.
+func BackupFromLog(logStore LogStore, limits state.Limits) (*rpc.Backup, error) {
+	log, err := logStore.Open()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -49,9 +50,9 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	replayed := state.New(limits)
+	recovered := state.New(limits)
 	if saved.Snapshot.Index > 0 {
-		if err := replayed.Restore(saved.Snapshot.Data); err != nil {
+		if err := recovered.Restore(saved.Snapshot.Data); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
@@ -59,27 +60,29 @@
 	for _, entry := range saved.Entries {
 		index = entry.Index
 		if entry.Kind == replog.EntryData {
-			replayed.Apply(entry.Index, entry.Data)
+			recovered.Apply(entry.Index, entry.Data)
 		}
 	}
-	snapshot, err := replayed.Snapshot()
+	snapshot, err := recovered.Snapshot()
 	return &rpc.Backup{Index: index, Snapshot: snapshot}, trace.Wrap(err)
 }
 
-// RestoreOptions says how a backup is restored.
+// RestoreOptions configures Restore.
 type RestoreOptions struct {
 	Self Instance
-	// MinRevision is the highest revision that any instance has in force.
+	// MinRevision is the highest revision that any instance has in force. The
+	// restored configuration gets a higher number.
 	MinRevision uint64
-	// UnknownKeyHold is how long keys that the backup does not know are refused.
+	// UnknownKeyHold is how long claims on keys that are not in the backup are
+	// refused.
 	UnknownKeyHold time.Duration
 }
 
-// Restore founds a new group on an empty disk, with the state of a backup and
-// this instance as its only voter. The other control instances join it with
-// empty disks. It must be done on one instance only.
-func Restore(disk LogStore, backup *rpc.Backup, options RestoreOptions) error {
-	replica, err := disk.NewReplicaID()
+// Restore bootstraps a new group on an empty disk, with the state of a backup and
+// this instance as its only voter. The other control instances then join with empty
+// disks. It must be called on one instance only.
+func Restore(logStore LogStore, backup *rpc.Backup, options RestoreOptions) error {
+	replica, err := logStore.NewReplicaID()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -100,21 +103,22 @@
 		return trace.Wrap(err)
 	}
 	member := replog.Member{Replica: replica, Address: options.Self.Address}
-	saved := replog.Bootstrap(member, backup.GetIndex()+recoveredIndexStep, recovered)
-	log, err := disk.Create(group, replica, saved)
+	saved := replog.Bootstrap(member, backup.GetIndex()+restoredIndexOffset, recovered)
+	log, err := logStore.Create(group, replica, saved)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(log.Close())
 }
 
-// EncodeBackup and DecodeBackup are for the file that a backup is kept in.
+// EncodeBackup encodes a backup for storage in a file.
 func EncodeBackup(backup *rpc.Backup) ([]byte, error) {
 	encoded, err := proto.Marshal(backup)
 	return encoded, trace.Wrap(err)
 }
 
-// DecodeBackup reads what EncodeBackup wrote.
+// DecodeBackup decodes the result of EncodeBackup. Its error wraps
+// *state.InvalidSnapshotError.
 func DecodeBackup(encoded []byte) (*rpc.Backup, error) {
 	backup := &rpc.Backup{}
 	if err := proto.Unmarshal(encoded, backup); err != nil {
--- a/control/server/bootstrap.go
+++ b/control/server/bootstrap.go
@@ -17,74 +17,78 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// foundingIndex is the log index that the first state stands for.
-const foundingIndex = 1
+// bootstrapIndex is the log index of the initial snapshot of a new group.
+const bootstrapIndex = 1
 
-// form gives a replica without a log its first state.
+// joinOrBootstrap creates the log of a replica that has none, by joining an
+// existing group or bootstrapping a new one.
 //
-// What can go wrong is that a replica whose disk was lost starts a second group,
-// or votes on what it has forgotten. Its identity lies on the disk, so it comes
-// back under a new one. It forms a group only after every other instance of the
-// settings has said that it has no state either, and it becomes a voter of an
-// existing group only if that was founded with its present identity. Otherwise
-// it starts empty and asks to be taken in as a learner.
-func (s *Server) form(ctx context.Context) (Log, error) {
-	self := s.founder()
+// A replica that has lost its disk must neither bootstrap a second group nor vote
+// without the log that it has forgotten. The replica ID is stored on disk, so such
+// a replica returns under a new ID. It bootstraps a group only after all peers have
+// answered that they have no state either. It becomes a voter of an existing group
+// only if its present ID is among the founders. Otherwise it starts with an empty
+// log and asks to be added as a learner.
+func (s *Server) joinOrBootstrap(ctx context.Context) (Log, error) {
+	self := s.selfAsFounder()
 	events.ControlJoins.Log(s.log, zap.Uint64("replica", self.GetReplica()))
 	for {
-		answers, all := s.askToJoin(ctx, self)
+		answers, allAnswered := s.sendJoinRequests(ctx, self)
 		for _, answer := range answers {
 			if answer.GetFormed() {
-				s.willHaveLog()
-				return s.follow(answer, self)
+				s.markHasLog()
+				return s.joinGroup(answer, self)
 			}
 		}
-		if all && !s.options.JoinOnly && s.first() {
-			s.willHaveLog()
-			return s.found(append(s.asFounders(answers), self))
+		if allAnswered && !s.options.JoinOnly && s.isBootstrapper() {
+			s.markHasLog()
+			return s.bootstrapGroup(append(s.peersAsFounders(answers), self))
 		}
-		s.pause(ctx, formPause)
+		s.sleep(ctx, joinRetryDelay)
 		if ctx.Err() != nil {
 			return nil, trace.Wrap(ctx.Err())
 		}
 	}
 }
 
-func (s *Server) willHaveLog() {
+// markHasLog publishes that this replica is about to create its log, so that it no
+// longer answers peers as a replica without state.
+func (s *Server) markHasLog() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view.hasLog = true
 }
 
-func (s *Server) founder() *rpc.Founder {
+// selfAsFounder returns the entry for this replica in a list of founders.
+func (s *Server) selfAsFounder() *rpc.Founder {
 	return &rpc.Founder{
-		Replica:  uint64(s.replica),
+		Replica:  uint64(s.replicaID),
 		Instance: string(s.options.Self.Name),
 		Address:  s.options.Self.Address,
 	}
 }
 
-// askToJoin asks all other control instances, and says whether all answered.
-// The answers are in the order of the settings, nil where there is none.
-func (s *Server) askToJoin(ctx context.Context, self *rpc.Founder) ([]*rpc.JoinAnswer, bool) {
+// sendJoinRequests sends a join request to all peers. It returns the answers in the
+// order of the peers, with nil for a peer that did not answer, and whether all did.
+func (s *Server) sendJoinRequests(ctx context.Context, self *rpc.Founder) ([]*rpc.JoinAnswer, bool) {
 	answers := make([]*rpc.JoinAnswer, len(s.options.Peers))
-	all := true
+	allAnswered := true
 	for i, other := range s.options.Peers {
-		asking, cancel := context.WithTimeout(ctx, joinTimeout)
-		answer, err := s.options.Dialer.Control(other.Address).Join(asking, &rpc.JoinRequest{Replica: self})
+		requestCtx, cancel := context.WithTimeout(ctx, joinTimeout)
+		answer, err := s.options.Dialer.Control(other.Address).Join(requestCtx, &rpc.JoinRequest{Replica: self})
 		cancel()
 		if err != nil {
-			all = false
+			allAnswered = false
 			continue
 		}
 		answers[i] = answer
 	}
-	return answers, all
+	return answers, allAnswered
 }
 
-// first says whether this instance is the one that founds the group: there must
-// be only one.
-func (s *Server) first() bool {
+// isBootstrapper returns whether this instance is the one that bootstraps the
+// group: the one with the lowest name, so that there is only one.
+func (s *Server) isBootstrapper() bool {
 	for _, other := range s.options.Peers {
 		if other.Name < s.options.Self.Name {
 			return false
@@ -93,7 +97,7 @@
 	return true
 }
 
-func (s *Server) asFounders(answers []*rpc.JoinAnswer) []*rpc.Founder {
+func (s *Server) peersAsFounders(answers []*rpc.JoinAnswer) []*rpc.Founder {
 	var founders []*rpc.Founder
 	for i, other := range s.options.Peers {
 		founders = append(founders, &rpc.Founder{
@@ -105,31 +109,32 @@
 	return founders
 }
 
-// follow takes part in a group that another instance knows.
-func (s *Server) follow(answer *rpc.JoinAnswer, self *rpc.Founder) (Log, error) {
+// joinGroup creates the log for a group that a peer belongs to.
+func (s *Server) joinGroup(answer *rpc.JoinAnswer, self *rpc.Founder) (Log, error) {
 	for _, founder := range answer.GetFounders() {
 		if founder.GetReplica() == self.GetReplica() {
-			return s.create(answer.GetGroup(), answer.GetFounders())
+			return s.createFounderLog(answer.GetGroup(), answer.GetFounders())
 		}
 	}
-	log, err := s.options.LogStore.Create(answer.GetGroup(), s.replica, replog.Saved{})
+	log, err := s.options.LogStore.Create(answer.GetGroup(), s.replicaID, replog.Saved{})
 	return log, trace.Wrap(err)
 }
 
-func (s *Server) found(founders []*rpc.Founder) (Log, error) {
+func (s *Server) bootstrapGroup(founders []*rpc.Founder) (Log, error) {
 	slices.SortFunc(founders, func(a, b *rpc.Founder) int {
 		return cmp.Compare(a.GetReplica(), b.GetReplica())
 	})
 	group := rand.Uint64() | 1
 	events.ControlFormed.Log(s.log, zap.Uint64("group", group), zap.Int("replicas", len(founders)))
-	return s.create(group, founders)
+	return s.createFounderLog(group, founders)
 }
 
-// create makes the log of a founder. All founders make the same state.
-func (s *Server) create(group uint64, founders []*rpc.Founder) (Log, error) {
-	first := state.New(s.options.Limits)
-	first.Bootstrap(group, founders)
-	data, err := first.Snapshot()
+// createFounderLog creates the log of a founder. The initial snapshot is identical
+// at all founders.
+func (s *Server) createFounderLog(group uint64, founders []*rpc.Founder) (Log, error) {
+	initial := state.New(s.options.Limits)
+	initial.Bootstrap(group, founders)
+	data, err := initial.Snapshot()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -140,98 +145,104 @@
 			Address: founder.GetAddress(),
 		})
 	}
-	saved := replog.BootstrapGroup(members, foundingIndex, data)
-	log, err := s.options.LogStore.Create(group, s.replica, saved)
+	saved := replog.BootstrapGroup(members, bootstrapIndex, data)
+	log, err := s.options.LogStore.Create(group, s.replicaID, saved)
 	return log, trace.Wrap(err)
 }
 
-// Join answers who this replica is. The leader takes the asking replica in.
+// Join returns the ID of this replica and its group. If this replica leads, it
+// queues the caller to be added to the group; otherwise it forwards the request to
+// the leader.
 //
-// A replica that has a log but does not know its group's founders, because it
-// is just starting or has not caught up yet, gives no answer: the asker must
-// neither take it for one without state, nor for one that can tell it its part.
+// It fails on a replica that has a log but does not know the founders of its group,
+// because it is starting or has not caught up yet. The caller must not take such a
+// replica for one without state, and cannot learn from it whether it is a founder.
 func (s *Server) Join(_ context.Context, request *rpc.JoinRequest) (*rpc.JoinAnswer, error) {
 	s.mu.RLock()
-	seen := s.view
+	view := s.view
 	s.mu.RUnlock()
 	switch {
-	case seen.leads:
+	case view.isLeader:
 		select {
-		case s.joins <- request.GetReplica():
+		case s.joinRequests <- request.GetReplica():
 		default:
 		}
-	case seen.leaderAddress != "" && !request.GetRelayed():
-		s.relayJoin(seen.leaderAddress, request.GetReplica())
+	case view.leaderAddress != "" && !request.GetRelayed():
+		s.forwardJoin(view.leaderAddress, request.GetReplica())
 	}
-	knows := seen.formed && len(seen.founders) > 0
-	if seen.hasLog && !knows {
+	knowsFounders := view.joined && len(view.founders) > 0
+	if view.hasLog && !knowsFounders {
 		return nil, twirp.NewError(twirp.Unavailable, string(NotJoined))
 	}
 	return &rpc.JoinAnswer{
-		Replica:  uint64(s.replica),
-		Formed:   knows,
-		Group:    seen.group,
-		Founders: seen.founders,
+		Replica:  uint64(s.replicaID),
+		Formed:   knowsFounders,
+		Group:    view.groupID,
+		Founders: view.founders,
 	}, nil
 }
 
-// relayJoin passes a joining replica on to the leader, beside everything else. The
-// joiner knows some of the instances only, and the leader need not be one of them: it
-// would never be taken in, and the next lost disks could take the quorum along.
-func (s *Server) relayJoin(leader string, replica *rpc.Founder) {
+// forwardJoin forwards a join request to the leader in the background. A joining
+// replica knows only some of the instances, and the leader need not be among them.
+// Without forwarding the replica would never be added, and the loss of further
+// disks could cost the group its quorum.
+func (s *Server) forwardJoin(leader string, replica *rpc.Founder) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 		defer cancel()
 		_, err := s.options.Dialer.Control(leader).Join(ctx, &rpc.JoinRequest{Replica: replica, Relayed: true})
 		if err != nil {
-			// The joiner asks again: a lost request costs half a second.
+			// The joining replica retries, so a lost request delays it by half a
+			// second.
 			events.ControlJoinNotRelayed.Log(s.log, zap.String("leader", leader), zap.Error(err))
 		}
 	}()
 }
 
-// repairEvery is the number of ticks between two looks at who wants to join.
-const repairEvery = 10
+// reconcileIntervalTicks is the number of ticks between two runs of
+// reconcileMembership.
+const reconcileIntervalTicks = 10
 
-// repair is run at every tick. A replica that is not a voter asks to join; the
-// leader takes in those that asked, one step at a time.
+// reconcileMembership is called at every tick. The leader adds the replicas that
+// asked to join, by one membership change at a time. A replica that is not a voter
+// asks to join.
 //
-// One that does not keep up asks too: it may have been replaced while it was cut
-// off. Nobody sends it the entry that says so, and no voter answers it, so that it
-// would hold itself for a voter for ever and be lost to the group. The leader passes
-// over those that do vote.
-func (s *Server) repair() {
-	s.repairTicks++
-	if s.repairTicks%repairEvery != 0 {
+// A replica that is not up to date asks as well, even if it is a voter by its own
+// log: it may have been replaced while it was isolated. Nobody sends it the entry
+// that removes it and no voter answers it, so it would count itself as a voter
+// forever and be lost to the group. The leader ignores requests of actual voters.
+func (s *Server) reconcileMembership() {
+	s.reconcileTicks++
+	if s.reconcileTicks%reconcileIntervalTicks != 0 {
 		return
 	}
 	status := s.node.Status()
 	if status.Role == replog.Leader {
-		s.repairGroup(status)
+		s.reconcileAsLeader(status)
 		return
 	}
-	if !status.Members.IsVoter(status.ID) || !s.soft.Current {
-		self := s.founder()
+	if !status.Members.IsVoter(status.ID) || !s.softState.Current {
+		self := s.selfAsFounder()
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout*time.Duration(len(s.options.Peers)+1))
-		s.running.Go(func() {
+		s.goroutines.Go(func() {
 			defer cancel()
-			s.askToJoin(ctx, self)
+			s.sendJoinRequests(ctx, self)
 		})
 	}
 }
 
-// repairGroup makes at most one change, the first that is due for a joiner:
-// add it as a learner; once it has caught up, remove the replica whose place it
-// takes, then let it vote. Adding it as a voter first would make the group
-// larger while one of its members is lost for good.
-func (s *Server) repairGroup(status replog.Status) {
-	for id, joiner := range s.joiners {
+// reconcileAsLeader proposes at most one membership change, the first that is due
+// for a joining replica: add it as a learner; after it has caught up, remove the
+// replica that it replaces; then promote it. Promoting it first would enlarge the
+// group, and with it the quorum, while one voter is lost for good.
+func (s *Server) reconcileAsLeader(status replog.Status) {
+	for id, joiner := range s.pendingJoins {
 		member, found := status.Members.Find(id)
-		if found && !member.Learner || !s.known(joiner.GetAddress()) {
-			delete(s.joiners, id)
+		if found && !member.Learner || !s.mayJoin(joiner.GetAddress()) {
+			delete(s.pendingJoins, id)
 			continue
 		}
-		change, due := s.changeFor(status, id, joiner.GetAddress(), found)
+		change, due := s.nextChange(status, id, joiner.GetAddress(), found)
 		if !due {
 			continue
 		}
@@ -240,30 +251,31 @@
 	}
 }
 
-// changeFor is the next change for a joiner that is not a voter.
-func (s *Server) changeFor(status replog.Status, id replog.ReplicaID, address string, member bool) (replog.Change, bool) {
+// nextChange returns the next membership change for a joining replica that is not a
+// voter. It returns false if none is due.
+func (s *Server) nextChange(status replog.Status, id replog.ReplicaID, address string, member bool) (replog.Change, bool) {
 	if !member {
 		return replog.Change{Kind: replog.AddLearner, Replica: id, Address: address}, true
 	}
 	if status.Progress[id].Match < status.Commit {
 		return replog.Change{}, false
 	}
-	if old, ok := replaced(status.Members, id, address); ok {
+	if old, ok := findReplacedMember(status.Members, id, address); ok {
 		return replog.Change{Kind: replog.Remove, Replica: old}, true
 	}
 	if s.options.MaxVoters == 0 || len(status.Members.Voters()) < s.options.MaxVoters {
 		return replog.Change{Kind: replog.Promote, Replica: id}, true
 	}
-	old, ok := s.longGone(status)
+	old, ok := s.findDeadVoter(status)
 	if ok {
 		events.ControlReplicaRemoved.Log(s.log, zap.Uint64("replica", uint64(old)))
 	}
 	return replog.Change{Kind: replog.Remove, Replica: old}, ok
 }
 
-// longGone finds a voter that has been silent for so long that its machine must
-// be taken for lost.
-func (s *Server) longGone(status replog.Status) (replog.ReplicaID, bool) {
+// findDeadVoter returns a voter that has been silent for longer than VoterTimeout,
+// so that its machine is considered lost.
+func (s *Server) findDeadVoter(status replog.Status) (replog.ReplicaID, bool) {
 	ticks := int(s.options.VoterTimeout / s.options.TickInterval)
 	for _, voter := range status.Members.Voters() {
 		progress, known := status.Progress[voter]
@@ -286,16 +298,17 @@
 	events.ControlReplicaAdded.Log(s.log, fields...)
 }
 
-// known says whether a replica at the address may join.
-func (s *Server) known(address string) bool {
+// mayJoin returns whether a replica at the address may join the group.
+func (s *Server) mayJoin(address string) bool {
 	return s.options.AcceptUnknownPeers || address == s.options.Self.Address || slices.ContainsFunc(s.options.Peers, func(other Instance) bool {
 		return other.Address == address
 	})
 }
 
-// replaced returns the older replica at the address of a joiner. That address
-// now answers as the joiner, so the older one has lost its disk.
-func replaced(members replog.Members, joiner replog.ReplicaID, address string) (replog.ReplicaID, bool) {
+// findReplacedMember returns the earlier replica at the address of a joining one.
+// Since the address now answers as the joining replica, the earlier one has lost
+// its disk.
+func findReplacedMember(members replog.Members, joiner replog.ReplicaID, address string) (replog.ReplicaID, bool) {
 	for _, m := range members {
 		if m.Address == address && m.Replica != joiner {
 			return m.Replica, true
--- a/control/server/disk_full_test.go
+++ b/control/server/disk_full_test.go
@@ -12,52 +12,53 @@
 	"github.com/carawaystile/carawaystile/store"
 )
 
-// fullDisk refuses every write while it is full.
-type fullDisk struct {
-	*memoryDisk
+// limitedLogStore is a memoryLogStore whose log fails to save with ENOSPC while
+// full is set.
+type limitedLogStore struct {
+	*memoryLogStore
 	full *atomic.Bool
 }
 
-func (d fullDisk) Open() (Log, error) {
-	log, err := d.memoryDisk.Open()
+func (d limitedLogStore) Open() (Log, error) {
+	log, err := d.memoryLogStore.Open()
 	if log == nil || err != nil {
 		return nil, err
 	}
-	return fullLog{Log: log, full: d.full}, nil
+	return limitedLog{Log: log, full: d.full}, nil
 }
 
-func (d fullDisk) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
-	log, err := d.memoryDisk.Create(group, replica, saved)
+func (d limitedLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
+	log, err := d.memoryLogStore.Create(group, replica, saved)
 	if err != nil {
 		return nil, err
 	}
-	return fullLog{Log: log, full: d.full}, nil
+	return limitedLog{Log: log, full: d.full}, nil
 }
 
-type fullLog struct {
+type limitedLog struct {
 	Log
 	full *atomic.Bool
 }
 
-func (l fullLog) Save(rd replog.Ready) error {
+func (l limitedLog) Save(rd replog.Ready) error {
 	if l.full.Load() {
 		return &store.IOFailed{Op: store.OpWrite, File: "log", Cause: syscall.ENOSPC}
 	}
 	return l.Log.Save(rd)
 }
 
-// The disk of the only replica fills up while an operator sends a document, and
-// has room again later. The operator is not told that the document is in force;
-// what was acknowledged before is kept, and the replica goes on without its
-// process being started anew.
-func TestAFullDiskIsWaitedOut(t *testing.T) {
+// Guards against data loss, a false acknowledgement or the end of the process when
+// the disk of the only replica is full. A document sent while the disk is full must not be
+// acknowledged, earlier ones must be kept, and the replica must resume on its own
+// once there is space.
+func TestReplicaResumesAfterDiskFull(t *testing.T) {
 	var full atomic.Bool
 	g := newGroup(t, 1)
 	g.stop(0)
 	server, err := Start(Options{
 		Self:     Instance{Name: "control-0", Address: address(0)},
 		Dialer:   dialer{g.network, address(0)},
-		LogStore: fullDisk{memoryDisk: g.disks[0], full: &full},
+		LogStore: limitedLogStore{memoryLogStore: g.logStores[0], full: &full},
 	})
 	assert.NilError(t, err)
 	defer server.Close()
@@ -66,21 +67,21 @@
 			Document: &rpc.Document{Name: "routes", Number: number},
 		}}}
 	}
-	result, err := server.Execute(g.long(), put(1))
+	result, err := server.Execute(g.longContext(), put(1))
 	assert.NilError(t, err)
 	assert.Equal(t, result.GetDocument().GetNumber(), uint64(1))
 
 	full.Store(true)
 	refused := make(chan error, 1)
 	go func() {
-		_, err := server.try(g.long(), put(2))
+		_, err := server.tryOnce(g.longContext(), put(2))
 		refused <- err
 	}()
 	assert.Assert(t, <-refused != nil)
-	assert.NilError(t, server.until(g.long(), func() bool { return !server.view.formed }))
+	assert.NilError(t, server.waitUntil(g.longContext(), func() bool { return !server.view.joined }))
 
 	full.Store(false)
-	result, err = server.Execute(g.long(), put(3))
+	result, err = server.Execute(g.longContext(), put(3))
 	assert.NilError(t, err)
 	assert.Equal(t, result.GetDocument().GetNumber(), uint64(3))
 	assert.NilError(t, server.Err())
--- a/control/server/errors.go
+++ b/control/server/errors.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// UnavailableError means that the command was not decided here and now. It may still
-// be decided later, so it is only sent again as it was.
+// UnavailableError reports that a command was not committed in this attempt. It may
+// still be committed later, so only the identical command may be sent again.
 type UnavailableError struct {
 	Reason UnavailableReason
 	Cause  error
 }
 
-// UnavailableReason says why a command was not decided.
+// UnavailableReason is why a command was not committed.
 type UnavailableReason string
 
-// The reasons.
+// The reasons of an UnavailableError.
 const (
 	NotJoined       UnavailableReason = "this replica does not belong to a group yet"
 	NoLeader        UnavailableReason = "this replica knows no leader"
@@ -22,7 +22,7 @@
 	Stopped         UnavailableReason = "this replica has stopped"
 )
 
-// Error gives the reason.
+// Error returns the reason and the cause, if any.
 func (e *UnavailableError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("%s: %v", e.Reason, e.Cause)
@@ -30,17 +30,17 @@
 	return string(e.Reason)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause, nil if there is none.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// FormationError means that what another instance says of the group cannot be
-// followed.
+// FormationError reports that what another instance states about the group cannot
+// be followed.
 type FormationError struct {
 	Instance Instance
 	Reason   string
 }
 
-// Error names the instance.
+// Error names the instance and the reason.
 func (e *FormationError) Error() string {
 	return fmt.Sprintf("control instance %s at %s: %s", e.Instance.Name, e.Instance.Address, e.Reason)
 }
--- a/control/server/event_loop.go
+++ b/control/server/event_loop.go
@@ -13,61 +13,63 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// job is one task of the disk: a save, or a compaction where snapshot is set.
-type job struct {
+// writeJob is one write to the log: a compaction if snapshot is set, otherwise the
+// save of a Ready.
+type writeJob struct {
 	ready    replog.Ready
 	snapshot *replog.Snapshot
 }
 
-// delivery is a batch of messages and where their sender is answered.
-type delivery struct {
+// inboundBatch is a batch of received Raft messages with the address of its sender.
+type inboundBatch struct {
 	address  string
 	messages []replog.Message
 }
 
-// proposal is a command that waits to be decided.
+// proposal is a command that waits for its commitment.
 type proposal struct {
 	command *rpc.Command
 	term    uint64
-	// decided has room for the one outcome.
-	decided chan outcome
+	// outcome is buffered for the single result.
+	outcome chan outcome
 }
 
+// outcome is the result of a committed command, or the reason why there is none.
 type outcome struct {
 	result *rpc.Result
 	err    error
 }
 
-// loop owns the replog.Node.
-func (s *Server) loop(ctx context.Context) {
+// eventLoop owns the Raft node. All events that concern the node pass through it.
+func (s *Server) eventLoop(ctx context.Context) {
 	ticks := s.options.Clock.Ticks
 	if ticks == nil {
 		ticker := time.NewTicker(s.options.TickInterval)
 		defer ticker.Stop()
 		ticks = ticker.C
 	}
-	defer s.loseProposals(Stopped)
+	defer s.failPendingProposals(Stopped)
 	for s.handleReady(ctx) {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticks:
 			s.node.Tick()
-			s.noteFresh()
-			s.repair()
+			s.recordUpToDate()
+			s.reconcileMembership()
 		case d := <-s.inbox:
-			s.step(d)
-		case replica := <-s.lost:
+			s.stepMessages(d)
+		case replica := <-s.unreachable:
 			s.node.ReportUnreachable(replica)
 		case p := <-s.proposals:
-			s.propose(p)
-		case s.handedOver = <-s.closing:
-			s.handOver()
-		case e := <-s.encoded:
+			s.proposeBatch(p)
+		case s.transferDone = <-s.transferRequests:
+			s.transferLeadership()
+		case e := <-s.encodedSnapshots:
 			s.compact(e)
-		case joiner := <-s.joins:
-			s.joiners[replog.ReplicaID(joiner.GetReplica())] = joiner
-		case ready := <-s.saved:
+		case joiner := <-s.joinRequests:
+			s.pendingJoins[replog.ReplicaID(joiner.GetReplica())] = joiner
+		case ready := <-s.persisted:
 			if ready.MustSync {
 				s.node.Advance(ready)
 			} else {
@@ -77,37 +79,38 @@
 	}
 }
 
-// handOver lets the voter lead that is furthest in the log of those that answer.
-func (s *Server) handOver() {
+// transferLeadership transfers leadership to the voter whose log is most up to date
+// among those that respond.
+func (s *Server) transferLeadership() {
 	status := s.node.Status()
 	best := replog.None
 	for _, voter := range status.Members.Voters() {
 		progress, known := status.Progress[voter]
-		answers := known && voter != status.ID && progress.IdleTicks <= s.options.ElectionTicks
-		if answers && (best == replog.None || progress.Match > status.Progress[best].Match) {
+		responds := known && voter != status.ID && progress.IdleTicks <= s.options.ElectionTicks
+		if responds && (best == replog.None || progress.Match > status.Progress[best].Match) {
 			best = voter
 		}
 	}
 	if best == replog.None || s.node.TransferLeader(best) != nil {
-		s.noteHandedOver()
+		s.finishTransfer()
 	}
 }
 
-func (s *Server) noteHandedOver() {
-	if s.handedOver != nil {
-		close(s.handedOver)
-		s.handedOver = nil
+func (s *Server) finishTransfer() {
+	if s.transferDone != nil {
+		close(s.transferDone)
+		s.transferDone = nil
 	}
 }
 
-// step takes in messages, and all others that have come meanwhile: what they
-// cause is then written together.
-func (s *Server) step(d delivery) {
-	for range inboxLength {
+// stepMessages passes a batch of messages to the node, and all further batches that
+// are already queued, so that their entries are written together.
+func (s *Server) stepMessages(d inboundBatch) {
+	for range maxInboxBatches {
 		for _, m := range d.messages {
-			s.peers.learn(m.From, d.address)
+			s.transport.learnAddress(m.From, d.address)
 			if err := s.node.Step(m); err != nil {
-				s.stepFailed(err)
+				s.handleStepError(err)
 			}
 		}
 		select {
@@ -118,19 +121,19 @@
 	}
 }
 
-func (s *Server) stepFailed(err error) {
-	if _, broken := err.(*replog.Inconsistent); broken {
-		s.broken(err)
+func (s *Server) handleStepError(err error) {
+	if _, inconsistent := err.(*replog.Inconsistent); inconsistent {
+		s.abortRun(err)
 		return
 	}
 	events.ControlMessageDropped.Log(s.log, zap.Error(err))
 }
 
-// propose appends the command, and all others that have come meanwhile, so that
-// they share one sync.
-func (s *Server) propose(p *proposal) {
-	for range proposalBatch {
-		s.proposeOne(p)
+// proposeBatch appends a command and all further proposals that are already queued,
+// so that they share one sync.
+func (s *Server) proposeBatch(p *proposal) {
+	for range maxProposalBatch {
+		s.propose(p)
 		select {
 		case p = <-s.proposals:
 		default:
@@ -139,47 +142,48 @@
 	}
 }
 
-func (s *Server) proposeOne(p *proposal) {
+func (s *Server) propose(p *proposal) {
 	p.command.Stamp = int64(s.logClock.at(s.options.Clock.Now()))
 	p.command.Wall = s.options.Clock.Wall().UnixNano()
 	data, err := proto.Marshal(p.command)
 	if err != nil {
-		p.decided <- outcome{err: &UnavailableError{Reason: ProposalRefused, Cause: err}}
+		p.outcome <- outcome{err: &UnavailableError{Reason: ProposalRefused, Cause: err}}
 		return
 	}
 	at, err := s.node.Propose(data)
 	if err != nil {
-		p.decided <- outcome{err: &UnavailableError{Reason: ProposalRefused, Cause: err}}
+		p.outcome <- outcome{err: &UnavailableError{Reason: ProposalRefused, Cause: err}}
 		return
 	}
 	p.term = at.Term
-	s.waiting[at.Index] = p
+	s.pendingProposals[at.Index] = p
 }
 
-// loseProposals tells all who wait that their command may or may not be decided.
-func (s *Server) loseProposals(reason UnavailableReason) {
-	for index, p := range s.waiting {
-		p.decided <- outcome{err: &UnavailableError{Reason: reason}}
-		delete(s.waiting, index)
+// failPendingProposals returns an error for all pending proposals. Their commands
+// may still be committed later.
+func (s *Server) failPendingProposals(reason UnavailableReason) {
+	for index, p := range s.pendingProposals {
+		p.outcome <- outcome{err: &UnavailableError{Reason: reason}}
+		delete(s.pendingProposals, index)
 	}
 }
 
-// handleReady does everything the node has to have done. It returns false when
-// the replica must stop.
+// handleReady processes all that the node has ready: writes, messages, and
+// committed entries. It returns false if the replica must stop.
 func (s *Server) handleReady(ctx context.Context) bool {
 	for s.node.HasReady() {
 		ready := s.node.Ready()
 		if ready.MustSync {
 			select {
-			case s.jobs <- job{ready: ready}:
+			case s.writeJobs <- writeJob{ready: ready}:
 			case <-ctx.Done():
 				return false
 			}
 		}
 		if ready.SoftState != nil {
-			s.takeSoftState(*ready.SoftState)
+			s.handleSoftState(*ready.SoftState)
 		}
-		s.peers.send(s.node.Status().Members, ready.Messages)
+		s.transport.send(s.node.Status().Members, ready.Messages)
 		if !s.apply(ready) {
 			return false
 		}
@@ -190,7 +194,7 @@
 	return true
 }
 
-func (s *Server) takeRole(soft replog.SoftState) {
+func (s *Server) handleRoleChange(soft replog.SoftState) {
 	if soft.Role == replog.Leader {
 		s.mu.RLock()
 		newest := s.state.Now()
@@ -198,37 +202,39 @@
 		s.logClock.restart(newest, s.options.Clock.Now())
 		events.ControlLeads.Log(s.log, zap.Uint64("term", s.node.Status().Term))
 	} else {
-		s.loseProposals(LeadershipLost)
-		s.noteHandedOver()
+		s.failPendingProposals(LeadershipLost)
+		s.finishTransfer()
 	}
 }
 
-// publish renews what other goroutines see of the group.
-func (s *Server) publish(more func()) {
+// publishView updates the view of the group that other goroutines read. It calls
+// update, if any, with mu held.
+func (s *Server) publishView(update func()) {
 	status := s.node.Status()
 	self, _ := status.Members.Find(status.ID)
 	leader, _ := status.Members.Find(status.Leader)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.view.leads = status.Role == replog.Leader
-	s.view.leader = status.Leader
+	s.view.isLeader = status.Role == replog.Leader
+	s.view.leaderID = status.Leader
 	s.view.leaderAddress = leader.Address
-	s.view.current = s.soft.Current
+	s.view.isCurrent = s.softState.Current
 	s.view.members = status.Members
-	s.view.voter = self.Replica == status.ID && !self.Learner
-	s.view.group, s.view.founders = s.state.Group()
-	if more != nil {
-		more()
+	s.view.isVoter = self.Replica == status.ID && !self.Learner
+	s.view.groupID, s.view.founders = s.state.Group()
+	if update != nil {
+		update()
 	}
-	s.wake()
+	s.notifyChanged()
 }
 
-// apply brings the state up to date with a Ready, and answers the proposals
-// that were decided by it.
+// apply applies the snapshot and the committed entries of a Ready to the state
+// machine, and completes the proposals among them. It returns false if the replica
+// must stop.
 func (s *Server) apply(ready replog.Ready) bool {
 	if ready.Snapshot != nil {
-		s.loseProposals(LeadershipLost)
-		if !s.restore(*ready.Snapshot) {
+		s.failPendingProposals(LeadershipLost)
+		if !s.restoreSnapshot(*ready.Snapshot) {
 			return false
 		}
 	}
@@ -242,100 +248,102 @@
 			_, results[i] = s.state.Apply(entry.Index, entry.Data)
 			results[i].Index = entry.Index
 		}
-		s.applied = entry.Index
-		s.appliedBytes += len(entry.Data)
+		s.appliedIndex = entry.Index
+		s.bytesSinceSnapshot += len(entry.Data)
 	}
 	newest := s.state.Now()
 	s.mu.Unlock()
 	s.logClock.observe(newest, s.options.Clock.Now())
-	s.publish(nil)
+	s.publishView(nil)
 	for i, entry := range ready.Committed {
-		s.decide(entry, results[i])
+		s.completeProposal(entry, results[i])
 	}
-	s.takeSnapshot()
+	s.startSnapshot()
 	return true
 }
 
-// decide answers the proposal at the entry's index. Another term there means
-// that another leader's entry took the place.
-func (s *Server) decide(entry replog.Entry, result *rpc.Result) {
-	p := s.waiting[entry.Index]
+// completeProposal completes the proposal at the index of a committed entry. If the
+// entry has another term, another leader's entry has taken the place of the
+// proposal.
+func (s *Server) completeProposal(entry replog.Entry, result *rpc.Result) {
+	p := s.pendingProposals[entry.Index]
 	if p == nil {
 		return
 	}
-	delete(s.waiting, entry.Index)
+	delete(s.pendingProposals, entry.Index)
 	if p.term != entry.Term || result == nil {
-		p.decided <- outcome{err: &UnavailableError{Reason: LeadershipLost}}
+		p.outcome <- outcome{err: &UnavailableError{Reason: LeadershipLost}}
 		return
 	}
-	p.decided <- outcome{result: result}
+	p.outcome <- outcome{result: result}
 }
 
-func (s *Server) restore(snapshot replog.Snapshot) bool {
+func (s *Server) restoreSnapshot(snapshot replog.Snapshot) bool {
 	var err error
-	s.publish(func() {
+	s.publishView(func() {
 		if err = s.state.Restore(snapshot.Data); err == nil {
-			s.applied = snapshot.Index
+			s.appliedIndex = snapshot.Index
 		}
 	})
 	if err != nil {
-		s.broken(err)
+		s.abortRun(err)
 		return false
 	}
 	events.ControlSnapshotTaken.Log(s.log, zap.Uint64("index", snapshot.Index))
 	return true
 }
 
-// encodedSnapshot is the state after the entry at index.
+// encodedSnapshot is the encoded state after the entry at index, or the error that
+// encoding it failed with.
 type encodedSnapshot struct {
 	index uint64
 	data  []byte
 	err   error
 }
 
-// takeSnapshot copies the state once the applied entries have grown large. The
-// copy is encoded apart: with many claims that takes longer than a heartbeat may
-// be late.
-func (s *Server) takeSnapshot() {
-	if s.appliedBytes < max(s.options.SnapshotBytes, s.snapshotSize) || s.compacting {
+// startSnapshot copies the state once enough bytes of entries have been applied. A
+// separate goroutine encodes the copy, because with many claims that takes longer
+// than a heartbeat may be delayed.
+func (s *Server) startSnapshot() {
+	if s.bytesSinceSnapshot < max(s.options.SnapshotBytes, s.lastSnapshotBytes) || s.compacting {
 		return
 	}
 	s.compacting = true
-	s.appliedBytes = 0
+	s.bytesSinceSnapshot = 0
 	s.mu.RLock()
-	index := s.applied
+	index := s.appliedIndex
 	snapshot := s.state.TakeSnapshot()
 	s.mu.RUnlock()
-	encoded := s.encoded
-	s.running.Go(func() {
+	encoded := s.encodedSnapshots
+	s.goroutines.Go(func() {
 		data, err := state.EncodeSnapshot(snapshot)
 		encoded <- encodedSnapshot{index: index, data: data, err: err}
 	})
 }
 
-// compact replaces entries by a snapshot, unless a newer one of the leader has
-// come in the meantime.
+// compact replaces entries of the log by a snapshot, unless a newer snapshot has
+// arrived from the leader in the meantime.
 func (s *Server) compact(e encodedSnapshot) {
 	if e.err != nil {
-		s.broken(e.err)
+		s.abortRun(e.err)
 		return
 	}
-	s.snapshotSize = len(e.data)
+	s.lastSnapshotBytes = len(e.data)
 	snapshot, err := s.node.Compact(e.index, e.data)
 	if err != nil {
 		s.compacting = false
 		return
 	}
-	s.jobs <- job{snapshot: &snapshot}
+	s.writeJobs <- writeJob{snapshot: &snapshot}
 }
 
-// write does the jobs of the disk. A disk that fails stops the replica: what it
-// acknowledges after that could be lost.
-func (s *Server) write(ctx context.Context, log Log) {
+// writeLoop executes write jobs. The replica stops after a failed write, because
+// anything that it acknowledged later could be lost.
+func (s *Server) writeLoop(ctx context.Context, log Log) {
 	for {
-		var j job
+		var j writeJob
 		select {
-		case j = <-s.jobs:
+		case j = <-s.writeJobs:
 		case <-ctx.Done():
 			return
 		}
@@ -346,11 +354,11 @@
 			err = log.Save(j.ready)
 		}
 		if err != nil {
-			s.broken(err)
+			s.abortRun(err)
 			return
 		}
 		select {
-		case s.saved <- j.ready:
+		case s.persisted <- j.ready:
 		case <-ctx.Done():
 			return
 		}
--- a/control/server/execute.go
+++ b/control/server/execute.go
@@ -13,11 +13,11 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Execute has the command agreed by the quorum and returns its result. A
-// replica that does not lead passes it on to the leader. It tries again until
-// the context ends, which is safe because every command says whose it is and is
-// answered alike when it comes twice. Its failure means that the command may or
-// may not have been decided.
+// Execute replicates a command and returns its result. A replica that does not lead
+// forwards the command to the leader. Execute retries until the context ends, which
+// is safe because commands are idempotent: each identifies its request, and a
+// repeated command gets the same answer. After an error the command may or may not
+// have been committed.
 func (s *Server) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
@@ -33,7 +33,7 @@
 	return result, err
 }
 
-// commandName is the command's name in measurements.
+// commandName returns the name of the command in metrics.
 func commandName(command *rpc.Command) string {
 	m := command.ProtoReflect()
 	field := m.WhichOneof(m.Descriptor().Oneofs().ByName("action"))
@@ -45,14 +45,14 @@
 
 func (s *Server) execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	for {
-		result, err := s.try(ctx, command)
+		result, err := s.tryOnce(ctx, command)
 		if err == nil {
 			return result, nil
 		}
 		if command.GetHops() > 0 || ctx.Err() != nil || s.hasStopped() {
 			return nil, twirp.NewError(twirp.Unavailable, err.Error())
 		}
-		s.pause(ctx, retryPause)
+		s.sleep(ctx, retryDelay)
 	}
 }
 
@@ -65,57 +65,61 @@
 	}
 }
 
-func (s *Server) try(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
+// tryOnce makes one attempt to execute a command, here or through another replica.
+func (s *Server) tryOnce(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	s.mu.RLock()
-	seen := s.view
+	view := s.view
 	s.mu.RUnlock()
 	switch {
-	case !seen.formed:
+	case !view.joined:
 		return nil, &UnavailableError{Reason: NotJoined}
-	case seen.leads:
-		return s.decideHere(ctx, command)
+	case view.isLeader:
+		return s.proposeLocally(ctx, command)
 	case command.GetHops() >= maxHops:
 		return nil, &UnavailableError{Reason: NoLeader}
 	}
-	var last error = &UnavailableError{Reason: NoLeader}
-	for _, address := range s.ways(seen) {
+	var lastErr error = &UnavailableError{Reason: NoLeader}
+	for _, address := range s.forwardTargets(view) {
 		result, err := s.forward(ctx, address, command)
 		if err == nil {
 			return result, nil
 		}
-		last = &UnavailableError{Reason: ForwardFailed, Cause: err}
+		lastErr = &UnavailableError{Reason: ForwardFailed, Cause: err}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// ways lists where to pass a command on: to the leader, and else to any other
-// member. The way between this replica and the leader may be lost in one
-// direction, while all others reach both.
-func (s *Server) ways(seen view) []string {
-	var ways []string
-	if seen.leader != replog.None && seen.leaderAddress != "" {
-		ways = append(ways, seen.leaderAddress)
-	}
-	if len(seen.members) > 0 {
-		other := seen.members[rand.IntN(len(seen.members))]
-		if other.Replica != s.replica && other.Replica != seen.leader {
-			ways = append(ways, other.Address)
+// forwardTargets returns the addresses to forward a command to, in order: the
+// leader, then a random other member. The other member helps if messages between
+// this replica and the leader are lost in one direction only, while all others
+// reach both.
+func (s *Server) forwardTargets(view groupView) []string {
+	var targets []string
+	if view.leaderID != replog.None && view.leaderAddress != "" {
+		targets = append(targets, view.leaderAddress)
+	}
+	if len(view.members) > 0 {
+		other := view.members[rand.IntN(len(view.members))]
+		if other.Replica != s.replicaID && other.Replica != view.leaderID {
+			targets = append(targets, other.Address)
 		}
 	}
-	return ways
+	return targets
 }
 
 func (s *Server) forward(ctx context.Context, address string, command *rpc.Command) (*rpc.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	passed := &rpc.Command{Hops: command.GetHops() + 1, Action: command.GetAction()}
-	return s.options.Dialer.Control(address).Execute(ctx, passed)
+	forwarded := &rpc.Command{Hops: command.GetHops() + 1, Action: command.GetAction()}
+	return s.options.Dialer.Control(address).Execute(ctx, forwarded)
 }
 
-func (s *Server) decideHere(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
+// proposeLocally proposes a command to the Raft node of this replica and waits for
+// its result.
+func (s *Server) proposeLocally(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	p := &proposal{
 		command: &rpc.Command{Action: command.GetAction()},
-		decided: make(chan outcome, 1),
+		outcome: make(chan outcome, 1),
 	}
 	select {
 	case s.proposals <- p:
@@ -125,7 +129,7 @@
 		return nil, &UnavailableError{Reason: Stopped}
 	}
 	select {
-	case o := <-p.decided:
+	case o := <-p.outcome:
 		return o.result, o.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -134,26 +138,26 @@
 	}
 }
 
-// Barrier waits until this replica has applied everything that was decided when
-// it was called.
+// Barrier waits until this replica has applied everything that was committed when
+// it was called. A read after it is linearizable.
 func (s *Server) Barrier(ctx context.Context) error {
 	result, err := s.Execute(ctx, &rpc.Command{Action: &rpc.Command_PassTime{PassTime: &rpc.PassTime{}}})
 	if err != nil {
 		return trace.Wrap(&tables.NoQuorumError{Operation: "read", Cause: err})
 	}
-	return trace.Wrap(s.until(ctx, func() bool { return s.applied >= result.GetIndex() }))
+	return trace.Wrap(s.waitUntil(ctx, func() bool { return s.appliedIndex >= result.GetIndex() }))
 }
 
-// Deliver takes in messages of the replicated log. Those for an older replica,
-// whose disk was lost, are for nobody.
+// Deliver queues received Raft messages for the event loop. It drops messages that
+// are addressed to an earlier replica of this instance, whose disk was lost.
 func (s *Server) Deliver(_ context.Context, request *rpc.DeliverRequest) (*rpc.DeliverAnswer, error) {
-	d := delivery{address: request.GetAddress()}
+	d := inboundBatch{address: request.GetAddress()}
 	for _, encoded := range request.GetMessages() {
 		m, err := decodeMessage(encoded)
 		if err != nil {
 			return nil, twirp.InvalidArgumentError("messages", err.Error())
 		}
-		if m.To == s.replica {
+		if m.To == s.replicaID {
 			d.messages = append(d.messages, m)
 		}
 	}
@@ -165,21 +169,22 @@
 	}
 }
 
-// Watch answers once the configuration in force is newer than the caller's, or
-// with nothing new when the wait is over. It never answers with an older one.
+// Watch is a long poll for configurations. It returns once the revision in force is
+// newer than the caller's, or without items when the wait has elapsed. It never
+// returns an older revision.
 func (s *Server) Watch(ctx context.Context, request *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
-	wait := min(time.Duration(request.GetWaitNanos()), maxWatch)
-	waiting, cancel := context.WithTimeout(ctx, max(0, wait))
+	wait := min(time.Duration(request.GetWaitNanos()), maxWatchWait)
+	waitCtx, cancel := context.WithTimeout(ctx, max(0, wait))
 	defer cancel()
 	have := tables.Revision(request.GetRevision())
-	_ = s.until(waiting, func() bool { return s.state.Revision() > have })
+	_ = s.waitUntil(waitCtx, func() bool { return s.state.Revision() > have })
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.state.Revision() <= have {
-		// A replica that is cut off from its group, or whose disk hangs, cannot know
-		// of newer revisions. Its followers have to ask another one, or they would
-		// wait here for as long as that lasts.
-		if !s.view.current {
+		// A replica that is isolated from its group, or whose disk hangs, cannot
+		// know of newer revisions. The error makes its followers ask another
+		// replica; otherwise they would wait here until the failure ends.
+		if !s.view.isCurrent {
 			return nil, twirp.NewError(twirp.Unavailable, string(NoLeader))
 		}
 		return &rpc.WatchAnswer{Revision: request.GetRevision()}, nil
@@ -188,8 +193,8 @@
 		Revision: uint64(s.state.Revision()),
 		Digest:   s.state.Content().Digest(),
 	}
-	changes, reaches := s.state.ChangesSince(have)
-	if reaches && have > 0 {
+	changes, complete := s.state.ChangesSince(have)
+	if complete && have > 0 {
 		answer.Items = changes
 		return answer, nil
 	}
--- a/control/server/freshness.go
+++ b/control/server/freshness.go
@@ -9,35 +9,36 @@
 	"github.com/carawaystile/carawaystile/replog"
 )
 
-// neverFresh marks that the state was not yet known to be the group's newest.
-const neverFresh = time.Duration(-1)
+// neverUpToDate means that the state was never known to be the group's newest.
+const neverUpToDate = time.Duration(-1)
 
-// lag is how long ago the state is known to have been the group's newest. The caller
-// holds mu.
+// lag returns how long ago the state was last known to be the group's newest. The
+// caller holds mu.
 func (s *Server) lag() time.Duration {
-	if s.freshAt < 0 {
-		return neverFresh
+	if s.upToDateAt < 0 {
+		return neverUpToDate
 	}
-	return s.options.Clock.Now() - s.freshAt
+	return s.options.Clock.Now() - s.upToDateAt
 }
 
-// takeSoftState takes over a new role, leader or freshness of the state.
-func (s *Server) takeSoftState(soft replog.SoftState) {
-	before := s.soft
-	s.soft = soft
-	if soft.Leader != before.Leader || soft.Role != before.Role {
-		s.takeRole(soft)
+// handleSoftState processes a change of the role, of the leader or of whether the
+// state is up to date.
+func (s *Server) handleSoftState(soft replog.SoftState) {
+	previous := s.softState
+	s.softState = soft
+	if soft.Leader != previous.Leader || soft.Role != previous.Role {
+		s.handleRoleChange(soft)
 	}
-	if soft.Current != before.Current {
-		s.noteCurrent(soft)
+	if soft.Current != previous.Current {
+		s.logCurrentChange(soft)
 	}
-	s.publish(nil)
+	s.publishView(nil)
 }
 
-// noteCurrent logs that the state is the group's newest, or may not be any more,
-// with what tells apart a replica that does not hear the group from one that cannot
-// write down what it hears.
-func (s *Server) noteCurrent(soft replog.SoftState) {
+// logCurrentChange logs that the state is the group's newest, or may no longer be.
+// The fields distinguish a replica that does not hear from the group from one that
+// cannot persist what it receives.
+func (s *Server) logCurrentChange(soft replog.SoftState) {
 	event := events.ControlLags
 	if soft.Current {
 		event = events.ControlCurrent
@@ -48,14 +49,15 @@
 		zap.Uint64("durable", status.StableIndex), zap.Uint64("last", status.LastIndex))
 }
 
-// noteFresh keeps as of when the state is known to be the group's newest.
-func (s *Server) noteFresh() {
+// recordUpToDate records the latest time at which the state was known to be the
+// group's newest.
+func (s *Server) recordUpToDate() {
 	status := s.node.Status()
 	if !status.Fresh {
 		return
 	}
 	at := s.options.Clock.Now() - time.Duration(status.FreshTicks)*s.options.TickInterval
 	s.mu.Lock()
-	s.freshAt = max(0, at)
+	s.upToDateAt = max(0, at)
 	s.mu.Unlock()
 }
--- a/control/server/log_clock.go
+++ b/control/server/log_clock.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// logClock gives the stamps of a leader's commands.
+// logClock produces the timestamps of a leader's commands, which form the log time.
 //
-// It counts on from the newest stamp of the log by the leader's own monotonic
-// clock. It never jumps to a clock of its own: the clocks of two leaders have
-// nothing in common, and a jump forward would end leases and claims early.
+// It continues from the newest timestamp in the log at the rate of the leader's
+// monotonic clock. It never adopts the reading of that clock: the clocks of two
+// leaders are unrelated, and a jump forward would expire leases and claims early.
 type logClock struct {
 	base   time.Duration
 	origin time.Duration
 }
 
-// restart counts on from newest; a new leader calls it when it is elected.
+// restart continues from the given timestamp. A replica calls it when it is elected
+// leader.
 func (c *logClock) restart(newest, now time.Duration) {
 	c.base, c.origin = newest, now
 }
 
-// observe moves the clock up to a stamp of an earlier leader that was applied
-// after the election.
+// observe advances the clock to the timestamp of an earlier leader's command that
+// was applied after the election.
 func (c *logClock) observe(newest, now time.Duration) {
 	if newest > c.at(now) {
 		c.restart(newest, now)
 	}
 }
 
+// at returns the log time at the given time of the monotonic clock.
 func (c *logClock) at(now time.Duration) time.Duration { return c.base + now - c.origin }
--- a/control/server/log_store.go
+++ b/control/server/log_store.go
@@ -10,15 +10,16 @@
 	"github.com/carawaystile/carawaystile/store"
 )
 
-// identityFile holds the identity of a replica whose log is not created yet.
-const identityFile = "replica"
+// replicaIDFile is the name of the file that holds the ID of a replica without a
+// log.
+const replicaIDFile = "replica"
 
-// FolderLogStore is the Disk in a data folder.
+// FolderLogStore is a LogStore in a data folder.
 type FolderLogStore struct {
 	Folder *store.Folder
 }
 
-// Open opens the log of the folder.
+// Open opens the log in the folder.
 func (d FolderLogStore) Open() (Log, error) {
 	log, err := d.Folder.OpenLog(store.Identity{})
 	var missing *store.NotInitialised
@@ -31,7 +32,7 @@
 	return folderLog{log}, nil
 }
 
-// Create creates and opens the log of the folder.
+// Create creates and opens the log in the folder.
 func (d FolderLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
 	if err := d.Folder.CreateLog(store.Identity{Group: group, Replica: replica}, saved); err != nil {
 		return nil, trace.Wrap(err)
@@ -39,28 +40,29 @@
 	return d.Open()
 }
 
-// NewReplicaID returns the identity noted in the folder, and notes a random one
-// there first if it has none.
+// NewReplicaID returns the replica ID that is stored in the folder. If there is
+// none, it generates a random one and stores it first.
 func (d FolderLogStore) NewReplicaID() (replog.ReplicaID, error) {
-	noted, err := d.Folder.ReadAtomic(identityFile)
-	if err == nil && len(noted) == 8 {
-		return replog.ReplicaID(binary.LittleEndian.Uint64(noted)), nil
+	encoded, err := d.Folder.ReadAtomic(replicaIDFile)
+	if err == nil && len(encoded) == 8 {
+		return replog.ReplicaID(binary.LittleEndian.Uint64(encoded)), nil
 	}
 	var missing *store.Missing
 	if err != nil && !errors.As(err, &missing) {
 		return replog.None, trace.Wrap(err)
 	}
-	minted, err := store.MintIdentity(0)
+	generated, err := store.MintIdentity(0)
 	if err != nil {
 		return replog.None, trace.Wrap(err)
 	}
-	note := binary.LittleEndian.AppendUint64(nil, uint64(minted.Replica))
-	return minted.Replica, trace.Wrap(d.Folder.WriteAtomic(identityFile, note))
+	contents := binary.LittleEndian.AppendUint64(nil, uint64(generated.Replica))
+	return generated.Replica, trace.Wrap(d.Folder.WriteAtomic(replicaIDFile, contents))
 }
 
+// folderLog adapts store.Log to Log.
 type folderLog struct{ *store.Log }
 
-// Identity returns the group and the replica of the log.
+// Identity returns the IDs of the group and the replica that own the log.
 func (l folderLog) Identity() (uint64, replog.ReplicaID) {
 	identity := l.Log.Identity()
 	return identity.Group, identity.Replica
--- a/control/server/messages.go
+++ b/control/server/messages.go
@@ -5,6 +5,7 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
+// encodeMessage converts a Raft message into its wire format.
 func encodeMessage(m replog.Message) *rpc.LogMessage {
 	out := &rpc.LogMessage{
 		Type:        uint32(m.Type),
@@ -40,7 +41,8 @@
 	return out
 }
 
-// decodeMessage fails with *replog.BadEncoding.
+// decodeMessage converts a Raft message from its wire format. It fails with
+// *replog.BadEncoding.
 func decodeMessage(in *rpc.LogMessage) (replog.Message, error) {
 	m := replog.Message{
 		Type:        replog.MessageType(in.GetType()),
--- a/control/server/nemesis_test.go
+++ b/control/server/nemesis_test.go
@@ -18,16 +18,16 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-var nemesisRounds = flag.Int("nemesis.rounds", 12, "faults in the test of a group under faults")
+var nemesisRounds = flag.Int("nemesis.rounds", 12, "number of faults that TestInvariantsUnderRandomFaults injects")
 
-// slowDisk takes its time to read the log.
-type slowDisk struct {
-	*memoryDisk
+// slowLogStore opens a log that blocks in Load until read is closed.
+type slowLogStore struct {
+	*memoryLogStore
 	read chan struct{}
 }
 
-func (d slowDisk) Open() (Log, error) {
-	log, err := d.memoryDisk.Open()
+func (d slowLogStore) Open() (Log, error) {
+	log, err := d.memoryLogStore.Open()
 	return slowLog{log, d.read}, err
 }
 
@@ -41,82 +41,84 @@
 	return l.Log.Load()
 }
 
-// A replica is still reading its disk when one whose disk was lost asks it for
-// the group. If it seemed to have no state, the other one would found a second
-// group beside the first, and an empty configuration would come in force.
-func TestStartingReplicaIsNotTakenForEmpty(t *testing.T) {
+// Guards against a second group. A replica that is still reading its log gets a
+// join request from one that has lost its disk. If it answered like a replica
+// without state, the other one would bootstrap a second group, and an empty
+// configuration would come into force.
+func TestStartingReplicaRejectsJoin(t *testing.T) {
 	g := newGroup(t, 1)
 	g.stop(0)
 	read := make(chan struct{})
 	server, err := Start(Options{
 		Self:     Instance{Name: "control-0", Address: address(0)},
 		Dialer:   dialer{g.network, address(0)},
-		LogStore: slowDisk{g.disks[0], read},
+		LogStore: slowLogStore{g.logStores[0], read},
 	})
 	assert.NilError(t, err)
 	defer server.Close()
-	_, err = server.Join(g.long(), &rpc.JoinRequest{})
+	_, err = server.Join(g.longContext(), &rpc.JoinRequest{})
 	assert.ErrorContains(t, err, string(NotJoined))
 	close(read)
-	assert.NilError(t, server.until(g.long(), func() bool { return server.view.formed }))
-	answer, err := server.Join(g.long(), &rpc.JoinRequest{})
+	assert.NilError(t, server.waitUntil(g.longContext(), func() bool { return server.view.joined }))
+	answer, err := server.Join(g.longContext(), &rpc.JoinRequest{})
 	assert.NilError(t, err)
 	assert.Assert(t, answer.GetFormed())
 }
 
-// history is what callers of a group saw.
+// history records what the clients of a group observe.
 type history struct {
 	mu sync.Mutex
-	// winners is the request that each revision was given to, accepted the
-	// revision that each request was answered with.
-	winners  map[uint64]string
-	accepted map[string]uint64
-	// runs counts dispatches by key.
-	runs map[string]int
-	// highest is the highest revision seen at each replica's disk.
-	highest map[*memoryDisk]tables.Revision
+	// requestByRevision is the request that was accepted as each revision,
+	// revisionByRequest the revision that each request was answered with.
+	requestByRevision map[uint64]string
+	revisionByRequest map[string]uint64
+	// dispatches counts the dispatches that were granted, by key.
+	dispatches map[string]int
+	// highestRevision is the highest revision observed at the replica on each disk.
+	highestRevision map[*memoryLogStore]tables.Revision
 }
 
-func (h *history) noteAccepted(t *testing.T, request string, number uint64) {
+func (h *history) recordAccepted(t *testing.T, request string, number uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	winner, taken := h.winners[number]
-	assert.Check(t, !taken || winner == request, "revision %d given to %s and %s", number, winner, request)
-	first, answered := h.accepted[request]
-	assert.Check(t, !answered || first == number, "request %s answered with %d and %d", request, first, number)
-	h.winners[number] = request
-	h.accepted[request] = number
+	winner, taken := h.requestByRevision[number]
+	assert.Check(t, !taken || winner == request, "revision %d was assigned to requests %s and %s", number, winner, request)
+	first, answered := h.revisionByRequest[request]
+	assert.Check(t, !answered || first == number, "request %s was answered with revisions %d and %d", request, first, number)
+	h.requestByRevision[number] = request
+	h.revisionByRequest[request] = number
 }
 
-// operate applies configurations through random instances, and resends each
-// request once it was answered.
-func (g *group) operate(ctx context.Context, h *history, name string, seed uint64) {
+// applyConfigurations applies configurations through random instances, and sends
+// each request a second time.
+func (g *group) applyConfigurations(ctx context.Context, h *history, name string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for n := 0; ctx.Err() == nil; n++ {
-		server := g.server(random.IntN(len(g.disks)))
+		server := g.runningServer(random.IntN(len(g.logStores)))
 		if server == nil {
 			continue
 		}
-		command := applyTo(g.t, server, name, fmt.Sprint(name, n))
+		command := newApplyCommand(g.t, server, name, fmt.Sprint(name, n))
 		for range 2 {
 			bounded, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 			result, err := server.Execute(bounded, command)
 			cancel()
 			if err == nil && result.GetAccepted() != nil {
-				h.noteAccepted(g.t, command.GetApply().GetRequest(), result.GetAccepted().GetRevision().GetNumber())
+				h.recordAccepted(g.t, command.GetApply().GetRequest(), result.GetAccepted().GetRevision().GetNumber())
 			}
-			if other := g.server(random.IntN(len(g.disks))); other != nil {
+			if other := g.runningServer(random.IntN(len(g.logStores))); other != nil {
 				server = other
 			}
 		}
 	}
 }
 
-// call claims keys through random instances, and counts what it may dispatch.
-func (g *group) call(ctx context.Context, h *history, owner string, seed uint64) {
+// claimKeys claims keys through random instances, and counts the dispatches that it
+// is granted.
+func (g *group) claimKeys(ctx context.Context, h *history, owner string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	for n := 0; ctx.Err() == nil; n++ {
-		server := g.server(random.IntN(len(g.disks)))
+		server := g.runningServer(random.IntN(len(g.logStores)))
 		if server == nil {
 			continue
 		}
@@ -131,7 +133,7 @@
 			marked, err := server.Execute(bounded, mark)
 			if err == nil && marked.GetDone() != nil {
 				h.mu.Lock()
-				h.runs[key]++
+				h.dispatches[key]++
 				h.mu.Unlock()
 			}
 		}
@@ -139,8 +141,9 @@
 	}
 }
 
-// applyTo declares a profile over what the server has in force.
-func applyTo(t *testing.T, server *Server, operator, request string) *rpc.Command {
+// newApplyCommand returns a command that adds a profile to the configuration in
+// force at the server.
+func newApplyCommand(t *testing.T, server *Server, operator, request string) *rpc.Command {
 	items := profileItems(t, request)
 	var command *rpc.Command
 	server.View(func(s *state.State) {
@@ -149,28 +152,28 @@
 	return command
 }
 
-// A group lives through cuts in both and in one direction, restarts and lost
-// disks while operators race and callers send the same keys. No revision may
-// have two winners, no replica may go back, no key may be dispatched twice, and
-// what was accepted must still be there in the end.
-func TestGroupUnderFaults(t *testing.T) {
+// Guards against violated invariants under two-way and one-way partitions, restarts
+// and lost disks, while operators race and clients claim the same keys. No revision
+// may be assigned to two requests, no replica may return to an older revision, no
+// key may be dispatched twice, and accepted revisions must still exist at the end.
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	g := newGroup(t, 5)
-	g.network.repeat()
+	g.network.duplicateMessages()
 	h := &history{
-		winners:  map[uint64]string{},
-		accepted: map[string]uint64{},
-		runs:     map[string]int{},
-		highest:  map[*memoryDisk]tables.Revision{},
+		requestByRevision: map[uint64]string{},
+		revisionByRequest: map[string]uint64{},
+		dispatches:        map[string]int{},
+		highestRevision:   map[*memoryLogStore]tables.Revision{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	for i := range 3 {
-		callers.Go(func() { g.operate(ctx, h, fmt.Sprint("operator", i), uint64(i)) })
-		callers.Go(func() { g.call(ctx, h, fmt.Sprint("owner", i), uint64(i)) })
+		callers.Go(func() { g.applyConfigurations(ctx, h, fmt.Sprint("operator", i), uint64(i)) })
+		callers.Go(func() { g.claimKeys(ctx, h, fmt.Sprint("owner", i), uint64(i)) })
 	}
 	random := rand.New(rand.NewPCG(7, 7))
 	for range *nemesisRounds {
-		g.fault(random, h)
+		g.injectFault(random, h)
 	}
 	cancel()
 	callers.Wait()
@@ -178,36 +181,36 @@
 	g.checkHistory(h)
 }
 
-// fault does one random damage, waits until the group has lived with it, and
-// heals it.
-func (g *group) fault(random *rand.Rand, h *history) {
-	i := random.IntN(len(g.disks))
+// injectFault injects one random fault, waits until the rest of the group has
+// committed something, and heals the fault.
+func (g *group) injectFault(random *rand.Rand, h *history) {
+	i := random.IntN(len(g.logStores))
 	switch random.IntN(4) {
 	case 0:
-		g.network.isolate(g, i, true)
-		g.others(i, i)
-		g.network.isolate(g, i, false)
+		g.network.setIsolated(g, i, true)
+		g.barrierElsewhere(i, i)
+		g.network.setIsolated(g, i, false)
 	case 1:
-		j := (i + 1 + random.IntN(len(g.disks)-1)) % len(g.disks)
-		g.network.oneWay(address(i), address(j), true)
-		g.others(i, j)
-		g.network.oneWay(address(i), address(j), false)
+		j := (i + 1 + random.IntN(len(g.logStores)-1)) % len(g.logStores)
+		g.network.setOneWayCut(address(i), address(j), true)
+		g.barrierElsewhere(i, j)
+		g.network.setOneWayCut(address(i), address(j), false)
 	case 2:
-		g.noteRevision(i, h)
-		g.replace(i, g.disks[i])
+		g.checkRevisionMonotonic(i, h)
+		g.replace(i, g.logStores[i])
 		g.barrier(i)
-		g.noteRevision(i, h)
+		g.checkRevisionMonotonic(i, h)
 	case 3:
-		g.replace(i, &memoryDisk{})
-		server := g.server(i)
-		assert.NilError(g.t, server.until(g.long(), func() bool { return server.view.voter }))
+		g.replace(i, &memoryLogStore{})
+		server := g.runningServer(i)
+		assert.NilError(g.t, server.waitUntil(g.longContext(), func() bool { return server.view.isVoter }))
 	}
 	g.barrier(i)
 }
 
-// others has the rest of the group decide something.
-func (g *group) others(i, j int) {
-	for k := range g.disks {
+// barrierElsewhere has the rest of the group commit an entry.
+func (g *group) barrierElsewhere(i, j int) {
+	for k := range g.logStores {
 		if k != i && k != j {
 			g.barrier(k)
 			return
@@ -215,29 +218,30 @@
 	}
 }
 
-// noteRevision checks that a replica with this disk has not gone back.
-func (g *group) noteRevision(i int, h *history) {
-	revision := g.server(i).Revision()
-	assert.Assert(g.t, revision >= h.highest[g.disks[i]])
-	h.highest[g.disks[i]] = revision
+// checkRevisionMonotonic checks that the replica on this disk has not returned to
+// an older revision.
+func (g *group) checkRevisionMonotonic(i int, h *history) {
+	revision := g.runningServer(i).Revision()
+	assert.Assert(g.t, revision >= h.highestRevision[g.logStores[i]])
+	h.highestRevision[g.logStores[i]] = revision
 }
 
 func (g *group) checkHistory(h *history) {
-	assert.Assert(g.t, len(h.winners) > 0)
-	assert.Assert(g.t, len(h.runs) > 0)
-	for key, runs := range h.runs {
-		assert.Assert(g.t, runs <= 1, "%s was dispatched %d times", key, runs)
+	assert.Assert(g.t, len(h.requestByRevision) > 0)
+	assert.Assert(g.t, len(h.dispatches) > 0)
+	for key, runs := range h.dispatches {
+		assert.Assert(g.t, runs <= 1, "key %s was dispatched %d times", key, runs)
 	}
 	g.servers[0].View(func(s *state.State) {
-		// The history is bounded; revisions before it can't be looked up.
-		maps.DeleteFunc(h.winners, func(number uint64, _ string) bool {
+		// The history is bounded; earlier revisions cannot be looked up.
+		maps.DeleteFunc(h.requestByRevision, func(number uint64, _ string) bool {
 			return number < s.History()[0].GetNumber()
 		})
 		for _, revision := range s.History() {
-			winner, answered := h.winners[revision.GetNumber()]
-			assert.Assert(g.t, !answered || winner == revision.GetRequest(), "revision %d", revision.GetNumber())
-			delete(h.winners, revision.GetNumber())
+			winner, answered := h.requestByRevision[revision.GetNumber()]
+			assert.Assert(g.t, !answered || winner == revision.GetRequest(), "revision %d belongs to another request than the accepted one", revision.GetNumber())
+			delete(h.requestByRevision, revision.GetNumber())
 		}
 	})
-	assert.Equal(g.t, len(h.winners), 0, "accepted revisions were lost")
+	assert.Equal(g.t, len(h.requestByRevision), 0, "accepted revisions were lost")
 }
--- a/control/server/network_test.go
+++ b/control/server/network_test.go
@@ -17,17 +17,17 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// network connects servers of one process by address. A pair can be cut in one
-// direction, and messages of the log can come twice.
+// network connects the servers of one process by address. Each direction between
+// two addresses can be cut, and Raft messages can be duplicated.
 type network struct {
-	mu      sync.Mutex
-	servers map[string]rpc.Control
-	cuts    map[[2]string]bool
-	twice   bool
+	mu         sync.Mutex
+	servers    map[string]rpc.Control
+	cuts       map[[2]string]bool
+	duplicates bool
 }
 
-// line is the way from one address to another.
-type line struct {
+// link is the connection from one address to another.
+type link struct {
 	network  *network
 	from, to string
 }
@@ -38,138 +38,139 @@
 }
 
 func (d dialer) Control(address string) rpc.Control {
-	return line{network: d.network, from: d.from, to: address}
+	return link{network: d.network, from: d.from, to: address}
 }
 
-func (l line) open() (rpc.Control, error) {
+func (l link) open() (rpc.Control, error) {
 	l.network.mu.Lock()
 	defer l.network.mu.Unlock()
 	server := l.network.servers[l.to]
 	if server == nil || l.network.cuts[[2]string{l.from, l.to}] {
-		return nil, twirp.NewError(twirp.Unavailable, "cut")
+		return nil, twirp.NewError(twirp.Unavailable, "the link is cut")
 	}
 	return server, nil
 }
 
-// call runs f, and loses its answer if the way back is cut by then.
-func call[T any](l line, f func(rpc.Control) (T, error)) (T, error) {
+// call runs f, and discards its answer if the reverse direction is cut by then.
+func call[T any](l link, f func(rpc.Control) (T, error)) (T, error) {
 	var none T
 	server, err := l.open()
 	if err != nil {
 		return none, err
 	}
 	answer, err := f(server)
-	if _, back := (line{l.network, l.to, l.from}).open(); back != nil {
-		return none, back
+	if _, errBack := (link{l.network, l.to, l.from}).open(); errBack != nil {
+		return none, errBack
 	}
 	return answer, err
 }
 
-func (l line) Execute(ctx context.Context, r *rpc.Command) (*rpc.Result, error) {
+func (l link) Execute(ctx context.Context, r *rpc.Command) (*rpc.Result, error) {
 	return call(l, func(c rpc.Control) (*rpc.Result, error) { return c.Execute(ctx, r) })
 }
 
-func (l line) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
+func (l link) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
 	return call(l, func(c rpc.Control) (*rpc.WatchAnswer, error) { return c.Watch(ctx, r) })
 }
 
-func (l line) Join(ctx context.Context, r *rpc.JoinRequest) (*rpc.JoinAnswer, error) {
+func (l link) Join(ctx context.Context, r *rpc.JoinRequest) (*rpc.JoinAnswer, error) {
 	return call(l, func(c rpc.Control) (*rpc.JoinAnswer, error) { return c.Join(ctx, r) })
 }
 
-func (l line) Deliver(ctx context.Context, r *rpc.DeliverRequest) (*rpc.DeliverAnswer, error) {
+func (l link) Deliver(ctx context.Context, r *rpc.DeliverRequest) (*rpc.DeliverAnswer, error) {
 	return call(l, func(c rpc.Control) (*rpc.DeliverAnswer, error) {
-		if l.network.repeats() {
+		if l.network.isDuplicating() {
 			_, _ = c.Deliver(ctx, r)
 		}
 		return c.Deliver(ctx, r)
 	})
 }
 
-// repeat lets messages of the log come twice from now on.
-func (n *network) repeat() {
+// duplicateMessages makes the network deliver every batch of Raft messages twice
+// from now on.
+func (n *network) duplicateMessages() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.twice = true
+	n.duplicates = true
 }
 
-func (n *network) repeats() bool {
+func (n *network) isDuplicating() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.twice
+	return n.duplicates
 }
 
-// cut stops messages between two addresses in both directions, or lets them
-// through again.
-func (n *network) cut(a, b string, cut bool) {
+// setCut cuts or restores both directions between two addresses.
+func (n *network) setCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]string{a, b}] = cut
 	n.cuts[[2]string{b, a}] = cut
 }
 
-// oneWay stops messages from a to b only.
-func (n *network) oneWay(a, b string, cut bool) {
+// setOneWayCut cuts or restores the direction from a to b.
+func (n *network) setOneWayCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]string{a, b}] = cut
 }
 
-func (n *network) isolate(g *group, i int, cut bool) {
-	for j := range g.disks {
+func (n *network) setIsolated(g *group, i int, cut bool) {
+	for j := range g.logStores {
 		if j != i {
-			n.cut(address(i), address(j), cut)
+			n.setCut(address(i), address(j), cut)
 		}
 	}
 }
 
-// memoryDisk outlives the servers that use it.
-type memoryDisk struct {
+// memoryLogStore is a LogStore in memory. It outlives the servers that use it.
+type memoryLogStore struct {
 	group   uint64
 	replica replog.ReplicaID
 	storage *replog.MemoryStorage
 }
 
-var lastReplica replog.ReplicaID
+var lastReplicaID replog.ReplicaID
 
-func (d *memoryDisk) NewReplicaID() (replog.ReplicaID, error) {
+func (d *memoryLogStore) NewReplicaID() (replog.ReplicaID, error) {
 	if d.replica == replog.None {
-		lastReplica++
-		d.replica = lastReplica
+		lastReplicaID++
+		d.replica = lastReplicaID
 	}
 	return d.replica, nil
 }
 
-func (d *memoryDisk) Open() (Log, error) {
+func (d *memoryLogStore) Open() (Log, error) {
 	if d.storage == nil {
 		return nil, nil
 	}
 	return memoryLog{d.storage, d}, nil
 }
 
-func (d *memoryDisk) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
+func (d *memoryLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
 	d.group, d.replica, d.storage = group, replica, replog.NewMemoryStorage(saved)
 	return memoryLog{d.storage, d}, nil
 }
 
 type memoryLog struct {
 	*replog.MemoryStorage
-	disk *memoryDisk
+	store *memoryLogStore
 }
 
-func (l memoryLog) Identity() (uint64, replog.ReplicaID) { return l.disk.group, l.disk.replica }
+func (l memoryLog) Identity() (uint64, replog.ReplicaID) { return l.store.group, l.store.replica }
 func (l memoryLog) Close() error                         { return nil }
 
 // group is the control instances of one test.
 type group struct {
-	t       *testing.T
-	network *network
-	disks   []*memoryDisk
-	servers []*Server
-	// snapshotBytes is given to servers that start from now on.
+	t         *testing.T
+	network   *network
+	logStores []*memoryLogStore
+	servers   []*Server
+	// snapshotBytes is the SnapshotBytes option of servers that start from now on.
 	snapshotBytes int
-	// change, if set, changes the options of servers that start from now on.
-	change func(i int, o *Options)
+	// adjustOptions, if set, modifies the options of servers that start from now
+	// on.
+	adjustOptions func(i int, o *Options)
 }
 
 func address(i int) string { return fmt.Sprint("control-", i) }
@@ -182,7 +183,7 @@
 		servers: make([]*Server, n),
 	}
 	for range n {
-		g.disks = append(g.disks, &memoryDisk{})
+		g.logStores = append(g.logStores, &memoryLogStore{})
 	}
 	for i := range n {
 		g.start(i)
@@ -200,18 +201,18 @@
 	options := Options{
 		Self:          Instance{Name: tables.InstanceID(address(i)), Address: address(i)},
 		Dialer:        dialer{g.network, address(i)},
-		LogStore:      g.disks[i],
+		LogStore:      g.logStores[i],
 		TickInterval:  4 * time.Millisecond,
 		ElectionTicks: 20,
 		SnapshotBytes: g.snapshotBytes,
 	}
-	for j := range g.disks {
+	for j := range g.logStores {
 		if j != i {
 			options.Peers = append(options.Peers, Instance{Name: tables.InstanceID(address(j)), Address: address(j)})
 		}
 	}
-	if g.change != nil {
-		g.change(i, &options)
+	if g.adjustOptions != nil {
+		g.adjustOptions(i, &options)
 	}
 	server, err := Start(options)
 	assert.NilError(g.t, err)
@@ -237,36 +238,37 @@
 	g.start(i)
 }
 
-// long bounds everything that has to happen in the end.
-func (g *group) long() context.Context {
+// longContext bounds operations that must succeed eventually.
+func (g *group) longContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	g.t.Cleanup(cancel)
 	return ctx
 }
 
-// short bounds what has to happen soon, so that a test that fails ends.
-func (g *group) short() context.Context {
+// shortContext bounds operations that must succeed soon, so that a failing test
+// ends early.
+func (g *group) shortContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	g.t.Cleanup(cancel)
 	return ctx
 }
 
 func (g *group) barrier(i int) {
-	assert.NilError(g.t, g.servers[i].Barrier(g.long()))
+	assert.NilError(g.t, g.servers[i].Barrier(g.longContext()))
 }
 
 func (g *group) leader() int {
 	for {
 		for i, server := range g.servers {
-			if server != nil && server.Status().IsLeader && server.Barrier(g.long()) == nil && server.Status().IsLeader {
+			if server != nil && server.Status().IsLeader && server.Barrier(g.longContext()) == nil && server.Status().IsLeader {
 				return i
 			}
 		}
-		g.barrier(g.running())
+		g.barrier(g.anyRunning())
 	}
 }
 
-func (g *group) running() int {
+func (g *group) anyRunning() int {
 	for i, server := range g.servers {
 		if server != nil {
 			return i
@@ -275,7 +277,8 @@
 	return -1
 }
 
-// execute runs a command at one instance; nil means that it was not decided.
+// execute executes a command through one instance. It returns nil if the command
+// was not acknowledged.
 func (g *group) execute(i int, ctx context.Context, command *rpc.Command) *rpc.Result {
 	result, err := g.servers[i].Execute(ctx, command)
 	if err != nil {
@@ -284,8 +287,8 @@
 	return result
 }
 
-// applyCommand declares one profile of the given name over what instance i has
-// in force.
+// applyCommand returns a command that adds one profile of the given name to the
+// configuration in force at instance i.
 func (g *group) applyCommand(i int, operator, request string, base uint64, profile string) *rpc.Command {
 	items := profileItems(g.t, profile)
 	var command *rpc.Command
@@ -315,27 +318,27 @@
 	}}}
 }
 
-// server returns the running server at i, nil if there is none. It may be called
-// while servers are replaced.
-func (g *group) server(i int) *Server {
+// runningServer returns the running server at i, nil if there is none. It may be
+// called while servers are replaced.
+func (g *group) runningServer(i int) *Server {
 	g.network.mu.Lock()
 	defer g.network.mu.Unlock()
 	server, _ := g.network.servers[address(i)].(*Server)
 	return server
 }
 
-// replace restarts instance i on a disk.
-func (g *group) replace(i int, disk *memoryDisk) {
+// replace restarts instance i on another disk.
+func (g *group) replace(i int, logStore *memoryLogStore) {
 	g.stop(i)
-	g.disks[i] = disk
+	g.logStores[i] = logStore
 	g.start(i)
 }
 
-// apply puts a configuration in force through instance i.
+// apply puts a configuration in force through instance i and returns its revision.
 func (g *group) apply(i int, request, profile string) uint64 {
 	g.barrier(i)
 	command := g.applyCommand(i, "ama", request, uint64(g.servers[i].Revision()), profile)
-	result := g.execute(i, g.long(), command)
+	result := g.execute(i, g.longContext(), command)
 	assert.Assert(g.t, result.GetAccepted() != nil, "%v", result)
 	return result.GetAccepted().GetRevision().GetNumber()
 }
--- a/control/server/options.go
+++ b/control/server/options.go
@@ -1,7 +1,8 @@
-// Package server runs one control instance: the replicated log of package
-// replog over a disk and the network, with the replicated state of package
-// state on top. Everything that decides is in those two; this package moves
-// messages, syncs files and wakes those who wait.
+// Package server runs one replica of the control group. It drives the Raft node of
+// package replog with a durable log and the network, and applies committed entries
+// to the replicated state machine of package state. All decisions are made in those
+// two packages; this package transfers messages, writes to disk, and notifies
+// callers.
 package server
 
 import (
@@ -15,45 +16,47 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Dialer gives the control interface of an instance by its address, which is an
-// IP number and port. The value may be used at once and from several
-// goroutines; calls on it fail while the instance cannot be reached.
+// Dialer returns a client of the control interface by address, which is an IP
+// address and port. The client can be used at once and from several goroutines;
+// calls on it fail while the instance is unreachable.
 type Dialer interface {
 	Control(address string) rpc.Control
 }
 
-// LogStore holds the replica's log.
+// LogStore is the durable storage of the replica's log.
 type LogStore interface {
-	// Open returns the log, or nil and no error if none was created yet. Damage
-	// is an error: going on without what was acknowledged could lose it for the
-	// whole group.
+	// Open returns the log, or nil and no error if none has been created yet. It
+	// fails on a corrupt log: continuing without acknowledged entries could lose
+	// them for the whole group.
 	Open() (Log, error)
-	// Create makes the log of a replica that was never used before, and returns
+	// Create creates the log of a replica that was never used before, and returns
 	// once it is durable.
 	Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error)
-	// NewReplicaID returns an identity for a replica whose log is not created
-	// yet; the same one until then where it can be kept.
+	// NewReplicaID returns an ID for a replica that has no log yet. It returns the
+	// same ID until the log is created, if the store can keep it.
 	NewReplicaID() (replog.ReplicaID, error)
 }
 
-// Log is an open log of one replica.
+// Log is the open log of one replica.
 type Log interface {
 	replog.Storage
+	// Identity returns the IDs of the group and of the replica that own the log.
 	Identity() (group uint64, replica replog.ReplicaID)
+	// Close releases the log.
 	Close() error
 }
 
-// Clock gives the times of one process.
+// Clock provides the times of one process.
 type Clock struct {
-	// Now is a monotonic clock; Wall is only shown to people.
+	// Now is a monotonic clock. Wall is only for display.
 	Now  func() time.Duration
 	Wall func() time.Time
-	// Ticks drives elections and heartbeats; nil lets the server make its own
-	// ticker of TickInterval.
+	// Ticks drives elections and heartbeats. If it is nil, the server runs its own
+	// ticker with TickInterval.
 	Ticks <-chan time.Time
 }
 
-// SystemClock returns the clock of this process.
+// SystemClock returns a Clock that is based on the system's clock.
 func SystemClock() Clock {
 	start := time.Now()
 	return Clock{
@@ -62,44 +65,47 @@
 	}
 }
 
-// Instance is a control instance of the settings.
+// Instance is a control instance that the settings name.
 type Instance struct {
 	Name    tables.InstanceID
 	Address string
 }
 
-// Options sets a Server up. Self, Dialer and Disk are needed.
+// Options configures a Server. Self, Dialer and LogStore are required.
 type Options struct {
 	Self Instance
-	// Peers are the other control instances of the settings. They are asked
-	// when the group is formed or this replica has to join it.
+	// Peers are the other control instances that the settings name. The replica
+	// asks them to form the group or to join it.
 	Peers []Instance
-	// JoinOnly is set for an instance that must not found a group: its disk is
-	// empty though the deployment is not new, or others are to found it.
+	// JoinOnly prevents this instance from bootstrapping a group. It is set if the
+	// disk is empty although the deployment is not new, or if other instances are
+	// to bootstrap the group.
 	JoinOnly bool
-	// AcceptUnknownPeers lets instances join that the settings do not name. Voters is then how
-	// many replicas vote; further ones stand by as learners and take the place
-	// of a voter that is gone. Zero means that all vote.
+	// AcceptUnknownPeers lets instances join that the settings do not name.
+	// MaxVoters then bounds the number of voters: further replicas stay learners on
+	// standby and replace voters that are lost. With MaxVoters zero, all replicas
+	// vote.
 	AcceptUnknownPeers bool
 	MaxVoters          int
-	// VoterTimeout is how long a voter must be silent before a learner takes its
-	// place. Default 8 s: longer than a restart or a short partition takes,
-	// because a voter that is only away comes back with its log.
+	// VoterTimeout is how long a voter must be silent before a learner replaces it.
+	// The default is 8 s, which exceeds the duration of a restart or a short
+	// partition: a voter that is only unreachable returns with its log.
 	VoterTimeout time.Duration
 	Dialer       Dialer
 	LogStore     LogStore
 	Clock        Clock
 	Log          *zap.Logger
-	// ObserveCommand is told how long each command took that this replica was asked
-	// for, from when it came until it was decided or given up; nil for nobody.
+	// ObserveCommand is called with the latency of each command that a client sent
+	// to this replica, from its arrival until it was committed or given up. It may
+	// be nil.
 	ObserveCommand func(command string, decided bool, took time.Duration)
-	// Limits of the replicated state, equal at all replicas.
+	// Limits of the replicated state. They must be equal at all replicas.
 	Limits state.Limits
-	// SnapshotBytes is how many bytes of entries are applied between two
-	// snapshots. Default 16 MiB.
+	// SnapshotBytes is the size in bytes of the entries that are applied between
+	// two snapshots. The default is 16 MiB.
 	SnapshotBytes int
-	// TickInterval is the time between two ticks. Default 50 ms. A leader that
-	// is lost is replaced after ElectionTicks to twice as many.
+	// TickInterval is the time between two ticks, 50 ms by default. A lost leader
+	// is replaced after ElectionTicks to twice as many ticks; the default is 16.
 	TickInterval  time.Duration
 	ElectionTicks int
 }
@@ -109,39 +115,41 @@
 	defaultTickInterval   = 50 * time.Millisecond
 	defaultElectionTicks  = 16
 	defaultHeartbeatTicks = 4
-	// inboxLength bounds batches of messages that wait for the loop; more are
-	// dropped, as the network may.
-	inboxLength = 1024
-	// proposalBatch is how many proposals are appended before one write.
-	proposalBatch = 512
-	// peerQueue bounds messages that wait for one peer.
-	peerQueue = 4096
-	// maxLearned bounds the addresses learned from messages.
-	maxLearned = 64
-	// deliverTimeout bounds the delivery of one batch of messages, and
-	// snapshotTimeout that of a snapshot.
+	// maxInboxBatches bounds the message batches that are queued for the event
+	// loop. Further batches are dropped; Raft tolerates lost messages.
+	maxInboxBatches = 1024
+	// maxProposalBatch is the largest number of proposals that are appended before
+	// one write.
+	maxProposalBatch = 512
+	// maxQueuedMessages bounds the messages that are queued for one peer.
+	maxQueuedMessages = 4096
+	// maxLearnedAddresses bounds the addresses that are learned from messages.
+	maxLearnedAddresses = 64
+	// deliverTimeout bounds the delivery of one batch of messages, snapshotTimeout
+	// that of a snapshot.
 	deliverTimeout  = 2 * time.Second
 	snapshotTimeout = time.Minute
-	// executeTimeout bounds Execute where the caller set no deadline.
+	// executeTimeout bounds Execute if the caller set no deadline.
 	executeTimeout = 5 * time.Second
-	// forwardTimeout bounds one try to pass a command on.
+	// forwardTimeout bounds one attempt to forward a command.
 	forwardTimeout = time.Second
-	// maxHops is how often a command is passed on.
+	// maxHops bounds how often a command is forwarded.
 	maxHops = 2
-	// retryPause is the time between two tries of one command.
-	retryPause = 25 * time.Millisecond
-	// maxWatch bounds the wait of one Watch.
-	maxWatch = 30 * time.Second
-	// handOverTimeout bounds how long a leader that closes waits until another
-	// replica leads.
-	handOverTimeout = 500 * time.Millisecond
-	// joinTimeout bounds the answer of one instance that is asked to join, and
-	// formPause is the time between two rounds of asking before there is a group.
-	joinTimeout = 500 * time.Millisecond
-	formPause   = 100 * time.Millisecond
-	// fullPause is the time between two looks whether a full disk has room.
-	fullPause        = 500 * time.Millisecond
-	defaultGoneAfter = 8 * time.Second
+	// retryDelay is the time between two attempts to execute one command.
+	retryDelay = 25 * time.Millisecond
+	// maxWatchWait bounds the long poll of one Watch call.
+	maxWatchWait = 30 * time.Second
+	// leadershipTransferTimeout bounds how long Close waits for another replica to
+	// take over leadership.
+	leadershipTransferTimeout = 500 * time.Millisecond
+	// joinTimeout bounds one join request, and joinRetryDelay is the time between
+	// two rounds of requests before this replica belongs to a group.
+	joinTimeout    = 500 * time.Millisecond
+	joinRetryDelay = 100 * time.Millisecond
+	// diskFullRetryDelay is the time between two attempts to reopen the log while
+	// the disk is full.
+	diskFullRetryDelay  = 500 * time.Millisecond
+	defaultVoterTimeout = 8 * time.Second
 )
 
 func (o *Options) setDefaults() {
@@ -163,7 +171,7 @@
 		o.SnapshotBytes = defaultSnapshotBytes
 	}
 	if o.VoterTimeout == 0 {
-		o.VoterTimeout = defaultGoneAfter
+		o.VoterTimeout = defaultVoterTimeout
 	}
 	if o.TickInterval == 0 {
 		o.TickInterval = defaultTickInterval
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -16,107 +16,110 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Server is one control instance. It implements rpc.Control. Its methods may be
-// called from any goroutine.
+// Server is one replica of the control group. It implements rpc.Control. One
+// goroutine, the event loop, owns the Raft node; a second one writes to disk. The
+// methods may be called from any goroutine.
 type Server struct {
 	options Options
 	log     *zap.Logger
-	// replica is this disk's identity; fixed once Start has returned.
-	replica replog.ReplicaID
-	peers   *peers
+	// replicaID is fixed once Start has returned.
+	replicaID replog.ReplicaID
+	transport *transport
 
-	inbox     chan delivery
-	lost      chan replog.ReplicaID
-	proposals chan *proposal
-	joins     chan *rpc.Founder
-	// closing takes a channel to be closed once this replica does not lead.
-	closing chan chan<- struct{}
-	// disk is written by one goroutine; jobs are done in order.
-	jobs  chan job
-	saved chan replog.Ready
-	// encoded are snapshots to compact the log with.
-	encoded chan encodedSnapshot
+	inbox        chan inboundBatch
+	unreachable  chan replog.ReplicaID
+	proposals    chan *proposal
+	joinRequests chan *rpc.Founder
+	// transferRequests asks the event loop to transfer leadership. The channel in a
+	// request is closed once this replica does not lead.
+	transferRequests chan chan<- struct{}
+	// writeJobs are executed in order by one goroutine, which reports each on
+	// persisted.
+	writeJobs chan writeJob
+	persisted chan replog.Ready
+	// encodedSnapshots are ready to replace entries of the log.
+	encodedSnapshots chan encodedSnapshot
 
-	stop    context.CancelFunc
-	stopped chan struct{}
-	running sync.WaitGroup
+	stop       context.CancelFunc
+	stopped    chan struct{}
+	goroutines sync.WaitGroup
 
-	// mu guards what follows.
+	// mu guards the fields up to changed.
 	mu    sync.RWMutex
 	state *state.State
-	// applied is the index of the newest applied entry.
-	applied uint64
-	view    view
-	failure error
-	// freshAt is as of when, by the replica's clock, the state is known to have been
-	// the newest of the group; negative while it never was.
-	freshAt time.Duration
-	// changed is closed and replaced when applied, view or the revision moves.
+	// appliedIndex is the index of the newest applied entry.
+	appliedIndex uint64
+	view         groupView
+	err          error
+	// upToDateAt is the latest time, by the replica's clock, at which the state was
+	// known to be the newest of the group; negative if there is none.
+	upToDateAt time.Duration
+	// changed is closed and replaced when appliedIndex, view or revision changes.
 	changed chan struct{}
 
-	// What follows is used by the loop only.
-	node         *replog.Node
-	logClock     logClock
-	waiting      map[uint64]*proposal
-	appliedBytes int
-	compacting   bool
-	// snapshotSize is that of the newest snapshot. The next one is taken after as
-	// many bytes of entries at least, so that a large state is not written over
-	// and over for few changes.
-	snapshotSize int
-	joiners      map[replog.ReplicaID]*rpc.Founder
-	repairTicks  int
-	// broken ends the present run with its cause.
-	broken func(error)
-	// soft is the newest state of the node that was looked at.
-	soft replog.SoftState
-	// handedOver is closed once this replica does not lead, nil before Close.
-	handedOver chan<- struct{}
+	// The fields from here on are used by the event loop only.
+	node               *replog.Node
+	logClock           logClock
+	pendingProposals   map[uint64]*proposal
+	bytesSinceSnapshot int
+	compacting         bool
+	// lastSnapshotBytes is the size of the newest snapshot. The next one is taken
+	// after entries of at least the same size, so that a large state is not written
+	// again and again for few changes.
+	lastSnapshotBytes int
+	pendingJoins      map[replog.ReplicaID]*rpc.Founder
+	reconcileTicks    int
+	// abortRun ends runReplica with the given error.
+	abortRun func(error)
+	// softState is the last soft state of the node that was processed.
+	softState replog.SoftState
+	// transferDone is closed once this replica does not lead; nil before Close.
+	transferDone chan<- struct{}
 }
 
-// view is what other goroutines need to know of the replicated log.
-type view struct {
-	// hasLog is set as soon as this replica has a log or is about to make one,
-	// formed once it takes part in the group.
+// groupView is the state of the Raft group that is published to other goroutines.
+type groupView struct {
+	// hasLog is set once this replica has a log or is about to create one. joined
+	// is set while it takes part in the group.
 	hasLog        bool
-	formed        bool
-	leads         bool
-	leader        replog.ReplicaID
+	joined        bool
+	isLeader      bool
+	leaderID      replog.ReplicaID
 	leaderAddress string
-	// current is set while the state is the newest of the group.
-	current  bool
-	group    uint64
-	founders []*rpc.Founder
-	voter    bool
-	members  replog.Members
+	// isCurrent is set while the state is known to be the newest of the group.
+	isCurrent bool
+	groupID   uint64
+	founders  []*rpc.Founder
+	isVoter   bool
+	members   replog.Members
 }
 
-// Start opens the disk and runs the replica. A replica without a log first
-// forms the group with the other control instances, or joins the one they have;
-// Start does not wait for that. It fails if the disk is damaged.
+// Start opens the log and runs the replica. A replica without a log first joins the
+// group of the other control instances or bootstraps one with them; Start does not
+// wait for that. It fails if the log is corrupt.
 func Start(options Options) (*Server, error) {
 	options.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{
-		options:   options,
-		log:       options.Log,
-		inbox:     make(chan delivery, inboxLength),
-		lost:      make(chan replog.ReplicaID, inboxLength),
-		proposals: make(chan *proposal, proposalBatch),
-		joins:     make(chan *rpc.Founder, len(options.Peers)+1),
-		closing:   make(chan chan<- struct{}, 1),
-		jobs:      make(chan job, 2),
-		saved:     make(chan replog.Ready, 1),
-		encoded:   make(chan encodedSnapshot, 1),
-		stop:      cancel,
-		stopped:   make(chan struct{}),
-		state:     state.New(options.Limits),
-		changed:   make(chan struct{}),
-		freshAt:   neverFresh,
-		waiting:   map[uint64]*proposal{},
-		joiners:   map[replog.ReplicaID]*rpc.Founder{},
+		options:          options,
+		log:              options.Log,
+		inbox:            make(chan inboundBatch, maxInboxBatches),
+		unreachable:      make(chan replog.ReplicaID, maxInboxBatches),
+		proposals:        make(chan *proposal, maxProposalBatch),
+		joinRequests:     make(chan *rpc.Founder, len(options.Peers)+1),
+		transferRequests: make(chan chan<- struct{}, 1),
+		writeJobs:        make(chan writeJob, 2),
+		persisted:        make(chan replog.Ready, 1),
+		encodedSnapshots: make(chan encodedSnapshot, 1),
+		stop:             cancel,
+		stopped:          make(chan struct{}),
+		state:            state.New(options.Limits),
+		changed:          make(chan struct{}),
+		upToDateAt:       neverUpToDate,
+		pendingProposals: map[uint64]*proposal{},
+		pendingJoins:     map[replog.ReplicaID]*rpc.Founder{},
 	}
-	s.peers = newPeers(ctx, options, s.lost, &s.running)
+	s.transport = newTransport(ctx, options, s.unreachable, &s.goroutines)
 	log, err := options.LogStore.Open()
 	if err != nil {
 		cancel()
@@ -124,64 +127,65 @@
 	}
 	if log != nil {
 		s.view.hasLog = true
-		_, s.replica = log.Identity()
-	} else if s.replica, err = options.LogStore.NewReplicaID(); err != nil {
+		_, s.replicaID = log.Identity()
+	} else if s.replicaID, err = options.LogStore.NewReplicaID(); err != nil {
 		cancel()
 		return nil, trace.Wrap(err)
 	}
-	s.running.Go(func() {
+	s.goroutines.Go(func() {
 		defer close(s.stopped)
 		s.run(ctx, log)
 	})
 	return s, nil
 }
 
-// Close hands leadership over if this replica leads, stops it and closes its
-// log. Without the hand-over the group would decide nothing until it noticed
-// that its leader is gone, at each planned restart.
+// Close transfers leadership if this replica leads, stops the replica and closes
+// its log. Without the transfer, the group could commit nothing after each
+// planned restart of its leader until an election timeout has elapsed.
 func (s *Server) Close() {
-	timer := time.NewTimer(handOverTimeout)
+	timer := time.NewTimer(leadershipTransferTimeout)
 	defer timer.Stop()
 	if s.Status().IsLeader {
-		handedOver := make(chan struct{})
+		transferred := make(chan struct{})
 		select {
-		case s.closing <- handedOver:
+		case s.transferRequests <- transferred:
 		case <-s.stopped:
 		}
 		select {
-		case <-handedOver:
+		case <-transferred:
 		case <-s.stopped:
 		case <-timer.C:
 		}
 	}
 	s.stop()
-	s.running.Wait()
+	s.goroutines.Wait()
 }
 
-// Stopped is closed when the replica has stopped, by Close or by a failure.
+// Stopped returns a channel that is closed when the replica has stopped, by Close
+// or by a failure.
 func (s *Server) Stopped() <-chan struct{} { return s.stopped }
 
-// Err returns why the replica stopped by itself, nil if it did not.
+// Err returns the failure that stopped the replica, nil if there was none.
 func (s *Server) Err() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.failure
+	return s.err
 }
 
 func (s *Server) fail(err error) {
 	s.mu.Lock()
-	s.failure = err
+	s.err = err
 	s.mu.Unlock()
 	events.ControlFailed.Log(s.log, zap.Error(err))
 	s.stop()
 }
 
-// run forms or joins the group where needed and then runs the loop, anew after
-// each time that the disk was full.
+// run joins or bootstraps the group if there is no log, and then runs the replica.
+// It restarts the replica each time that a full disk has stopped it.
 func (s *Server) run(ctx context.Context, log Log) {
 	if log == nil {
 		var err error
-		if log, err = s.form(ctx); err != nil {
+		if log, err = s.joinOrBootstrap(ctx); err != nil {
 			if ctx.Err() == nil {
 				s.fail(err)
 			}
@@ -189,7 +193,7 @@
 		}
 	}
 	for {
-		err := s.serve(ctx, log)
+		err := s.runReplica(ctx, log)
 		if ctx.Err() != nil {
 			return
 		}
@@ -197,51 +201,52 @@
 			s.fail(err)
 			return
 		}
-		if log = s.reopen(ctx, err); log == nil {
+		if log = s.reopenAfterDiskFull(ctx, err); log == nil {
 			return
 		}
 	}
 }
 
-// serve takes part in the group until the context ends or something fails.
-func (s *Server) serve(ctx context.Context, log Log) error {
+// runReplica takes part in the group until the context ends or a failure occurs,
+// and returns the cause.
+func (s *Server) runReplica(ctx context.Context, log Log) error {
 	defer func() { _ = log.Close() }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	s.broken = func(err error) { cancel(err) }
-	if err := s.open(log); err != nil {
+	s.abortRun = func(err error) { cancel(err) }
+	if err := s.restoreFromLog(log); err != nil {
 		return err
 	}
 	writer := sync.WaitGroup{}
-	writer.Go(func() { s.write(ctx, log) })
-	s.loop(ctx)
+	writer.Go(func() { s.writeLoop(ctx, log) })
+	s.eventLoop(ctx)
 	cancel(nil)
 	writer.Wait()
 	return context.Cause(ctx)
 }
 
-// reopen waits until the log can be read again after a write found the disk
-// full, and returns nil when the server is closed.
+// reopenAfterDiskFull waits until the log can be opened again after a write has
+// failed because the disk is full. It returns nil if the server is closed.
 //
-// What could not be written was never acknowledged, so the replica goes on from
-// what it has, like after a restart. Were it to end instead, its process would
-// be started again and again until there is room, and the instance would serve
-// no operator meanwhile.
-func (s *Server) reopen(ctx context.Context, cause error) Log {
+// Entries that could not be written were never acknowledged, so the replica
+// continues from what is on disk, as after a restart. If the process exited
+// instead, its supervisor would restart it again and again until there is space,
+// and operators could not reach the instance in the meantime.
+func (s *Server) reopenAfterDiskFull(ctx context.Context, cause error) Log {
 	events.ControlDiskFull.Log(s.log, zap.Error(cause))
 	s.mu.Lock()
-	s.view.formed, s.view.leads, s.view.leader, s.view.leaderAddress = false, false, replog.None, ""
-	s.view.current = false
-	s.wake()
+	s.view.joined, s.view.isLeader, s.view.leaderID, s.view.leaderAddress = false, false, replog.None, ""
+	s.view.isCurrent = false
+	s.notifyChanged()
 	s.mu.Unlock()
 	for {
-		s.pause(ctx, fullPause)
+		s.sleep(ctx, diskFullRetryDelay)
 		if ctx.Err() != nil {
 			return nil
 		}
 		log, err := s.options.LogStore.Open()
 		if err == nil && log != nil {
-			s.forgetLife()
+			s.resetReplica()
 			return log
 		}
 		if err != nil && !store.IsFull(err) {
@@ -251,20 +256,21 @@
 	}
 }
 
-// forgetLife clears what belonged to the replica's run before the disk was full.
-func (s *Server) forgetLife() {
+// resetReplica clears the state of the run that a full disk has ended.
+func (s *Server) resetReplica() {
 	s.mu.Lock()
 	s.state = state.New(s.options.Limits)
-	s.applied = 0
+	s.appliedIndex = 0
 	s.mu.Unlock()
-	s.appliedBytes, s.compacting = 0, false
-	s.jobs = make(chan job, cap(s.jobs))
-	s.saved = make(chan replog.Ready, cap(s.saved))
-	s.encoded = make(chan encodedSnapshot, cap(s.encoded))
+	s.bytesSinceSnapshot, s.compacting = 0, false
+	s.writeJobs = make(chan writeJob, cap(s.writeJobs))
+	s.persisted = make(chan replog.Ready, cap(s.persisted))
+	s.encodedSnapshots = make(chan encodedSnapshot, cap(s.encodedSnapshots))
 }
 
-// open restores the state from the log.
-func (s *Server) open(log Log) error {
+// restoreFromLog restores the state machine from the newest snapshot and creates
+// the Raft node, which applies the committed entries after it.
+func (s *Server) restoreFromLog(log Log) error {
 	group, replica := log.Identity()
 	saved, err := log.Load()
 	if err != nil {
@@ -277,8 +283,8 @@
 			return trace.Wrap(err)
 		}
 	}
-	s.applied = saved.Snapshot.Index
-	s.snapshotSize = len(saved.Snapshot.Data)
+	s.appliedIndex = saved.Snapshot.Index
+	s.lastSnapshotBytes = len(saved.Snapshot.Data)
 	s.node, err = replog.NewNode(replog.Config{
 		ID:             replica,
 		Group:          group,
@@ -289,36 +295,36 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s.soft = replog.SoftState{}
-	s.freshAt = neverFresh
-	s.view.formed = true
-	s.view.group, s.view.founders = s.state.Group()
-	s.wake()
+	s.softState = replog.SoftState{}
+	s.upToDateAt = neverUpToDate
+	s.view.joined = true
+	s.view.groupID, s.view.founders = s.state.Group()
+	s.notifyChanged()
 	return nil
 }
 
-// wake lets those who wait for a change look again. The caller holds mu.
-func (s *Server) wake() {
+// notifyChanged wakes goroutines that wait for a change. The caller holds mu.
+func (s *Server) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Revision returns the revision in force at this replica.
+// Revision returns the configuration revision in force at this replica.
 func (s *Server) Revision() tables.Revision {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Revision()
 }
 
-// View calls f with the replicated state, which f must not change or keep.
+// View calls f with the replicated state. f must not modify or retain it.
 func (s *Server) View(f func(*state.State)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	f(s.state)
 }
 
-// Changed returns a channel that is closed when the state, or what this replica
-// knows of its group, has changed.
+// Changed returns a channel that is closed when the replicated state or this
+// replica's view of its group changes.
 func (s *Server) Changed() <-chan struct{} {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -332,14 +338,14 @@
 	LeaderAddress string
 	IsVoter       bool
 	AppliedIndex  uint64
-	// IsCurrent is set while the state was the newest that the group had decided
-	// within the last ElectionTicks: others may rely on it. A replica that knows a
-	// leader may still lag.
+	// IsCurrent is set while this replica's state was the newest that the group had
+	// committed within the last ElectionTicks, so that clients may rely on it.
+	// Knowing a leader does not imply this: such a replica may still lag.
 	IsCurrent bool
-	// Lag is how long ago the state is known to have been the newest; negative if
-	// it never was in this life.
+	// Lag is how long ago the state was last known to be the newest of the group;
+	// negative if it never was since the replica started.
 	Lag time.Duration
-	// ClaimCount is the number of claims kept.
+	// ClaimCount is the number of retained claims.
 	ClaimCount int
 	Members    replog.Members
 }
@@ -349,20 +355,20 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return Status{
-		Joined:        s.view.formed,
-		IsLeader:      s.view.leads,
+		Joined:        s.view.joined,
+		IsLeader:      s.view.isLeader,
 		LeaderAddress: s.view.leaderAddress,
-		IsVoter:       s.view.voter,
-		AppliedIndex:  s.applied,
-		IsCurrent:     s.view.current,
+		IsVoter:       s.view.isVoter,
+		AppliedIndex:  s.appliedIndex,
+		IsCurrent:     s.view.isCurrent,
 		Lag:           s.lag(),
 		ClaimCount:    s.state.ClaimCount(),
 		Members:       s.view.members,
 	}
 }
 
-// until waits until ok, which is called with mu held for reading, is true.
-func (s *Server) until(ctx context.Context, ok func() bool) error {
+// waitUntil waits until ok returns true. ok is called with mu held for reading.
+func (s *Server) waitUntil(ctx context.Context, ok func() bool) error {
 	for {
 		s.mu.RLock()
 		changed, reached := s.changed, ok()
@@ -380,8 +386,8 @@
 	}
 }
 
-// pause waits for a while or for the end of the context.
-func (s *Server) pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration, or until the context ends or the replica stops.
+func (s *Server) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- /dev/null
+++ b/control/server/transport.go
@@ -0,0 +1,142 @@
+package server
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/carawaystile/carawaystile/replog"
+	"github.com/carawaystile/carawaystile/rpc"
+)
+
+// transport sends Raft messages to the other replicas. Each replica has queues of
+// its own, so that an unreachable replica delays no other.
+type transport struct {
+	ctx    context.Context
+	dialer Dialer
+	// self is the address of this replica, to which the others reply.
+	self string
+	// learnedAddresses holds the addresses of replicas that are not known members.
+	learnedAddresses map[replog.ReplicaID]string
+	unreachable      chan<- replog.ReplicaID
+	goroutines       *sync.WaitGroup
+	senders          map[replog.ReplicaID]*sender
+}
+
+// sender holds the queues for one replica at one address. Snapshots have a queue of
+// their own, because their transfer would delay heartbeats for longer than an
+// election timeout.
+type sender struct {
+	address   string
+	stop      context.CancelFunc
+	messages  chan *rpc.LogMessage
+	snapshots chan *rpc.LogMessage
+}
+
+func newTransport(ctx context.Context, options Options, unreachable chan<- replog.ReplicaID, goroutines *sync.WaitGroup) *transport {
+	return &transport{
+		ctx:              ctx,
+		dialer:           options.Dialer,
+		self:             options.Self.Address,
+		learnedAddresses: map[replog.ReplicaID]string{},
+		unreachable:      unreachable,
+		goroutines:       goroutines,
+		senders:          map[replog.ReplicaID]*sender{},
+	}
+}
+
+// send queues messages. It is called by the event loop only.
+func (p *transport) send(members replog.Members, messages []replog.Message) {
+	for _, m := range messages {
+		to := p.senderFor(members, m.To)
+		if to == nil {
+			continue
+		}
+		queue := to.messages
+		if m.Snapshot != nil {
+			queue = to.snapshots
+		}
+		select {
+		case queue <- encodeMessage(m):
+		default:
+			p.reportUnreachable(m.To)
+		}
+	}
+}
+
+// learnAddress records the address of the sender of a message. A replica that has
+// just joined knows no members yet and could not reply to the leader otherwise.
+func (p *transport) learnAddress(replica replog.ReplicaID, address string) {
+	if len(p.learnedAddresses) < maxLearnedAddresses || p.learnedAddresses[replica] != "" {
+		p.learnedAddresses[replica] = address
+	}
+}
+
+// senderFor returns the sender for a replica and starts it if there is none for its
+// current address. It returns nil if no address is known.
+func (p *transport) senderFor(members replog.Members, replica replog.ReplicaID) *sender {
+	member, found := members.Find(replica)
+	s := p.senders[replica]
+	if !found {
+		member.Address = p.learnedAddresses[replica]
+	}
+	if member.Address == "" || s != nil && s.address == member.Address {
+		return s
+	}
+	if s != nil {
+		s.stop()
+	}
+	ctx, cancel := context.WithCancel(p.ctx)
+	s = &sender{
+		address:   member.Address,
+		stop:      cancel,
+		messages:  make(chan *rpc.LogMessage, maxQueuedMessages),
+		snapshots: make(chan *rpc.LogMessage, 1),
+	}
+	p.senders[replica] = s
+	control := p.dialer.Control(member.Address)
+	p.goroutines.Go(func() { p.deliverLoop(ctx, replica, control, s.messages, deliverTimeout) })
+	p.goroutines.Go(func() { p.deliverLoop(ctx, replica, control, s.snapshots, snapshotTimeout) })
+	return s
+}
+
+// deliverLoop delivers queued messages, all that are queued in one call.
+func (p *transport) deliverLoop(ctx context.Context, replica replog.ReplicaID, to rpc.Control, queue <-chan *rpc.LogMessage, timeout time.Duration) {
+	for {
+		var batch []*rpc.LogMessage
+		select {
+		case m := <-queue:
+			batch = drainQueue(queue, m)
+		case <-ctx.Done():
+			return
+		}
+		deadline, cancel := context.WithTimeout(ctx, timeout)
+		_, err := to.Deliver(deadline, &rpc.DeliverRequest{Messages: batch, Address: p.self})
+		cancel()
+		if err != nil {
+			p.reportUnreachable(replica)
+		}
+	}
+}
+
+// drainQueue returns the first message and all that are queued after it.
+func drainQueue(queue <-chan *rpc.LogMessage, first *rpc.LogMessage) []*rpc.LogMessage {
+	batch := []*rpc.LogMessage{first}
+	for range cap(queue) {
+		select {
+		case m := <-queue:
+			batch = append(batch, m)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// reportUnreachable informs the event loop that a message to a replica was lost.
+func (p *transport) reportUnreachable(replica replog.ReplicaID) {
+	select {
+	case p.unreachable <- replica:
+	default:
+	}
+}
