--- a/control/deployment/client.go
+++ b/control/deployment/client.go
@@ -115,6 +115,8 @@
 	return 0
 }
 
+// follow sends one long poll to a source. After a change of source it requests all
+// endpoints, because the versions of two endpoint tables cannot be compared.
 func (c *Client) follow(ctx context.Context, source Source) (*rpc.FollowAnswer, error) {
 	bounded, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
@@ -146,6 +148,8 @@
 	events.SourceLost.Log(c.options.Log, append(why, zap.String("source", source.Name))...)
 }
 
+// logBehind logs that a source is behind its group, at most as often as logLost
+// does.
 func (c *Client) logBehind(ctx context.Context, source Source, answer *rpc.FollowAnswer) {
 	c.logLost(ctx, source, zap.Bool("behind", true), zap.Duration("lag", time.Duration(answer.GetLagNanos())))
 }
--- a/control/deployment/compression.go
+++ b/control/deployment/compression.go
@@ -40,14 +40,15 @@
 	cache map[string]compressedDocument
 }
 
+// compressedDocument is the compressed content of one version of a document.
 type compressedDocument struct {
 	number  uint64
 	content []byte
 }
 
 // addDocument adds a document to an answer, compressed if that is worthwhile.
-func (p *documentCompressor) addDocument(answer *rpc.FollowAnswer, document *rpc.Document) {
-	content := p.compressDocument(document)
+func (c *documentCompressor) addDocument(answer *rpc.FollowAnswer, document *rpc.Document) {
+	content := c.compressDocument(document)
 	if content == nil {
 		answer.Documents = append(answer.Documents, document)
 		return
@@ -61,23 +62,23 @@
 
 // compressDocument returns the compressed content, nil if the document is to be
 // sent uncompressed.
-func (p *documentCompressor) compressDocument(document *rpc.Document) []byte {
+func (c *documentCompressor) compressDocument(document *rpc.Document) []byte {
 	if len(document.GetContent()) < minCompressedBytes {
 		return nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if known, ok := p.cache[document.GetName()]; ok && known.number == document.GetNumber() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if known, ok := c.cache[document.GetName()]; ok && known.number == document.GetNumber() {
 		return known.content
 	}
 	content, err := gzipCompress(document.GetContent())
 	if err != nil {
 		return nil // writes to a buffer do not fail; if one did, the document would be sent uncompressed
 	}
-	if p.cache == nil {
-		p.cache = map[string]compressedDocument{}
+	if c.cache == nil {
+		c.cache = map[string]compressedDocument{}
 	}
-	p.cache[document.GetName()] = compressedDocument{number: document.GetNumber(), content: content}
+	c.cache[document.GetName()] = compressedDocument{number: document.GetNumber(), content: content}
 	return content
 }
 
