--- a/control/server/bootstrap.go
+++ b/control/server/bootstrap.go
@@ -97,6 +97,8 @@
 	return true
 }
 
+// peersAsFounders returns the peers as founders, with the replica IDs that they
+// answered.
 func (s *Server) peersAsFounders(answers []*rpc.JoinAnswer) []*rpc.Founder {
 	var founders []*rpc.Founder
 	for i, other := range s.options.Peers {
@@ -120,6 +122,7 @@
 	return log, trace.Wrap(err)
 }
 
+// bootstrapGroup creates the log of a new group under a random group ID.
 func (s *Server) bootstrapGroup(founders []*rpc.Founder) (Log, error) {
 	slices.SortFunc(founders, func(a, b *rpc.Founder) int {
 		return cmp.Compare(a.GetReplica(), b.GetReplica())
@@ -286,6 +289,7 @@
 	return replog.None, false
 }
 
+// proposeChange proposes a membership change and logs whether the node accepted it.
 func (s *Server) proposeChange(change replog.Change) {
 	fields := []zap.Field{
 		zap.Uint8("kind", uint8(change.Kind)),
--- a/control/server/event_loop.go
+++ b/control/server/event_loop.go
@@ -96,6 +96,7 @@
 	}
 }
 
+// finishTransfer signals to Close that the leadership transfer has ended or failed.
 func (s *Server) finishTransfer() {
 	if s.transferDone != nil {
 		close(s.transferDone)
@@ -121,6 +122,8 @@
 	}
 }
 
+// handleStepError stops the replica if the leader's log contradicts a committed
+// entry. After any other error only the message is dropped.
 func (s *Server) handleStepError(err error) {
 	if _, inconsistent := err.(*replog.Inconsistent); inconsistent {
 		s.abortRun(err)
@@ -142,6 +145,7 @@
 	}
 }
 
+// propose sets the timestamps of one command and appends it to the log.
 func (s *Server) propose(p *proposal) {
 	p.command.Stamp = int64(s.logClock.at(s.options.Clock.Now()))
 	p.command.Wall = s.options.Clock.Wall().UnixNano()
@@ -194,6 +198,8 @@
 	return true
 }
 
+// handleRoleChange starts the log clock of a new leader. A replica that does not
+// lead fails its pending proposals instead.
 func (s *Server) handleRoleChange(soft replog.SoftState) {
 	if soft.Role == replog.Leader {
 		s.mu.RLock()
@@ -278,6 +284,8 @@
 	p.outcome <- outcome{result: result}
 }
 
+// restoreSnapshot replaces the state by a snapshot from the leader. It returns
+// false if the replica must stop.
 func (s *Server) restoreSnapshot(snapshot replog.Snapshot) bool {
 	var err error
 	s.publishView(func() {
--- a/control/server/execute.go
+++ b/control/server/execute.go
@@ -43,6 +43,8 @@
 	return string(field.Name())
 }
 
+// execute attempts a command until it is committed or the context ends. A forwarded
+// command is attempted once, because its sender retries.
 func (s *Server) execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	for {
 		result, err := s.tryOnce(ctx, command)
@@ -107,6 +109,7 @@
 	return targets
 }
 
+// forward sends a command to another replica.
 func (s *Server) forward(ctx context.Context, address string, command *rpc.Command) (*rpc.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -172,6 +172,7 @@
 	return s.err
 }
 
+// fail stops the replica with an error that Err returns.
 func (s *Server) fail(err error) {
 	s.mu.Lock()
 	s.err = err
--- a/control/server/transport.go
+++ b/control/server/transport.go
@@ -46,9 +46,9 @@
 }
 
 // send queues messages. It is called by the event loop only.
-func (p *transport) send(members replog.Members, messages []replog.Message) {
+func (t *transport) send(members replog.Members, messages []replog.Message) {
 	for _, m := range messages {
-		to := p.senderFor(members, m.To)
+		to := t.senderFor(members, m.To)
 		if to == nil {
 			continue
 		}
@@ -59,26 +59,26 @@
 		select {
 		case queue <- encodeMessage(m):
 		default:
-			p.reportUnreachable(m.To)
+			t.reportUnreachable(m.To)
 		}
 	}
 }
 
 // learnAddress records the address of the sender of a message. A replica that has
 // just joined knows no members yet and could not reply to the leader otherwise.
-func (p *transport) learnAddress(replica replog.ReplicaID, address string) {
-	if len(p.learnedAddresses) < maxLearnedAddresses || p.learnedAddresses[replica] != "" {
-		p.learnedAddresses[replica] = address
+func (t *transport) learnAddress(replica replog.ReplicaID, address string) {
+	if len(t.learnedAddresses) < maxLearnedAddresses || t.learnedAddresses[replica] != "" {
+		t.learnedAddresses[replica] = address
 	}
 }
 
 // senderFor returns the sender for a replica and starts it if there is none for its
 // current address. It returns nil if no address is known.
-func (p *transport) senderFor(members replog.Members, replica replog.ReplicaID) *sender {
+func (t *transport) senderFor(members replog.Members, replica replog.ReplicaID) *sender {
 	member, found := members.Find(replica)
-	s := p.senders[replica]
+	s := t.senders[replica]
 	if !found {
-		member.Address = p.learnedAddresses[replica]
+		member.Address = t.learnedAddresses[replica]
 	}
 	if member.Address == "" || s != nil && s.address == member.Address {
 		return s
@@ -86,22 +86,22 @@
 	if s != nil {
 		s.stop()
 	}
-	ctx, cancel := context.WithCancel(p.ctx)
+	ctx, cancel := context.WithCancel(t.ctx)
 	s = &sender{
 		address:   member.Address,
 		stop:      cancel,
 		messages:  make(chan *rpc.LogMessage, maxQueuedMessages),
 		snapshots: make(chan *rpc.LogMessage, 1),
 	}
-	p.senders[replica] = s
-	control := p.dialer.Control(member.Address)
-	p.goroutines.Go(func() { p.deliverLoop(ctx, replica, control, s.messages, deliverTimeout) })
-	p.goroutines.Go(func() { p.deliverLoop(ctx, replica, control, s.snapshots, snapshotTimeout) })
+	t.senders[replica] = s
+	control := t.dialer.Control(member.Address)
+	t.goroutines.Go(func() { t.deliverLoop(ctx, replica, control, s.messages, deliverTimeout) })
+	t.goroutines.Go(func() { t.deliverLoop(ctx, replica, control, s.snapshots, snapshotTimeout) })
 	return s
 }
 
 // deliverLoop delivers queued messages, all that are queued in one call.
-func (p *transport) deliverLoop(ctx context.Context, replica replog.ReplicaID, to rpc.Control, queue <-chan *rpc.LogMessage, timeout time.Duration) {
+func (t *transport) deliverLoop(ctx context.Context, replica replog.ReplicaID, to rpc.Control, queue <-chan *rpc.LogMessage, timeout time.Duration) {
 	for {
 		var batch []*rpc.LogMessage
 		select {
@@ -111,10 +111,10 @@
 			return
 		}
 		deadline, cancel := context.WithTimeout(ctx, timeout)
-		_, err := to.Deliver(deadline, &rpc.DeliverRequest{Messages: batch, Address: p.self})
+		_, err := to.Deliver(deadline, &rpc.DeliverRequest{Messages: batch, Address: t.self})
 		cancel()
 		if err != nil {
-			p.reportUnreachable(replica)
+			t.reportUnreachable(replica)
 		}
 	}
 }
@@ -134,9 +134,9 @@
 }
 
 // reportUnreachable informs the event loop that a message to a replica was lost.
-func (p *transport) reportUnreachable(replica replog.ReplicaID) {
+func (t *transport) reportUnreachable(replica replog.ReplicaID) {
 	select {
-	case p.unreachable <- replica:
+	case t.unreachable <- replica:
 	default:
 	}
 }
