--- a/control/deployment/source_selection.go
+++ b/control/deployment/source_selection.go
@@ -46,19 +46,19 @@
 }
 
 // markFailed records that a source is unresponsive or behind.
-func (s *sourceSelector) markFailed(source Source, now time.Duration) {
-	s.failedAt[source.Name] = now
-	if s.current == source.Name {
-		s.current = ""
+func (sel *sourceSelector) markFailed(source Source, now time.Duration) {
+	sel.failedAt[source.Name] = now
+	if sel.current == source.Name {
+		sel.current = ""
 	}
 }
 
 // preferenceOrder returns the sources in the order in which to try them: in the
 // given order, but those that failed within the failbackInterval last.
-func (s *sourceSelector) preferenceOrder(sources []Source, now time.Duration) []Source {
+func (sel *sourceSelector) preferenceOrder(sources []Source, now time.Duration) []Source {
 	var healthy, suspect []Source
 	for _, source := range sources {
-		if at, failed := s.failedAt[source.Name]; failed && now-at < failbackInterval {
+		if at, failed := sel.failedAt[source.Name]; failed && now-at < failbackInterval {
 			suspect = append(suspect, source)
 		} else {
 			healthy = append(healthy, source)
@@ -68,17 +68,17 @@
 }
 
 // prune deletes the state of sources that are no longer listed.
-func (s *sourceSelector) prune(sources []Source) {
+func (sel *sourceSelector) prune(sources []Source) {
 	listed := func(name string) bool {
 		return slices.ContainsFunc(sources, func(s Source) bool { return s.Name == name })
 	}
-	for name := range s.failedAt {
+	for name := range sel.failedAt {
 		if !listed(name) {
-			delete(s.failedAt, name)
+			delete(sel.failedAt, name)
 		}
 	}
-	if !listed(s.current) {
-		s.current = ""
+	if !listed(sel.current) {
+		sel.current = ""
 	}
 }
 
