--- a/control/orders/controller.go
+++ b/control/orders/controller.go
@@ -199,7 +199,7 @@
 	orderContext, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	_, err := r.options.Engines.Order(orderContext, address, order)
-	var old *engine.OldFence
+	var old *engine.StaleFencingTokenError
 	if errors.As(err, &old) {
 		events.OrderFenced.Log(r.options.Log, zap.String("endpoint", string(load.Endpoint)),
 			zap.Uint64("fence", uint64(fence)), zap.Uint64("seen", uint64(old.Seen)))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -214,7 +214,7 @@
 		d.entry.Close()
 	}
 	if d.client != nil {
-		d.client.CloseIdle()
+		d.client.CloseIdleConnections()
 	}
 	if d.folder != nil {
 		_ = d.folder.Close()
--- a/demo/added_test.go
+++ b/demo/added_test.go
@@ -66,7 +66,7 @@
 		var req engine.CancelRequest
 		_ = json.NewDecoder(r.Body).Decode(&req)
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(engine.CancelAnswer{Attempt: req.Attempt, Boot: "b"})
+		_ = json.NewEncoder(w).Encode(engine.CancelResponse{Attempt: req.Attempt, Boot: "b"})
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = io.WriteString(w, `{"boot":"b"}`)
@@ -83,19 +83,19 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	fmt.Fprintf(w, "event: accepted\ndata: {\"attempt\":%q,\"boot\":\"b\",\"weights\":\"w1\"}\n\n", req.Attempt)
 	var buffer []byte
-	for i := range req.MaxToken {
+	for i := range req.MaxTokens {
 		if i > 0 {
-			time.Sleep(gapOf(req.MaxToken))
+			time.Sleep(gapOf(req.MaxTokens))
 		}
 		if r.Context().Err() != nil {
 			return
 		}
 		stamp := strconv.FormatInt(time.Now().UnixNano(), 10)
-		buffer = engine.AppendToken(buffer[:0], engine.Token{Attempt: req.Attempt, Index: i, Text: stamp})
+		buffer = engine.AppendTokenEvent(buffer[:0], engine.Token{Attempt: req.Attempt, Index: i, Text: stamp})
 		_, _ = w.Write(buffer)
 		w.(http.Flusher).Flush()
 	}
-	fmt.Fprintf(w, "event: done\ndata: {\"attempt\":%q,\"tokens\":%d}\n\n", req.Attempt, req.MaxToken)
+	fmt.Fprintf(w, "event: done\ndata: {\"attempt\":%q,\"tokens\":%d}\n\n", req.Attempt, req.MaxTokens)
 }
 
 // rig is one instance before one stamping engine.
@@ -110,7 +110,7 @@
 
 func newRig(tb testing.TB) *rig {
 	tb.Helper()
-	r := &rig{direct: engine.NewHTTPClient(engine.Options{IdleConnections: 4096}), caller: newCaller()}
+	r := &rig{direct: engine.NewHTTPClient(engine.Options{MaxIdleConnsPerEndpoint: 4096}), caller: newCaller()}
 	server := httptest.NewServer(&r.engine)
 	tb.Cleanup(server.Close)
 	r.at = server.Listener.Addr().(*net.TCPAddr).AddrPort()
@@ -207,7 +207,7 @@
 	began := time.Now()
 	s, err := r.direct.Generate(ctx, r.at, engine.GenerateRequest{
 		Attempt: tables.AttemptID(fmt.Sprint("direct-", r.attempts.Add(1))),
-		Model:   "draft-12b", Prompt: benchPrompt, MaxToken: n,
+		Model:   "draft-12b", Prompt: benchPrompt, MaxTokens: n,
 	})
 	if err != nil {
 		return t, err
@@ -356,7 +356,7 @@
 	for r.engine.open.Load() > 0 {
 		time.Sleep(tokenGap)
 	}
-	r.direct.CloseIdle()
+	r.direct.CloseIdleConnections()
 	r.caller.client.CloseIdleConnections()
 	time.Sleep(tokenGap)
 }
--- a/demo/check_test.go
+++ b/demo/check_test.go
@@ -30,7 +30,7 @@
 func call(t *testing.T, f *fleet, attempt string, i *item) {
 	t.Helper()
 	_, err := engine.NewHTTPClient(engine.Options{}).Call(t.Context(), f.services[0].Address(), engine.CallRequest{
-		Attempt: tables.AttemptID(attempt), Path: engine.PathCall + i.call, Key: i.key, Body: []byte(i.body),
+		Attempt: tables.AttemptID(attempt), Path: engine.PathCall + i.call, IdempotencyKey: i.key, Body: []byte(i.body),
 	})
 	assert.NilError(t, err)
 }
--- a/engine/call.go
+++ b/engine/call.go
@@ -18,60 +18,60 @@
 // Call runs an attempt at a plain service and returns its whole answer. Its
 // failures are *NotStarted, *Interrupted and *Mismatch; after the latter two
 // the work may have run.
-func (c *HTTPClient) Call(ctx context.Context, at netip.AddrPort, req CallRequest) (CallAnswer, error) {
+func (c *HTTPClient) Call(ctx context.Context, at netip.AddrPort, req CallRequest) (CallResponse, error) {
 	body := newOnceBody(req.Body)
 	method := req.Method
 	if method == "" {
 		method = http.MethodPost
 	}
 	call := newRequest(ctx, method, endpointURL(at, req.Path), body)
-	call.Header.Set(headerType, req.Type)
+	call.Header.Set(headerType, req.ContentType)
 	call.Header.Set(HeaderAttempt, string(req.Attempt))
-	if req.Key != "" {
-		call.Header.Set(HeaderKey, req.Key)
+	if req.IdempotencyKey != "" {
+		call.Header.Set(HeaderIdempotencyKey, req.IdempotencyKey)
 	}
 	resp, err := c.single.RoundTrip(call)
 	if err != nil {
-		return CallAnswer{}, startFailure(req.Attempt, body, causeOf(ctx, err))
+		return CallResponse{}, startFailure(req.Attempt, body, causeOf(ctx, err))
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return c.readAnswer(req, resp)
 }
 
-func (c *HTTPClient) readAnswer(req CallRequest, resp *http.Response) (CallAnswer, error) {
+func (c *HTTPClient) readAnswer(req CallRequest, resp *http.Response) (CallResponse, error) {
 	boot := resp.Header.Get(HeaderBoot)
 	switch echoed := resp.Header.Get(HeaderAttempt); {
 	case echoed == "" || boot == "":
-		return CallAnswer{}, c.declined(req.Attempt, resp)
+		return CallResponse{}, c.declined(req.Attempt, resp)
 	case echoed != string(req.Attempt):
-		return CallAnswer{}, c.mismatch(req.Attempt, "attempt", string(req.Attempt), echoed)
+		return CallResponse{}, c.mismatch(req.Attempt, "attempt", string(req.Attempt), echoed)
 	}
 	if isDeclining(resp.StatusCode) {
 		content, err := readBounded(resp.Body, maxErrorBody, "answer")
 		if err != nil {
-			return CallAnswer{}, &Interrupted{Attempt: req.Attempt, Cause: err}
+			return CallResponse{}, &InterruptedError{Attempt: req.Attempt, Cause: err}
 		}
 		resp.Body = io.NopCloser(bytes.NewReader(content))
 		failure := c.declined(req.Attempt, resp)
-		if _, notStarted := failure.(*NotStarted); notStarted {
-			return CallAnswer{}, failure
+		if _, notStarted := failure.(*NotStartedError); notStarted {
+			return CallResponse{}, failure
 		}
 		return newAnswer(req, resp, content), nil
 	}
-	content, err := readBounded(resp.Body, c.options.AnswerBytes, "answer")
+	content, err := readBounded(resp.Body, c.options.MaxResponseBytes, "answer")
 	if err != nil {
-		return CallAnswer{}, &Interrupted{Attempt: req.Attempt, Cause: err}
+		return CallResponse{}, &InterruptedError{Attempt: req.Attempt, Cause: err}
 	}
 	return newAnswer(req, resp, content), nil
 }
 
-func newAnswer(req CallRequest, resp *http.Response, content []byte) CallAnswer {
-	return CallAnswer{
-		Attempt: req.Attempt,
-		Boot:    tables.BootID(resp.Header.Get(HeaderBoot)),
-		Status:  resp.StatusCode,
-		Type:    resp.Header.Get(headerType),
-		Body:    content,
+func newAnswer(req CallRequest, resp *http.Response, content []byte) CallResponse {
+	return CallResponse{
+		Attempt:     req.Attempt,
+		Boot:        tables.BootID(resp.Header.Get(HeaderBoot)),
+		Status:      resp.StatusCode,
+		ContentType: resp.Header.Get(headerType),
+		Body:        content,
 	}
 }
 
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	if int64(len(content)) > limit {
-		return nil, &TooLong{What: what, Limit: limit}
+		return nil, &TooLargeError{What: what, Limit: limit}
 	}
 	return content, nil
 }
@@ -98,13 +98,13 @@
 // Cancel ends an attempt at an endpoint. Without the endpoint's confirmation
 // it returns *CancelUnconfirmed.
 func (c *HTTPClient) Cancel(ctx context.Context, at netip.AddrPort, attempt tables.AttemptID) error {
-	var answer CancelAnswer
+	var answer CancelResponse
 	err := c.exchange(ctx, c.options.CancelTimeout, at, PathCancel, CancelRequest{Attempt: attempt}, &answer)
 	if err != nil {
-		return &CancelUnconfirmed{Attempt: attempt, Cause: err}
+		return &CancelUnconfirmedError{Attempt: attempt, Cause: err}
 	}
 	if answer.Attempt != attempt {
-		return &CancelUnconfirmed{
+		return &CancelUnconfirmedError{
 			Attempt: attempt,
 			Cause:   c.mismatch(attempt, "attempt", string(attempt), string(answer.Attempt)),
 		}
@@ -116,7 +116,7 @@
 func (c *HTTPClient) exchange(ctx context.Context, timeout time.Duration, at netip.AddrPort, path string, ask, answer any) error {
 	content, err := json.Marshal(ask)
 	if err != nil {
-		return &Garbled{What: "question", Cause: err}
+		return &ProtocolError{What: "question", Cause: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -138,17 +138,17 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	content, err := readBounded(resp.Body, c.options.AnswerBytes, "answer")
+	content, err := readBounded(resp.Body, c.options.MaxResponseBytes, "answer")
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK || !isType(resp.Header, typeJSON) {
-		unexpected := &UnexpectedStatus{Status: resp.StatusCode, Type: resp.Header.Get(headerType)}
+		unexpected := &UnexpectedStatusError{Status: resp.StatusCode, ContentType: resp.Header.Get(headerType)}
 		_ = json.Unmarshal(content, &unexpected.refusal)
 		return unexpected
 	}
 	if err := decodeAnswer(content, answer); err != nil {
-		return &Garbled{What: "answer", Cause: err}
+		return &ProtocolError{What: "answer", Cause: err}
 	}
 	return nil
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -19,23 +19,23 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// ConnectTimeout bounds the opening of a connection.
 	ConnectTimeout time.Duration
-	// AcceptTimeout bounds the time from a request to the endpoint's first
+	// ResponseTimeout bounds the time from a request to the endpoint's first
 	// word on it.
-	AcceptTimeout time.Duration
-	// SilenceTimeout bounds the time between two lines of a stream, heartbeats
+	ResponseTimeout time.Duration
+	// ReadIdleTimeout bounds the time between two lines of a stream, heartbeats
 	// included. It must be a few times HeartbeatInterval.
-	SilenceTimeout time.Duration
+	ReadIdleTimeout time.Duration
 	// CancelTimeout bounds the confirmation of a cancel.
 	CancelTimeout time.Duration
-	// IdleTimeout closes pooled connections. It must be shorter than the
+	// IdleConnTimeout closes pooled connections. It must be shorter than the
 	// endpoints' own, so that they rarely close one that is about to be used.
-	IdleTimeout time.Duration
-	// IdleConnections bounds the pooled connections per endpoint.
-	IdleConnections int
-	// EventBytes bounds one line of a stream, AnswerBytes the whole answer of
+	IdleConnTimeout time.Duration
+	// MaxIdleConnsPerEndpoint bounds the pooled connections per endpoint.
+	MaxIdleConnsPerEndpoint int
+	// MaxEventBytes bounds one line of a stream, AnswerBytes the whole answer of
 	// a call.
-	EventBytes  int
-	AnswerBytes int64
+	MaxEventBytes    int
+	MaxResponseBytes int64
 }
 
 // HeartbeatInterval is the longest that an endpoint may let a stream rest
@@ -44,25 +44,25 @@
 
 // The defaults of Options.
 const (
-	DefaultConnectTimeout  = 250 * time.Millisecond
-	DefaultAcceptTimeout   = time.Second
-	DefaultSilenceTimeout  = 3 * HeartbeatInterval
-	DefaultCancelTimeout   = time.Second
-	DefaultIdleTimeout     = 10 * time.Second
-	DefaultIdleConnections = 256
-	DefaultEventBytes      = 64 << 10
-	DefaultAnswerBytes     = 8 << 20
+	DefaultConnectTimeout          = 250 * time.Millisecond
+	DefaultResponseTimeout         = time.Second
+	DefaultReadIdleTimeout         = 3 * HeartbeatInterval
+	DefaultCancelTimeout           = time.Second
+	DefaultIdleConnTimeout         = 10 * time.Second
+	DefaultMaxIdleConnsPerEndpoint = 256
+	DefaultMaxEventBytes           = 64 << 10
+	DefaultMaxResponseBytes        = 8 << 20
 )
 
 func (o Options) withDefaults() Options {
 	defaults.Set(&o.ConnectTimeout, DefaultConnectTimeout)
-	defaults.Set(&o.AcceptTimeout, DefaultAcceptTimeout)
-	defaults.Set(&o.SilenceTimeout, DefaultSilenceTimeout)
+	defaults.Set(&o.ResponseTimeout, DefaultResponseTimeout)
+	defaults.Set(&o.ReadIdleTimeout, DefaultReadIdleTimeout)
 	defaults.Set(&o.CancelTimeout, DefaultCancelTimeout)
-	defaults.Set(&o.IdleTimeout, DefaultIdleTimeout)
-	defaults.Set(&o.IdleConnections, DefaultIdleConnections)
-	defaults.Set(&o.EventBytes, DefaultEventBytes)
-	defaults.Set(&o.AnswerBytes, DefaultAnswerBytes)
+	defaults.Set(&o.IdleConnTimeout, DefaultIdleConnTimeout)
+	defaults.Set(&o.MaxIdleConnsPerEndpoint, DefaultMaxIdleConnsPerEndpoint)
+	defaults.Set(&o.MaxEventBytes, DefaultMaxEventBytes)
+	defaults.Set(&o.MaxResponseBytes, DefaultMaxResponseBytes)
 	if o.Dial == nil {
 		o.Dial = newDialer(netip.Addr{}).DialContext
 	}
@@ -115,8 +115,8 @@
 		},
 		DisableKeepAlives:      single,
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    o.IdleConnections,
-		IdleConnTimeout:        o.IdleTimeout,
+		MaxIdleConnsPerHost:    o.MaxIdleConnsPerEndpoint,
+		IdleConnTimeout:        o.IdleConnTimeout,
 		MaxResponseHeaderBytes: maxHeader,
 	}
 }
@@ -126,8 +126,8 @@
 	return Counters{Mismatches: c.mismatches.Load(), Duplicates: c.duplicates.Load()}
 }
 
-// CloseIdle closes the pooled connections that are not in use.
-func (c *HTTPClient) CloseIdle() {
+// CloseIdleConnections closes the pooled connections that are not in use.
+func (c *HTTPClient) CloseIdleConnections() {
 	c.pooled.CloseIdleConnections()
 	c.single.CloseIdleConnections()
 }
--- a/engine/client_bench_test.go
+++ b/engine/client_bench_test.go
@@ -21,7 +21,7 @@
 	var stream []byte
 	stream = append(stream, accepted...)
 	for i := range n {
-		stream = engine.AppendToken(stream, engine.Token{Attempt: "a1", Index: i, Text: " word"})
+		stream = engine.AppendTokenEvent(stream, engine.Token{Attempt: "a1", Index: i, Text: " word"})
 	}
 	stream = append(stream, event(engine.EventDone, `{"attempt":"a1","tokens":%d}`, n)...)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -41,7 +41,7 @@
 func request(attempt string, prompt string, tokens int) engine.GenerateRequest {
 	return engine.GenerateRequest{
 		Attempt: tables.AttemptID(attempt), Model: model, Weights: version,
-		Prompt: prompt, MaxToken: tokens, Salt: "org",
+		Prompt: prompt, MaxTokens: tokens, Salt: "org",
 	}
 }
 
@@ -108,7 +108,7 @@
 	e.Crash()
 	c := engine.NewHTTPClient(engine.Options{})
 	_, err := c.Generate(context.Background(), e.Address(), request("a1", "hello", 1))
-	var failure *engine.NotStarted
+	var failure *engine.NotStartedError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	assert.Assert(t, failure.Unreachable)
 }
@@ -121,9 +121,9 @@
 	req := request("a1", "hello", 1)
 	req.Weights = "v0"
 	_, err := c.Generate(context.Background(), e.Address(), req)
-	var failure *engine.NotStarted
+	var failure *engine.NotStartedError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
-	assert.Assert(t, failure.Declined)
+	assert.Assert(t, failure.Rejected)
 	assert.Equal(t, e.Records().Totals().Ran, 0)
 }
 
@@ -140,10 +140,10 @@
 	for err == nil {
 		_, err = s.Next()
 	}
-	var failure *engine.Interrupted
+	var failure *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	assert.Assert(t, failure.Tokens >= 1)
-	var unconfirmed *engine.CancelUnconfirmed
+	var unconfirmed *engine.CancelUnconfirmedError
 	assert.Assert(t, errors.As(s.Close(), &unconfirmed))
 }
 
--- a/engine/contract.go
+++ b/engine/contract.go
@@ -13,13 +13,13 @@
 
 // GenerateRequest is one attempt at a completion.
 type GenerateRequest struct {
-	Attempt  tables.AttemptID      `json:"attempt"`
-	Model    tables.ModelName      `json:"model"`
-	Adapter  tables.AdapterName    `json:"adapter,omitempty"`
-	Weights  tables.WeightsVersion `json:"weights,omitempty"`
-	Prompt   string                `json:"prompt"`
-	MaxToken int                   `json:"max_tokens"`
-	Priority tables.Priority       `json:"priority"`
+	Attempt   tables.AttemptID      `json:"attempt"`
+	Model     tables.ModelName      `json:"model"`
+	Adapter   tables.AdapterName    `json:"adapter,omitempty"`
+	Weights   tables.WeightsVersion `json:"weights,omitempty"`
+	Prompt    string                `json:"prompt"`
+	MaxTokens int                   `json:"max_tokens"`
+	Priority  tables.Priority       `json:"priority"`
 	// Salt keeps cache entries of different organisations apart.
 	Salt string `json:"cache_salt"`
 	// ResumeFrom asks for tokens from this offset on; the text of the earlier
@@ -28,8 +28,8 @@
 	Emitted    string `json:"emitted,omitempty"`
 }
 
-// Accepted is the first thing an endpoint says of an attempt.
-type Accepted struct {
+// AcceptedEvent is the first thing an endpoint says of an attempt.
+type AcceptedEvent struct {
 	Attempt tables.AttemptID      `json:"attempt"`
 	Boot    tables.BootID         `json:"boot"`
 	Weights tables.WeightsVersion `json:"weights"`
@@ -48,7 +48,7 @@
 // Stream delivers an attempt's answer. It is used by one goroutine.
 type Stream interface {
 	// Accepted is known once Generate has returned.
-	Accepted() Accepted
+	Accepted() AcceptedEvent
 	// Next returns the next token, io.EOF after the end mark, or one of the
 	// failures of this package. A stream that stops without its end mark gives
 	// *Interrupted, never io.EOF.
@@ -59,36 +59,36 @@
 
 // CallRequest is one attempt at a call to a plain service.
 type CallRequest struct {
-	Attempt tables.AttemptID
-	Method  string
-	Path    string
-	Type    string
-	Key     string
-	Body    []byte
+	Attempt        tables.AttemptID
+	Method         string
+	Path           string
+	ContentType    string
+	IdempotencyKey string
+	Body           []byte
 }
 
-// CallAnswer is a plain service's whole answer.
-type CallAnswer struct {
-	Attempt tables.AttemptID
-	Boot    tables.BootID
-	Status  int
-	Type    string
-	Body    []byte
+// CallResponse is a plain service's whole answer.
+type CallResponse struct {
+	Attempt     tables.AttemptID
+	Boot        tables.BootID
+	Status      int
+	ContentType string
+	Body        []byte
 }
 
 // Client runs attempts at endpoints. It is safe for concurrent use.
 type Client interface {
 	Generate(ctx context.Context, at netip.AddrPort, req GenerateRequest) (Stream, error)
-	Call(ctx context.Context, at netip.AddrPort, req CallRequest) (CallAnswer, error)
+	Call(ctx context.Context, at netip.AddrPort, req CallRequest) (CallResponse, error)
 	Cancel(ctx context.Context, at netip.AddrPort, attempt tables.AttemptID) error
 }
 
-// NotStarted means that the endpoint provably did not begin the work: no byte
+// NotStartedError means that the endpoint provably did not begin the work: no byte
 // of the request left, or the endpoint itself said so before running it.
-type NotStarted struct {
+type NotStartedError struct {
 	Attempt tables.AttemptID
-	// Declined is set when the endpoint answered no (full, other weights).
-	Declined bool
+	// Rejected is set when the endpoint answered no (full, other weights).
+	Rejected bool
 	// Unreachable is set when the connection was refused.
 	Unreachable bool
 	Reason      string
@@ -96,32 +96,32 @@
 }
 
 // Error gives the reason.
-func (e *NotStarted) Error() string {
+func (e *NotStartedError) Error() string {
 	return fmt.Sprintf("attempt %s not started: %s", e.Attempt, e.Reason)
 }
 
 // Unwrap gives the cause.
-func (e *NotStarted) Unwrap() error { return e.Cause }
+func (e *NotStartedError) Unwrap() error { return e.Cause }
 
-// Interrupted means that the attempt was handed over and did not end properly;
+// InterruptedError means that the attempt was handed over and did not end properly;
 // the work may have run.
-type Interrupted struct {
+type InterruptedError struct {
 	Attempt tables.AttemptID
 	Tokens  int
 	Cause   error
 }
 
 // Error gives the cause.
-func (e *Interrupted) Error() string {
+func (e *InterruptedError) Error() string {
 	return fmt.Sprintf("attempt %s interrupted after %d tokens: %v", e.Attempt, e.Tokens, e.Cause)
 }
 
 // Unwrap gives the cause.
-func (e *Interrupted) Unwrap() error { return e.Cause }
+func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// Mismatch means that an answer names another attempt, boot or weights version
+// MismatchError means that an answer names another attempt, boot or weights version
 // than the one asked for, and was dropped.
-type Mismatch struct {
+type MismatchError struct {
 	Attempt tables.AttemptID
 	Field   string
 	Want    string
@@ -129,6 +129,6 @@
 }
 
 // Error says what did not match.
-func (e *Mismatch) Error() string {
+func (e *MismatchError) Error() string {
 	return fmt.Sprintf("attempt %s: answer has %s %q, want %q", e.Attempt, e.Field, e.Got, e.Want)
 }
--- a/engine/dial.go
+++ b/engine/dial.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Dial opens a connection to an address.
-type Dial func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
+// DialFunc opens a connection to an address.
+type DialFunc func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
 // DialTCP opens a connection to an endpoint that notices when the endpoint's
 // machine is gone.
@@ -41,7 +41,7 @@
 
 // DialFrom is DialTCP from an IP number of this machine. An invalid one leaves
 // the choice to the machine.
-func DialFrom(source netip.Addr) Dial {
+func DialFrom(source netip.Addr) DialFunc {
 	dialer := newDialer(source)
 	return func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", to.String())
--- a/engine/doubts.go
+++ b/engine/doubts.go
@@ -17,7 +17,7 @@
 
 // failed notes a failed attempt, if it failed by silence.
 func (d *doubts) failed(at netip.AddrPort, cause error) {
-	var silent *Silent
+	var silent *ReadTimeoutError
 	if errors.As(cause, &silent) || isUnreachable(cause) {
 		d.endpoints.Store(at, struct{}{})
 	}
--- a/engine/eventreader.go
+++ b/engine/eventreader.go
@@ -69,7 +69,7 @@
 			named = copy(e.name[:], bytes.TrimPrefix(line[len(fieldEvent):], []byte{' '}))
 		case bytes.HasPrefix(line, fieldData):
 			if len(e.data)+len(line) > e.limit {
-				return nil, nil, &TooLong{What: "event", Limit: int64(e.limit)}
+				return nil, nil, &TooLargeError{What: "event", Limit: int64(e.limit)}
 			}
 			e.data = append(e.data, bytes.TrimPrefix(line[len(fieldData):], []byte{' '})...)
 		}
@@ -86,7 +86,7 @@
 	for errors.Is(err, bufio.ErrBufferFull) {
 		e.line = append(e.line, line...)
 		if len(e.line) > e.limit {
-			return nil, &TooLong{What: "event", Limit: int64(e.limit)}
+			return nil, &TooLargeError{What: "event", Limit: int64(e.limit)}
 		}
 		line, err = e.r.ReadSlice('\n')
 	}
--- a/engine/exchange/answer.go
+++ b/engine/exchange/answer.go
@@ -31,11 +31,11 @@
 func (a *Answer) ReadAll() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.resp.Body, a.client.limit+1))
 	if err == nil && int64(len(body)) > a.client.limit {
-		err = &engine.TooLong{What: "answer", Limit: a.client.limit}
+		err = &engine.TooLargeError{What: "answer", Limit: a.client.limit}
 	}
 	if err != nil {
 		a.Close()
-		return nil, &engine.Interrupted{Attempt: a.attempt, Cause: err}
+		return nil, &engine.InterruptedError{Attempt: a.attempt, Cause: err}
 	}
 	a.finish()
 	return body, nil
--- a/engine/exchange/client.go
+++ b/engine/exchange/client.go
@@ -22,7 +22,7 @@
 type Options struct {
 	Headers *dialect.Headers
 	// Dial opens connections; nil means TCP.
-	Dial engine.Dial
+	Dial engine.DialFunc
 	// ConnectTimeout bounds the opening of a connection. A packet that opens one
 	// is sent again after a second when an endpoint's queue is full, so a longer
 	// wait only helps the caller in the rarest case.
@@ -118,7 +118,7 @@
 	if err == nil {
 		return conn, nil
 	}
-	return nil, &engine.NotStarted{
+	return nil, &engine.NotStartedError{
 		Attempt:     r.Attempt,
 		Unreachable: errors.Is(err, syscall.ECONNREFUSED),
 		Reason:      "no connection",
--- a/engine/exchange/connection.go
+++ b/engine/exchange/connection.go
@@ -46,7 +46,7 @@
 // pool keeps connections that are between requests. It is safe for concurrent
 // use.
 type pool struct {
-	dial engine.Dial
+	dial engine.DialFunc
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*connection
 }
--- a/engine/exchange/events.go
+++ b/engine/exchange/events.go
@@ -45,7 +45,7 @@
 		piece, err := e.reader.ReadSlice('\n')
 		event.Raw = append(event.Raw, piece...)
 		if len(event.Raw) > maxEvent {
-			return Event{}, &engine.TooLong{What: "event", Limit: maxEvent}
+			return Event{}, &engine.TooLargeError{What: "event", Limit: maxEvent}
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
--- a/engine/exchange/exchange_test.go
+++ b/engine/exchange/exchange_test.go
@@ -158,7 +158,7 @@
 	answer, err := send(t, NewClient(Options{Headers: headers()}), to, request("r-1"))
 	assert.NilError(t, err)
 	_, err = answer.ReadAll()
-	var broken *engine.Interrupted
+	var broken *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &broken))
 }
 
@@ -168,9 +168,9 @@
 func TestSilenceAfterSendingProvesNothing(t *testing.T) {
 	to := scripted(t, func(_ int, conn net.Conn) { _ = next(bufio.NewReader(conn)) })
 	_, err := send(t, NewClient(Options{Headers: headers()}), to, request("r-1"))
-	var broken *engine.Interrupted
+	var broken *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &broken))
-	var not *engine.NotStarted
+	var not *engine.NotStartedError
 	assert.Assert(t, !errors.As(err, &not))
 }
 
@@ -180,7 +180,7 @@
 	to := netip.MustParseAddrPort(listener.Addr().String())
 	_ = listener.Close()
 	_, err = send(t, NewClient(Options{Headers: headers()}), to, request("r-1"))
-	var not *engine.NotStarted
+	var not *engine.NotStartedError
 	assert.Assert(t, errors.As(err, &not))
 	assert.Equal(t, not.Unreachable, true)
 }
@@ -199,7 +199,7 @@
 		_, err := send(t, c, to, request("r-1"))
 		var declined *Declined
 		assert.Assert(t, errors.As(err, &declined), "%v", err)
-		var not *engine.NotStarted
+		var not *engine.NotStartedError
 		assert.Assert(t, errors.As(err, &not))
 		c.pool.sweep(time.Now().Add(time.Hour))
 	}
--- a/engine/exchange/send.go
+++ b/engine/exchange/send.go
@@ -56,7 +56,7 @@
 	}
 	if err := a.readHeader(r); err != nil {
 		a.drop()
-		return nil, &engine.Interrupted{Attempt: r.Attempt, Cause: err}
+		return nil, &engine.InterruptedError{Attempt: r.Attempt, Cause: err}
 	}
 	if declined := c.declined(a, r); declined != nil {
 		return nil, declined
@@ -75,7 +75,7 @@
 		case n == 0 && a.conn.reused:
 			return &nothingWritten{cause: err}
 		}
-		return &engine.Interrupted{Attempt: r.Attempt, Cause: err}
+		return &engine.InterruptedError{Attempt: r.Attempt, Cause: err}
 	}
 	a.written = make(chan error, 1)
 	go func() {
@@ -127,7 +127,7 @@
 		}
 		stray++
 		if stray > maxStray {
-			return &engine.Mismatch{Attempt: r.Attempt, Field: "request", Want: r.ID, Got: named}
+			return &engine.MismatchError{Attempt: r.Attempt, Field: "request", Want: r.ID, Got: named}
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, a.client.limit)); err != nil {
 			return err
@@ -147,9 +147,9 @@
 		return nil
 	}
 	failure := &Declined{
-		NotStarted: engine.NotStarted{Attempt: r.Attempt, Declined: true, Reason: http.StatusText(a.Status)},
-		Status:     a.Status,
-		Header:     a.Header,
+		NotStartedError: engine.NotStartedError{Attempt: r.Attempt, Rejected: true, Reason: http.StatusText(a.Status)},
+		Status:          a.Status,
+		Header:          a.Header,
 	}
 	if _, err := a.ReadAll(); err != nil {
 		a.Close()
@@ -160,10 +160,10 @@
 // Declined is an endpoint's word that it did not run the request. It unwraps to
 // *engine.NotStarted.
 type Declined struct {
-	engine.NotStarted
+	engine.NotStartedError
 	Status int
 	Header http.Header
 }
 
 // Unwrap gives the proof.
-func (e *Declined) Unwrap() error { return &e.NotStarted }
+func (e *Declined) Unwrap() error { return &e.NotStartedError }
--- a/engine/feed/feed.go
+++ b/engine/feed/feed.go
@@ -34,7 +34,7 @@
 
 // Options are shared by the feeds of all endpoints.
 type Options struct {
-	Reporter engine.Reporter
+	Reporter engine.ReportReader
 	// Deliver takes the inputs. It is called by many goroutines.
 	Deliver func(router.Input)
 	// Batch takes the changes of caches instead of Deliver, an answer at a time,
--- a/engine/feed/feed_test.go
+++ b/engine/feed/feed_test.go
@@ -138,7 +138,7 @@
 
 	prompt := string(make([]byte, prefix.BlockBytes))
 	s, err := client.Generate(t.Context(), e.Address(), engine.GenerateRequest{
-		Attempt: "a", Model: "m", Prompt: prompt, MaxToken: 1, Salt: "org",
+		Attempt: "a", Model: "m", Prompt: prompt, MaxTokens: 1, Salt: "org",
 	})
 	assert.NilError(t, err)
 	_, err = s.Next()
--- a/engine/feed/loads.go
+++ b/engine/feed/loads.go
@@ -51,12 +51,12 @@
 // than it was asked to is held back by its connection.
 func (r *loadReader) stream(ctx context.Context) time.Duration {
 	s, err := r.streamer.LoadStream(ctx, r.at, r.Period)
-	var single *engine.NoLoadStream
+	var single *engine.LoadStreamUnsupportedError
 	if errors.As(err, &single) {
 		r.polls = pollsPerTry
 		return r.take(single.Load, nil)
 	}
-	var refused *engine.UnexpectedStatus
+	var refused *engine.UnexpectedStatusError
 	if errors.As(err, &refused) {
 		r.polls = pollsPerTry
 		return r.take(r.Reporter.Load(ctx, r.at))
@@ -78,7 +78,7 @@
 }
 
 func isSilent(err error) bool {
-	var silent *engine.Silent
+	var silent *engine.ReadTimeoutError
 	return errors.As(err, &silent)
 }
 
--- a/engine/feed/loads_bench_test.go
+++ b/engine/feed/loads_bench_test.go
@@ -120,7 +120,7 @@
 		conn, err := new(net.Dialer).DialContext(ctx, network, address)
 		return &countingConn{Conn: conn, bytes: &sent}, err
 	}})
-	defer client.CloseIdle()
+	defer client.CloseIdleConnections()
 	next := open(client, server.Listener.Addr().(*net.TCPAddr).AddrPort(), due)
 	f := &feed{id: "e", Options: Options{Deliver: func(router.Input) {}}.withDefaults()}
 	read := func() {
--- a/engine/feed/loads_test.go
+++ b/engine/feed/loads_test.go
@@ -38,7 +38,7 @@
 
 func (s *oneReport) Next() (engine.Load, error) {
 	if s.over {
-		return engine.Load{}, &engine.Silent{}
+		return engine.Load{}, &engine.ReadTimeoutError{}
 	}
 	s.over = true
 	return s.load, nil
@@ -115,7 +115,7 @@
 
 type nothing struct{}
 
-func (nothing) Next() (engine.Load, error) { return engine.Load{}, &engine.Silent{} }
+func (nothing) Next() (engine.Load, error) { return engine.Load{}, &engine.ReadTimeoutError{} }
 func (nothing) Close()                     {}
 
 // A proxy between an instance and an endpoint holds streams back. The endpoint
@@ -156,7 +156,7 @@
 	silent := make(chan bool, 1024)
 	ctx, cancel := context.WithCancel(t.Context())
 	f := &feed{id: "e1", at: e.Address(), Options: Options{
-		Reporter: streamsOnly{engine.NewHTTPClient(engine.Options{AcceptTimeout: 50 * time.Millisecond, SilenceTimeout: 150 * time.Millisecond})},
+		Reporter: streamsOnly{engine.NewHTTPClient(engine.Options{ResponseTimeout: 50 * time.Millisecond, ReadIdleTimeout: 150 * time.Millisecond})},
 		Deliver: func(in router.Input) {
 			select {
 			case loads <- in.(router.LoadReport):
--- a/engine/fuzz_test.go
+++ b/engine/fuzz_test.go
@@ -36,7 +36,7 @@
 // Tokens are read by a decoder of our own for speed. It must agree with the
 // library on what it accepts.
 func FuzzToken(f *testing.F) {
-	f.Add(AppendToken(nil, Token{Attempt: "a", Index: 3, Text: "x\"\n"}))
+	f.Add(AppendTokenEvent(nil, Token{Attempt: "a", Index: 3, Text: "x\"\n"}))
 	f.Add([]byte(`{"attempt":"a","index":-1,"text":"","more":[1,{}]}`))
 	f.Add([]byte(`{"index":1e3}`))
 	f.Fuzz(func(t *testing.T, content []byte) {
--- a/engine/generate.go
+++ b/engine/generate.go
@@ -21,13 +21,13 @@
 func (c *HTTPClient) Generate(ctx context.Context, at netip.AddrPort, req GenerateRequest) (Stream, error) {
 	content, err := json.Marshal(req)
 	if err != nil {
-		return nil, &NotStarted{Attempt: req.Attempt, Reason: "the request cannot be encoded", Cause: err}
+		return nil, &NotStartedError{Attempt: req.Attempt, Reason: "the request cannot be encoded", Cause: err}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &httpStream{client: c, at: at, attempt: req.Attempt, cancel: cancel, ctx: ctx}
-	s.position.next, s.position.limit = req.ResumeFrom, req.MaxToken
-	s.allowed.Store(int64(c.options.AcceptTimeout))
-	s.silence = time.AfterFunc(c.options.AcceptTimeout, s.expire)
+	s.position.next, s.position.limit = req.ResumeFrom, req.MaxTokens
+	s.allowed.Store(int64(c.options.ResponseTimeout))
+	s.silence = time.AfterFunc(c.options.ResponseTimeout, s.expire)
 
 	body := newOnceBody(content)
 	call := newRequest(ctx, http.MethodPost, endpointURL(at, PathGenerate), body)
@@ -58,9 +58,9 @@
 // have begun.
 func startFailure(attempt tables.AttemptID, body *onceBody, cause error) error {
 	if !body.seal() {
-		return &Interrupted{Attempt: attempt, Cause: cause}
+		return &InterruptedError{Attempt: attempt, Cause: cause}
 	}
-	return &NotStarted{
+	return &NotStartedError{
 		Attempt:     attempt,
 		Unreachable: isUnreachable(cause),
 		Reason:      "no connection to the endpoint",
@@ -98,22 +98,22 @@
 // late answer to another attempt does not.
 func (c *HTTPClient) declined(attempt tables.AttemptID, resp *http.Response) error {
 	defer func() { _ = resp.Body.Close() }()
-	unexpected := &UnexpectedStatus{Status: resp.StatusCode, Type: resp.Header.Get(headerType)}
+	unexpected := &UnexpectedStatusError{Status: resp.StatusCode, ContentType: resp.Header.Get(headerType)}
 	content, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if err != nil || !isType(resp.Header, typeJSON) {
-		return &Interrupted{Attempt: attempt, Cause: unexpected}
+		return &InterruptedError{Attempt: attempt, Cause: unexpected}
 	}
-	var decline Decline
+	var decline Rejection
 	if err := json.Unmarshal(content, &decline); err != nil || !decline.NotStarted {
-		return &Interrupted{Attempt: attempt, Cause: unexpected}
+		return &InterruptedError{Attempt: attempt, Cause: unexpected}
 	}
 	if decline.Attempt != attempt {
-		return &Interrupted{Attempt: attempt, Cause: c.mismatch(attempt, "attempt", string(attempt), string(decline.Attempt))}
+		return &InterruptedError{Attempt: attempt, Cause: c.mismatch(attempt, "attempt", string(attempt), string(decline.Attempt))}
 	}
-	return &NotStarted{Attempt: attempt, Declined: true, Reason: decline.Reason, Cause: unexpected}
+	return &NotStartedError{Attempt: attempt, Rejected: true, Reason: decline.Reason, Cause: unexpected}
 }
 
-func (c *HTTPClient) mismatch(attempt tables.AttemptID, field, want, got string) *Mismatch {
+func (c *HTTPClient) mismatch(attempt tables.AttemptID, field, want, got string) *MismatchError {
 	c.mismatches.Add(1)
-	return &Mismatch{Attempt: attempt, Field: field, Want: want, Got: got}
+	return &MismatchError{Attempt: attempt, Field: field, Want: want, Got: got}
 }
--- a/engine/loaddelta.go
+++ b/engine/loaddelta.go
@@ -17,9 +17,9 @@
 	Queued       *int                                        `json:"queued,omitempty"`
 	QueuedTokens *int                                        `json:"queued_tokens,omitempty"`
 	CacheBlocks  *int                                        `json:"cache_blocks,omitempty"`
-	// Began and Ended are the attempts that are new or gone.
-	Began []tables.AttemptID `json:"began,omitempty"`
-	Ended []tables.AttemptID `json:"ended,omitempty"`
+	// Started and Ended are the attempts that are new or gone.
+	Started []tables.AttemptID `json:"began,omitempty"`
+	Ended   []tables.AttemptID `json:"ended,omitempty"`
 	// AgeMillis is always that of this report; left out means zero.
 	AgeMillis int64 `json:"age_ms,omitempty"`
 }
@@ -35,7 +35,7 @@
 		Queued:       changed(from.Queued, to.Queued),
 		QueuedTokens: changed(from.QueuedTokens, to.QueuedTokens),
 		CacheBlocks:  changed(from.CacheBlocks, to.CacheBlocks),
-		Began:        missing(to.Attempts, from.Attempts),
+		Started:      missing(to.Attempts, from.Attempts),
 		Ended:        missing(from.Attempts, to.Attempts),
 		AgeMillis:    to.AgeMillis,
 	}
@@ -87,9 +87,9 @@
 	set(&load.QueuedTokens, d.QueuedTokens)
 	set(&load.CacheBlocks, d.CacheBlocks)
 	load.AgeMillis = d.AgeMillis
-	if len(d.Began)+len(d.Ended) > 0 {
+	if len(d.Started)+len(d.Ended) > 0 {
 		kept := missing(load.Attempts, d.Ended)
-		load.Attempts = slices.Concat(kept, missing(d.Began, kept))
+		load.Attempts = slices.Concat(kept, missing(d.Started, kept))
 	}
 	return load
 }
--- a/engine/loadstream.go
+++ b/engine/loadstream.go
@@ -33,11 +33,11 @@
 
 var _ LoadStreamer = (*HTTPClient)(nil)
 
-// NoLoadStream means that an endpoint answered with a single report.
-type NoLoadStream struct{ Load Load }
+// LoadStreamUnsupportedError means that an endpoint answered with a single report.
+type LoadStreamUnsupportedError struct{ Load Load }
 
 // Error says so.
-func (e *NoLoadStream) Error() string { return "endpoint does not stream load reports" }
+func (e *LoadStreamUnsupportedError) Error() string { return "endpoint does not stream load reports" }
 
 // WantsLoadStream reports whether a question for load asks for a stream, and
 // the interval between its events. An interval that is no number or below a
@@ -73,11 +73,11 @@
 	s := &httpLoadStream{
 		ctx:      ctx,
 		cancel:   cancel,
-		patience: max(silentIntervals*interval, c.options.SilenceTimeout/silentIntervals),
-		limit:    int(c.options.AnswerBytes),
+		patience: max(silentIntervals*interval, c.options.ReadIdleTimeout/silentIntervals),
+		limit:    int(c.options.MaxResponseBytes),
 	}
-	accept := c.options.AcceptTimeout
-	s.silence = time.AfterFunc(accept, func() { cancel(&Silent{After: accept}) })
+	accept := c.options.ResponseTimeout
+	s.silence = time.AfterFunc(accept, func() { cancel(&ReadTimeoutError{After: accept}) })
 	to := endpointURL(at, PathLoad)
 	to.RawQuery = url.Values{"interval_ms": {strconv.FormatInt(max(interval.Milliseconds(), 1), 10)}}.Encode()
 	req := newRequest(ctx, http.MethodGet, to, nil)
@@ -90,7 +90,7 @@
 	s.body = resp.Body
 	if resp.StatusCode == http.StatusOK && isType(resp.Header, typeEvents) {
 		s.silence.Stop()
-		s.silence = time.AfterFunc(s.patience, func() { cancel(&Silent{After: s.patience}) })
+		s.silence = time.AfterFunc(s.patience, func() { cancel(&ReadTimeoutError{After: s.patience}) })
 		s.events = newEventReader(resp.Body, s.limit, func() {})
 		return s, nil
 	}
@@ -101,15 +101,15 @@
 // singleReport reads the answer of an endpoint that does not stream.
 func (c *HTTPClient) singleReport(ctx context.Context, resp *http.Response) error {
 	if resp.StatusCode != http.StatusOK || !isType(resp.Header, typeJSON) {
-		return &UnexpectedStatus{Status: resp.StatusCode, Type: resp.Header.Get(headerType)}
+		return &UnexpectedStatusError{Status: resp.StatusCode, ContentType: resp.Header.Get(headerType)}
 	}
-	content, err := readBounded(resp.Body, c.options.AnswerBytes, "answer")
+	content, err := readBounded(resp.Body, c.options.MaxResponseBytes, "answer")
 	if err != nil {
 		return causeOf(ctx, err)
 	}
-	single := &NoLoadStream{}
+	single := &LoadStreamUnsupportedError{}
 	if err := json.Unmarshal(content, &single.Load); err != nil {
-		return &Garbled{What: "answer", Cause: err}
+		return &ProtocolError{What: "answer", Cause: err}
 	}
 	return single
 }
@@ -125,11 +125,11 @@
 	}
 	var delta LoadDelta
 	if err := json.Unmarshal(data, &delta); err != nil {
-		return Load{}, &Garbled{What: "load event", Cause: err}
+		return Load{}, &ProtocolError{What: "load event", Cause: err}
 	}
 	s.load = delta.Apply(s.load)
-	if len(delta.Began) > 0 && attemptBytes(s.load) > s.limit {
-		return Load{}, &TooLong{What: "list of attempts", Limit: int64(s.limit)}
+	if len(delta.Started) > 0 && attemptBytes(s.load) > s.limit {
+		return Load{}, &TooLargeError{What: "list of attempts", Limit: int64(s.limit)}
 	}
 	return s.load, nil
 }
--- a/engine/loadstream_test.go
+++ b/engine/loadstream_test.go
@@ -76,7 +76,7 @@
 		}
 	}))
 	defer s.Close()
-	c := NewHTTPClient(Options{AnswerBytes: 1000})
+	c := NewHTTPClient(Options{MaxResponseBytes: 1000})
 	stream, err := c.LoadStream(t.Context(), s.Listener.Addr().(*net.TCPAddr).AddrPort(), time.Second)
 	assert.NilError(t, err)
 	defer stream.Close()
@@ -85,7 +85,7 @@
 		_, err = stream.Next()
 		reports++
 	}
-	var long *TooLong
+	var long *TooLargeError
 	assert.Assert(t, errors.As(err, &long), "%v", err)
 	assert.Equal(t, reports, 10)
 }
--- a/engine/misbehaving_test.go
+++ b/engine/misbehaving_test.go
@@ -84,7 +84,7 @@
 				got.WriteString(next.Text)
 			}
 			assert.Equal(t, got.String(), tc.tokens)
-			var failure *engine.Interrupted
+			var failure *engine.InterruptedError
 			assert.Assert(t, errors.As(err, &failure), "%v", err)
 			assert.Equal(t, failure.Tokens, len(tc.tokens))
 			_, again := s.Next()
@@ -117,7 +117,7 @@
 	} {
 		c := engine.NewHTTPClient(engine.Options{})
 		_, err := c.Generate(context.Background(), stream(t, first+token("a1", 0, "x")), request("a1", "p", 1))
-		var failure *engine.Mismatch
+		var failure *engine.MismatchError
 		assert.Assert(t, errors.As(err, &failure), "%v", err)
 		assert.Equal(t, failure.Field, field)
 		assert.Equal(t, c.Counters().Mismatches, uint64(1))
@@ -152,8 +152,8 @@
 			_, err := c.Generate(context.Background(), at, request("a1", "p", 1))
 			_, callErr := c.Call(context.Background(), at, engine.CallRequest{Attempt: "a1", Path: "/v1/call/x"})
 			for _, err := range []error{err, callErr} {
-				var proven *engine.NotStarted
-				var open *engine.Interrupted
+				var proven *engine.NotStartedError
+				var open *engine.InterruptedError
 				assert.Equal(t, errors.As(err, &proven), tc.proven, "%v", err)
 				assert.Equal(t, errors.As(err, &open), !tc.proven, "%v", err)
 			}
@@ -170,10 +170,10 @@
 		<-release
 	})
 	t.Cleanup(func() { close(release) })
-	c := engine.NewHTTPClient(engine.Options{AcceptTimeout: 20 * time.Millisecond})
+	c := engine.NewHTTPClient(engine.Options{ResponseTimeout: 20 * time.Millisecond})
 	_, err := c.Generate(context.Background(), at, request("a1", "p", 1))
-	var open *engine.Interrupted
-	var silent *engine.Silent
+	var open *engine.InterruptedError
+	var silent *engine.ReadTimeoutError
 	assert.Assert(t, errors.As(err, &open), "%v", err)
 	assert.Assert(t, errors.As(err, &silent), "%v", err)
 }
@@ -192,15 +192,15 @@
 		<-release
 	})
 	t.Cleanup(func() { close(release) })
-	c := engine.NewHTTPClient(engine.Options{SilenceTimeout: 20 * time.Millisecond})
+	c := engine.NewHTTPClient(engine.Options{ReadIdleTimeout: 20 * time.Millisecond})
 	s, err := c.Generate(context.Background(), at, request("a1", "p", 3))
 	assert.NilError(t, err)
 	_, err = s.Next()
 	assert.NilError(t, err)
 	_, err = s.Next()
-	var silent *engine.Silent
+	var silent *engine.ReadTimeoutError
 	assert.Assert(t, errors.As(err, &silent), "%v", err)
-	var unconfirmed *engine.CancelUnconfirmed
+	var unconfirmed *engine.CancelUnconfirmedError
 	assert.Assert(t, errors.As(s.Close(), &unconfirmed))
 }
 
@@ -248,13 +248,13 @@
 	ok := "HTTP/1.1 200 OK\r\nX-Attempt: a1\r\nX-Boot: b\r\nContent-Length: 2\r\n\r\nok"
 	at, bodies := rawEndpoint(t, ok)
 	c := engine.NewHTTPClient(engine.Options{})
-	req := engine.CallRequest{Attempt: "a1", Path: "/v1/call/publish", Key: "k", Body: []byte("note")}
+	req := engine.CallRequest{Attempt: "a1", Path: "/v1/call/publish", IdempotencyKey: "k", Body: []byte("note")}
 	first, err := c.Call(context.Background(), at, req)
 	assert.NilError(t, err)
 	assert.Equal(t, string(first.Body), "ok")
 
 	_, err = c.Call(context.Background(), at, req)
-	var open *engine.Interrupted
+	var open *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &open), "%v", err)
 	assert.Equal(t, bodies.Load(), int64(2))
 }
@@ -272,7 +272,7 @@
 	assert.NilError(t, s.Close())
 
 	_, err = c.Generate(context.Background(), at, request("a1", "p", 1))
-	var open *engine.Interrupted
+	var open *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &open), "%v", err)
 	assert.Equal(t, bodies.Load(), int64(2))
 }
@@ -307,7 +307,7 @@
 	t.Cleanup(s.Close)
 	t.Cleanup(func() { close(release) })
 	at := s.Listener.Addr().(*net.TCPAddr).AddrPort()
-	c := engine.NewHTTPClient(engine.Options{AcceptTimeout: 500 * time.Millisecond})
+	c := engine.NewHTTPClient(engine.Options{ResponseTimeout: 500 * time.Millisecond})
 
 	var streams []engine.Stream
 	for range 2 {
@@ -325,7 +325,7 @@
 	hanging.Store(true)
 	for range 2 {
 		_, err := c.Generate(t.Context(), at, request("a1", "p", 1))
-		var silent *engine.Silent
+		var silent *engine.ReadTimeoutError
 		assert.Assert(t, errors.As(err, &silent), "%v", err)
 	}
 	assert.Equal(t, opened.Load(), int64(3))
@@ -344,10 +344,10 @@
 			}
 		}
 	})
-	c := engine.NewHTTPClient(engine.Options{AnswerBytes: 1 << 16})
+	c := engine.NewHTTPClient(engine.Options{MaxResponseBytes: 1 << 16})
 	_, err := c.Call(context.Background(), at, engine.CallRequest{Attempt: "a1", Path: "/v1/call/x"})
-	var tooLong *engine.TooLong
+	var tooLong *engine.TooLargeError
 	assert.Assert(t, errors.As(err, &tooLong), "%v", err)
-	var open *engine.Interrupted
+	var open *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &open))
 }
--- a/engine/platform.go
+++ b/engine/platform.go
@@ -38,6 +38,6 @@
 // PlatformList reads the platform's list.
 func (c *HTTPClient) PlatformList(ctx context.Context, at netip.AddrPort) (PlatformList, error) {
 	var list PlatformList
-	err := c.fetch(ctx, c.options.AcceptTimeout, endpointURL(at, PathPlatform), &list)
+	err := c.fetch(ctx, c.options.ResponseTimeout, endpointURL(at, PathPlatform), &list)
 	return list, err
 }
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -34,10 +34,10 @@
 	Evicted  []tables.BlockHash `json:"evicted,omitempty"`
 }
 
-// MaxChanges is how many changes an endpoint gives in one answer at most. It
+// MaxChangesPerResponse is how many changes an endpoint gives in one answer at most. It
 // keeps an answer far below the client's limit, which would otherwise refuse
 // the same long answer for ever after a long pause.
-const MaxChanges = 1024
+const MaxChangesPerResponse = 1024
 
 // CacheChanges answers a question for the changes after a sequence number.
 type CacheChanges struct {
@@ -92,15 +92,15 @@
 	Reason string              `json:"reason"`
 }
 
-// OldFence means that an endpoint has seen a newer order, so whoever gave this
+// StaleFencingTokenError means that an endpoint has seen a newer order, so whoever gave this
 // one is no longer entitled to.
-type OldFence struct {
+type StaleFencingTokenError struct {
 	Fence tables.FencingToken
 	Seen  tables.FencingToken
 }
 
 // Error gives both numbers.
-func (e *OldFence) Error() string {
+func (e *StaleFencingTokenError) Error() string {
 	return fmt.Sprintf("order with fencing number %d refused, endpoint has seen %d", e.Fence, e.Seen)
 }
 
@@ -116,27 +116,27 @@
 	Blocks []tables.BlockHash `json:"blocks"`
 }
 
-// Reporter reads endpoints' reports.
-type Reporter interface {
+// ReportReader reads endpoints' reports.
+type ReportReader interface {
 	Load(ctx context.Context, at netip.AddrPort) (Load, error)
 	CacheChanges(ctx context.Context, at netip.AddrPort, boot tables.BootID, after uint64, wait time.Duration) (CacheChanges, error)
 }
 
-// Orderer gives orders to endpoints.
-type Orderer interface {
+// OrderClient gives orders to endpoints.
+type OrderClient interface {
 	Order(ctx context.Context, at netip.AddrPort, order Order) (OrderState, error)
 	OrderState(ctx context.Context, at netip.AddrPort) (OrderState, error)
 }
 
 var (
-	_ Reporter = (*HTTPClient)(nil)
-	_ Orderer  = (*HTTPClient)(nil)
+	_ ReportReader = (*HTTPClient)(nil)
+	_ OrderClient  = (*HTTPClient)(nil)
 )
 
 // Load reads an endpoint's load report.
 func (c *HTTPClient) Load(ctx context.Context, at netip.AddrPort) (Load, error) {
 	var load Load
-	err := c.fetch(ctx, c.options.AcceptTimeout, endpointURL(at, PathLoad), &load)
+	err := c.fetch(ctx, c.options.ResponseTimeout, endpointURL(at, PathLoad), &load)
 	return load, err
 }
 
@@ -144,15 +144,15 @@
 // endpoint holds the answer back for at most wait while there are none. After
 // another boot it answers from the beginning of the present one.
 func (c *HTTPClient) CacheChanges(ctx context.Context, at netip.AddrPort, boot tables.BootID, after uint64, wait time.Duration) (CacheChanges, error) {
-	to := endpointURL(at, PathEvents)
+	to := endpointURL(at, PathCacheEvents)
 	to.RawQuery = url.Values{
 		"boot":    {string(boot)},
 		"after":   {strconv.FormatUint(after, 10)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
-		"limit":   {strconv.Itoa(MaxChanges)},
+		"limit":   {strconv.Itoa(MaxChangesPerResponse)},
 	}.Encode()
 	var changes CacheChanges
-	err := c.fetch(ctx, wait+c.options.AcceptTimeout, to, &changes)
+	err := c.fetch(ctx, wait+c.options.ResponseTimeout, to, &changes)
 	return changes, err
 }
 
@@ -161,9 +161,9 @@
 // order may have been carried out; OrderState tells.
 func (c *HTTPClient) Order(ctx context.Context, at netip.AddrPort, order Order) (OrderState, error) {
 	var state OrderState
-	err := c.exchange(ctx, c.options.AcceptTimeout, at, PathOrders, order, &state)
-	if refused, ok := err.(*UnexpectedStatus); ok && refused.Status == http.StatusConflict {
-		return OrderState{}, &OldFence{Fence: order.Fence, Seen: refused.refusal.Fence}
+	err := c.exchange(ctx, c.options.ResponseTimeout, at, PathOrders, order, &state)
+	if refused, ok := err.(*UnexpectedStatusError); ok && refused.Status == http.StatusConflict {
+		return OrderState{}, &StaleFencingTokenError{Fence: order.Fence, Seen: refused.refusal.Fence}
 	}
 	return state, err
 }
@@ -171,7 +171,7 @@
 // OrderState reads what an endpoint serves.
 func (c *HTTPClient) OrderState(ctx context.Context, at netip.AddrPort) (OrderState, error) {
 	var state OrderState
-	err := c.fetch(ctx, c.options.AcceptTimeout, endpointURL(at, PathOrderState), &state)
+	err := c.fetch(ctx, c.options.ResponseTimeout, endpointURL(at, PathOrderState), &state)
 	return state, err
 }
 
@@ -179,7 +179,7 @@
 // returns the run that it holds.
 func (c *HTTPClient) ExportCache(ctx context.Context, at netip.AddrPort, want CacheTransfer) (CacheTransfer, error) {
 	var have CacheTransfer
-	err := c.exchange(ctx, c.options.AcceptTimeout, at, PathCacheExport, want, &have)
+	err := c.exchange(ctx, c.options.ResponseTimeout, at, PathCacheExport, want, &have)
 	return have, err
 }
 
@@ -187,6 +187,6 @@
 // took.
 func (c *HTTPClient) ImportCache(ctx context.Context, at netip.AddrPort, have CacheTransfer) (CacheTransfer, error) {
 	var taken CacheTransfer
-	err := c.exchange(ctx, c.options.AcceptTimeout, at, PathCacheImport, have, &taken)
+	err := c.exchange(ctx, c.options.ResponseTimeout, at, PathCacheImport, have, &taken)
 	return taken, err
 }
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -37,7 +37,7 @@
 	body     io.ReadCloser
 	events   *eventReader
 	token    tokenDecoder
-	accepted Accepted
+	accepted AcceptedEvent
 	position position
 	tokens   int
 	// failure is what Next returns from now on.
@@ -50,10 +50,10 @@
 func (s *httpStream) open(body io.ReadCloser) {
 	s.body = body
 	s.token.init()
-	s.events = newEventReader(body, s.client.options.EventBytes, s.alive)
+	s.events = newEventReader(body, s.client.options.MaxEventBytes, s.alive)
 }
 
-func (s *httpStream) expire() { s.cancel(&Silent{After: s.patience()}) }
+func (s *httpStream) expire() { s.cancel(&ReadTimeoutError{After: s.patience()}) }
 
 func (s *httpStream) patience() time.Duration { return time.Duration(s.allowed.Load()) }
 
@@ -74,10 +74,10 @@
 		return s.endpointFailure(data)
 	}
 	if string(name) != EventAccepted {
-		return s.interrupt(&Garbled{What: "first event", Cause: &NoEndMark{}})
+		return s.interrupt(&ProtocolError{What: "first event", Cause: &TruncatedStreamError{}})
 	}
 	if err := json.Unmarshal(data, &s.accepted); err != nil {
-		return s.interrupt(&Garbled{What: "accepted event", Cause: err})
+		return s.interrupt(&ProtocolError{What: "accepted event", Cause: err})
 	}
 	got := s.accepted
 	switch {
@@ -88,13 +88,13 @@
 	case req.Weights != "" && got.Weights != req.Weights:
 		return s.client.mismatch(req.Attempt, "weights", string(req.Weights), string(got.Weights))
 	}
-	s.allowed.Store(int64(s.client.options.SilenceTimeout))
+	s.allowed.Store(int64(s.client.options.ReadIdleTimeout))
 	s.silence.Stop()
 	return nil
 }
 
 // Accepted returns the endpoint's first word on the attempt.
-func (s *httpStream) Accepted() Accepted { return s.accepted }
+func (s *httpStream) Accepted() AcceptedEvent { return s.accepted }
 
 // Next returns the next token in order, or the end of the stream.
 func (s *httpStream) Next() (Token, error) {
@@ -128,7 +128,7 @@
 // take checks one token. It reports false for a token that must be dropped.
 func (s *httpStream) take(data []byte) (Token, bool, error) {
 	if err := s.token.decode(data); err != nil {
-		return Token{}, false, &Garbled{What: "token event", Cause: err}
+		return Token{}, false, &ProtocolError{What: "token event", Cause: err}
 	}
 	if string(s.token.attempt) != string(s.attempt) {
 		s.client.mismatches.Add(1)
@@ -140,7 +140,7 @@
 		return Token{}, false, nil
 	}
 	if index > s.position.next || index >= s.position.limit {
-		return Token{}, false, &TokenGap{Want: s.position.next, Got: index}
+		return Token{}, false, &TokenGapError{Want: s.position.next, Got: index}
 	}
 	s.position.next++
 	s.tokens++
@@ -149,16 +149,16 @@
 
 // finish checks the end mark against what came before it.
 func (s *httpStream) finish(data []byte) error {
-	var done Done
+	var done DoneEvent
 	if err := json.Unmarshal(data, &done); err != nil {
-		return s.interrupt(&Garbled{What: "done event", Cause: err})
+		return s.interrupt(&ProtocolError{What: "done event", Cause: err})
 	}
 	if done.Attempt != s.attempt {
 		s.client.mismatches.Add(1)
-		return s.interrupt(&Mismatch{Attempt: s.attempt, Field: "attempt", Want: string(s.attempt), Got: string(done.Attempt)})
+		return s.interrupt(&MismatchError{Attempt: s.attempt, Field: "attempt", Want: string(s.attempt), Got: string(done.Attempt)})
 	}
 	if done.Tokens != s.position.next {
-		return s.interrupt(&TokenGap{Want: s.position.next, Got: done.Tokens})
+		return s.interrupt(&TokenGapError{Want: s.position.next, Got: done.Tokens})
 	}
 	s.settled = true
 	s.failure = io.EOF
@@ -173,20 +173,20 @@
 }
 
 func (s *httpStream) endpointFailure(data []byte) error {
-	var failure StreamFailure
+	var failure ErrorEvent
 	if err := json.Unmarshal(data, &failure); err != nil {
-		return s.interrupt(&Garbled{What: "error event", Cause: err})
+		return s.interrupt(&ProtocolError{What: "error event", Cause: err})
 	}
 	s.settled = failure.Attempt == s.attempt
-	return s.interrupt(&EndpointFailure{Reason: failure.Reason})
+	return s.interrupt(&EndpointError{Reason: failure.Reason})
 }
 
 // interrupt ends the stream for good.
 func (s *httpStream) interrupt(cause error) error {
 	if errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) {
-		cause = &NoEndMark{}
+		cause = &TruncatedStreamError{}
 	}
-	s.failure = &Interrupted{Attempt: s.attempt, Tokens: s.tokens, Cause: causeOf(s.ctx, cause)}
+	s.failure = &InterruptedError{Attempt: s.attempt, Tokens: s.tokens, Cause: causeOf(s.ctx, cause)}
 	return s.failure
 }
 
@@ -203,7 +203,7 @@
 		return nil
 	}
 	if s.failure == nil {
-		s.failure = &Interrupted{Attempt: s.attempt, Tokens: s.tokens, Cause: context.Canceled}
+		s.failure = &InterruptedError{Attempt: s.attempt, Tokens: s.tokens, Cause: context.Canceled}
 	}
 	return s.client.Cancel(context.WithoutCancel(s.ctx), s.at, s.attempt)
 }
--- a/engine/token.go
+++ b/engine/token.go
@@ -34,8 +34,8 @@
 	return err
 }
 
-// AppendToken appends a token event as an endpoint sends it.
-func AppendToken(dst []byte, token Token) []byte {
+// AppendTokenEvent appends a token event as an endpoint sends it.
+func AppendTokenEvent(dst []byte, token Token) []byte {
 	var e jx.Encoder
 	e.SetBytes(append(dst, "event: token\ndata: "...))
 	e.ObjStart()
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -8,7 +8,7 @@
 	PathGenerate    = "/v1/generate"
 	PathCancel      = "/v1/cancel"
 	PathLoad        = "/v1/load"
-	PathEvents      = "/v1/events"
+	PathCacheEvents = "/v1/events"
 	PathOrders      = "/v1/orders"
 	PathOrderState  = "/v1/orders/state"
 	PathCacheExport = "/v1/cache/export"
@@ -33,8 +33,8 @@
 	HeaderAttempt = "X-Attempt"
 	// HeaderBoot carries the boot identity of the endpoint that answers.
 	HeaderBoot = "X-Boot"
-	// HeaderKey carries the idempotency key of a call.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey carries the idempotency key of a call.
+	HeaderIdempotencyKey = "Idempotency-Key"
 
 	headerType   = "Content-Type"
 	headerAccept = "Accept"
@@ -44,16 +44,16 @@
 	maxErrorBody = 64 << 10
 )
 
-// Decline is the body of every answer that says no before anything ran.
+// Rejection is the body of every answer that says no before anything ran.
 // Without NotStarted set, an answer other than 200 proves nothing.
-type Decline struct {
+type Rejection struct {
 	Attempt    tables.AttemptID `json:"attempt"`
 	NotStarted bool             `json:"not_started"`
 	Reason     string           `json:"reason"`
 }
 
-// Done is the end mark of a stream that is whole.
-type Done struct {
+// DoneEvent is the end mark of a stream that is whole.
+type DoneEvent struct {
 	Attempt tables.AttemptID `json:"attempt"`
 	// Tokens is the length of the whole answer, the part before ResumeFrom
 	// included.
@@ -62,8 +62,8 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// StreamFailure is the data of an error event.
-type StreamFailure struct {
+// ErrorEvent is the data of an error event.
+type ErrorEvent struct {
 	Attempt tables.AttemptID `json:"attempt"`
 	Reason  string           `json:"reason"`
 }
@@ -73,8 +73,8 @@
 	Attempt tables.AttemptID `json:"attempt"`
 }
 
-// CancelAnswer confirms that an attempt is not running any more.
-type CancelAnswer struct {
+// CancelResponse confirms that an attempt is not running any more.
+type CancelResponse struct {
 	Attempt tables.AttemptID `json:"attempt"`
 	Boot    tables.BootID    `json:"boot"`
 	// Found is set when the attempt was queued or running until now.
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -128,9 +128,9 @@
 	defer resp.Body.Close()
 	assert.Equal(t, read(t, resp), `{"object":"list","data":[{"id":"m","object":"model"}]}`)
 
-	r.client.call = []func(engine.CallRequest) (engine.CallAnswer, error){
-		func(q engine.CallRequest) (engine.CallAnswer, error) {
-			return engine.CallAnswer{Attempt: q.Attempt, Boot: "b", Status: 404, Body: append([]byte("no "), q.Body...)}, nil
+	r.client.call = []func(engine.CallRequest) (engine.CallResponse, error){
+		func(q engine.CallRequest) (engine.CallResponse, error) {
+			return engine.CallResponse{Attempt: q.Attempt, Boot: "b", Status: 404, Body: append([]byte("no "), q.Body...)}, nil
 		},
 	}
 	resp = r.post(t, t.Context(), "/v1/services/notes/read", "7", "Content-Type", typeData)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -46,7 +46,7 @@
 		Adapter:    f.profile.Adapter,
 		Weights:    a.dispatch.Weights,
 		Prompt:     f.prompt,
-		MaxToken:   f.row.MaxTokens,
+		MaxTokens:  f.row.MaxTokens,
 		Priority:   a.dispatch.Priority,
 		Salt:       string(f.row.Organisation),
 		ResumeFrom: delivered,
@@ -82,7 +82,7 @@
 		return
 	}
 	if answer.Attempt != a.dispatch.Attempt {
-		a.fail(&engine.Mismatch{
+		a.fail(&engine.MismatchError{
 			Attempt: a.dispatch.Attempt, Field: "attempt",
 			Want: string(a.dispatch.Attempt), Got: string(answer.Attempt),
 		})
@@ -96,13 +96,13 @@
 // check compares what the endpoint says of itself with what was asked. Without
 // it an answer that crossed another's, or one from older weights, would reach
 // the caller.
-func (a *attempt) check(got engine.Accepted) error {
+func (a *attempt) check(got engine.AcceptedEvent) error {
 	id := a.dispatch.Attempt
 	if got.Attempt != id {
-		return &engine.Mismatch{Attempt: id, Field: "attempt", Want: string(id), Got: string(got.Attempt)}
+		return &engine.MismatchError{Attempt: id, Field: "attempt", Want: string(id), Got: string(got.Attempt)}
 	}
 	if want := a.dispatch.Weights; want != "" && got.Weights != want {
-		return &engine.Mismatch{Attempt: id, Field: "weights", Want: string(want), Got: string(got.Weights)}
+		return &engine.MismatchError{Attempt: id, Field: "weights", Want: string(want), Got: string(got.Weights)}
 	}
 	return nil
 }
@@ -153,10 +153,10 @@
 		return
 	}
 	end := router.NotStarted
-	var not *engine.NotStarted
+	var not *engine.NotStartedError
 	if errors.As(err, &not) {
 		switch {
-		case not.Declined:
+		case not.Rejected:
 			end = router.Rejected
 		case not.Unreachable:
 			end = router.Unreachable
@@ -169,7 +169,7 @@
 // ended it at the endpoint as far as that can be done in time.
 func (a *attempt) broken(err error, tokens int, cancel func() error) {
 	s := a.flight.server
-	var mismatch *engine.Mismatch
+	var mismatch *engine.MismatchError
 	if errors.As(err, &mismatch) {
 		s.metrics.CountDropped(DroppedMismatch)
 		events.AnswerMismatch.Log(s.log, a.fields(zap.String("field", mismatch.Field))...)
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -71,7 +71,7 @@
 		}
 		close(begun)
 		<-ctx.Done()
-		return nil, &engine.Interrupted{Attempt: req.Attempt, Cause: ctx.Err()}
+		return nil, &engine.InterruptedError{Attempt: req.Attempt, Cause: ctx.Err()}
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"a", "b"})
@@ -153,7 +153,7 @@
 // it has for a whole answer: it gets an error event and no end mark.
 func TestStreamThatCannotBeCompletedSaysSo(t *testing.T) {
 	r := newRig(t, nil)
-	r.client.generate = []script{r.client.says([]string{"a"}, &engine.Interrupted{Cause: context.DeadlineExceeded})}
+	r.client.generate = []script{r.client.says([]string{"a"}, &engine.InterruptedError{Cause: context.DeadlineExceeded})}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"a"})
 	assert.Assert(t, strings.Contains(got, "event: error\ndata: {"), got)
@@ -173,7 +173,7 @@
 		r.client.generate = []script{
 			func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 				r.server.Configure(newer)
-				return r.client.says([]string{"old"}, &engine.Interrupted{Cause: context.DeadlineExceeded})(ctx, req)
+				return r.client.says([]string{"old"}, &engine.InterruptedError{Cause: context.DeadlineExceeded})(ctx, req)
 			},
 			r.client.says([]string{"new", "er"}, nil),
 		}
@@ -193,13 +193,13 @@
 func TestProvenNotStartedIsNotRun(t *testing.T) {
 	r := newRig(t, nil)
 	r.client.generate = []script{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
-		return nil, &engine.NotStarted{Attempt: req.Attempt, Declined: true}
+		return nil, &engine.NotStartedError{Attempt: req.Attempt, Rejected: true}
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeNotRun))
 
 	r.client.generate = []script{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
-		return nil, &engine.Interrupted{Attempt: req.Attempt, Cause: context.DeadlineExceeded}
+		return nil, &engine.InterruptedError{Attempt: req.Attempt, Cause: context.DeadlineExceeded}
 	}}
 	got = read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeUnknown))
@@ -273,7 +273,7 @@
 			}
 			tokens <- token
 		}
-		var end error = &engine.Interrupted{Cause: context.DeadlineExceeded}
+		var end error = &engine.InterruptedError{Cause: context.DeadlineExceeded}
 		if whole[0] {
 			for i := range truth {
 				tokens <- engine.Token{Attempt: req.Attempt, Index: i, Text: truth[i]}
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -70,18 +70,18 @@
 	return nil
 }
 
-type callScript = func(engine.CallRequest) (engine.CallAnswer, error)
+type callScript = func(engine.CallRequest) (engine.CallResponse, error)
 
-func publishes(q engine.CallRequest) (engine.CallAnswer, error) {
-	return engine.CallAnswer{Attempt: q.Attempt, Boot: "b", Status: 201, Body: []byte("published")}, nil
+func publishes(q engine.CallRequest) (engine.CallResponse, error) {
+	return engine.CallResponse{Attempt: q.Attempt, Boot: "b", Status: 201, Body: []byte("published")}, nil
 }
 
-func cutOff(q engine.CallRequest) (engine.CallAnswer, error) {
-	return engine.CallAnswer{}, &engine.Interrupted{Attempt: q.Attempt, Cause: context.DeadlineExceeded}
+func cutOff(q engine.CallRequest) (engine.CallResponse, error) {
+	return engine.CallResponse{}, &engine.InterruptedError{Attempt: q.Attempt, Cause: context.DeadlineExceeded}
 }
 
-func refused(q engine.CallRequest) (engine.CallAnswer, error) {
-	return engine.CallAnswer{}, &engine.NotStarted{Attempt: q.Attempt, Unreachable: true}
+func refused(q engine.CallRequest) (engine.CallResponse, error) {
+	return engine.CallResponse{}, &engine.NotStartedError{Attempt: q.Attempt, Unreachable: true}
 }
 
 func TestWorkThatMustRunOnce(t *testing.T) {
@@ -143,7 +143,7 @@
 			_, held := claims.claims["k"]
 			assert.Equal(t, held, c.held)
 			for _, call := range r.client.calls {
-				assert.Equal(t, call.Key, "k")
+				assert.Equal(t, call.IdempotencyKey, "k")
 			}
 		})
 	}
@@ -155,7 +155,7 @@
 	claims := &fakeClaimer{claims: map[tables.IdempotencyKey]*fakeClaim{}}
 	r := newRig(t, func(o *Options) { o.Claimer = claims })
 	gone, goOn, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	r.client.call = []callScript{func(q engine.CallRequest) (engine.CallAnswer, error) {
+	r.client.call = []callScript{func(q engine.CallRequest) (engine.CallResponse, error) {
 		defer close(done)
 		close(gone)
 		<-goOn
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -131,7 +131,7 @@
 		return tables.StoredResponse{}, notRun("", code, 0)
 	}
 	f := s.newFlight(org, p)
-	f.call = &engine.CallRequest{Path: callPath + ask.call, Type: typeData, Key: ask.key, Body: ask.body}
+	f.call = &engine.CallRequest{Path: callPath + ask.call, ContentType: typeData, IdempotencyKey: ask.key, Body: ask.body}
 	f.row.Fingerprint = fingerprint(org.ID, p.Name, ask.call, string(ask.body))
 	if p.Idempotent {
 		r := s.launch(ctx, f)
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -33,7 +33,7 @@
 type fakeClient struct {
 	mu        sync.Mutex
 	generate  []script
-	call      []func(engine.CallRequest) (engine.CallAnswer, error)
+	call      []func(engine.CallRequest) (engine.CallResponse, error)
 	requests  []engine.GenerateRequest
 	calls     []engine.CallRequest
 	cancelled chan tables.AttemptID
@@ -51,7 +51,7 @@
 	return next(ctx, req)
 }
 
-func (c *fakeClient) Call(_ context.Context, _ netip.AddrPort, req engine.CallRequest) (engine.CallAnswer, error) {
+func (c *fakeClient) Call(_ context.Context, _ netip.AddrPort, req engine.CallRequest) (engine.CallResponse, error) {
 	c.mu.Lock()
 	c.calls = append(c.calls, req)
 	next := c.call[0]
@@ -78,7 +78,7 @@
 
 // fakeStream gives tokens from a channel until it is closed.
 type fakeStream struct {
-	accepted engine.Accepted
+	accepted engine.AcceptedEvent
 	ctx      context.Context
 	tokens   <-chan engine.Token
 	// err ends the stream once tokens is closed; nil means the end mark.
@@ -86,7 +86,7 @@
 	cancel func()
 }
 
-func (s *fakeStream) Accepted() engine.Accepted { return s.accepted }
+func (s *fakeStream) Accepted() engine.AcceptedEvent { return s.accepted }
 
 func (s *fakeStream) Next() (engine.Token, error) {
 	select {
@@ -95,7 +95,7 @@
 			return t, nil
 		}
 	case <-s.ctx.Done():
-		return engine.Token{}, &engine.Interrupted{Attempt: s.accepted.Attempt, Cause: s.ctx.Err()}
+		return engine.Token{}, &engine.InterruptedError{Attempt: s.accepted.Attempt, Cause: s.ctx.Err()}
 	}
 	if s.err != nil {
 		return engine.Token{}, s.err
@@ -122,11 +122,11 @@
 }
 
 func (c *fakeClient) stream(ctx context.Context, req engine.GenerateRequest, tokens <-chan engine.Token, err error) *fakeStream {
-	if interrupted, ok := err.(*engine.Interrupted); ok {
+	if interrupted, ok := err.(*engine.InterruptedError); ok {
 		interrupted.Attempt = req.Attempt
 	}
 	return &fakeStream{
-		accepted: engine.Accepted{Attempt: req.Attempt, Boot: "b1", Weights: req.Weights},
+		accepted: engine.AcceptedEvent{Attempt: req.Attempt, Boot: "b1", Weights: req.Weights},
 		ctx:      ctx, tokens: tokens, err: err,
 		cancel: func() { _ = c.Cancel(ctx, netip.AddrPort{}, req.Attempt) },
 	}
--- a/entry/hungendpoint_test.go
+++ b/entry/hungendpoint_test.go
@@ -32,7 +32,7 @@
 	t.Cleanup(func() { close(over) })
 	r.client.generate = []script{
 		func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
-			return nil, &engine.Interrupted{Attempt: req.Attempt, Cause: &engine.Silent{After: time.Second}}
+			return nil, &engine.InterruptedError{Attempt: req.Attempt, Cause: &engine.ReadTimeoutError{After: time.Second}}
 		},
 		r.client.says([]string{"a", "b"}, nil),
 	}
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -75,7 +75,7 @@
 	first   engine.Token
 	// whole is set when the stream ended before any token.
 	whole  bool
-	answer engine.CallAnswer
+	answer engine.CallResponse
 }
 
 // progress gives how many tokens the caller has, and their text.
--- a/entry/lostrequest_test.go
+++ b/entry/lostrequest_test.go
@@ -59,11 +59,11 @@
 		}}
 		r := newRig(t, func(o *Options) { o.Router = s })
 		called, release := make(chan struct{}), make(chan struct{})
-		r.client.call = []func(engine.CallRequest) (engine.CallAnswer, error){
-			func(req engine.CallRequest) (engine.CallAnswer, error) {
+		r.client.call = []func(engine.CallRequest) (engine.CallResponse, error){
+			func(req engine.CallRequest) (engine.CallResponse, error) {
 				close(called)
 				<-release
-				return engine.CallAnswer{Attempt: req.Attempt, Status: http.StatusOK, Body: []byte("found")}, nil
+				return engine.CallResponse{Attempt: req.Attempt, Status: http.StatusOK, Body: []byte("found")}, nil
 			},
 		}
 		got := make(chan string, 1)
--- a/entry/outcome/outcome.go
+++ b/entry/outcome/outcome.go
@@ -122,7 +122,7 @@
 
 // ProofOf gives the proof that an error of the engine client carries, if any.
 func ProofOf(err error) (Proof, bool) {
-	var not *engine.NotStarted
+	var not *engine.NotStartedError
 	if !errors.As(err, &not) {
 		return Proof{}, false
 	}
--- a/entry/responsereader.go
+++ b/entry/responsereader.go
@@ -204,7 +204,7 @@
 	}
 	got := r.current.answer
 	r.complete()
-	return tables.StoredResponse{Status: got.Status, ContentType: got.Type, Body: got.Body}, nil
+	return tables.StoredResponse{Status: got.Status, ContentType: got.ContentType, Body: got.Body}, nil
 }
 
 // text collects the whole answer; it is for callers who do not stream.
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -61,7 +61,7 @@
 	r := newRig(t, nil)
 	words := []string{"a", "b", "c", "d"}
 	r.client.generate = []script{
-		r.client.says(words[:2], &engine.Interrupted{Tokens: 2, Cause: context.DeadlineExceeded}),
+		r.client.says(words[:2], &engine.InterruptedError{Tokens: 2, Cause: context.DeadlineExceeded}),
 		r.client.says(words, nil),
 	}
 	resp := r.post(t, t.Context(), "/v1/completions", `{"model":"m","prompt":"p","stream":true}`)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -97,7 +97,7 @@
 	a.recordResponseHeader(response.Header)
 	if !a.isValidResponse(response) {
 		response.Close()
-		a.handleFailure(&engine.Interrupted{Attempt: a.id, Cause: &engine.Garbled{What: "answer"}})
+		a.handleFailure(&engine.InterruptedError{Attempt: a.id, Cause: &engine.ProtocolError{What: "answer"}})
 		return
 	}
 	if a.isEventStream(response) {
@@ -251,7 +251,7 @@
 func (a *attempt) classifyError(err error) dispatch.Outcome {
 	timedOut := a.stopResponseTimer()
 	var declined *exchange.Declined
-	var notStarted *engine.NotStarted
+	var notStarted *engine.NotStartedError
 	switch {
 	case errors.As(err, &declined) && declined.Status == http.StatusMisdirectedRequest:
 		// The response comes from another process, or from one with other weights. Its header
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -118,7 +118,7 @@
 		}
 		if err != nil {
 			response.Close()
-			a.handleFailure(&engine.Interrupted{Attempt: a.id, Cause: err})
+			a.handleFailure(&engine.InterruptedError{Attempt: a.id, Cause: err})
 			return
 		}
 		a.stopResponseTimer()
--- a/node/kvstores.go
+++ b/node/kvstores.go
@@ -89,7 +89,7 @@
 
 // probeAll returns the stores that accept a connection. It probes them concurrently, so that
 // an unreachable store does not delay the results of the others.
-func probeAll(ctx context.Context, dial engine.Dial, stores []*routes.Service) []fleet.Endpoint {
+func probeAll(ctx context.Context, dial engine.DialFunc, stores []*routes.Service) []fleet.Endpoint {
 	results := make([][]fleet.Endpoint, len(stores))
 	var probes sync.WaitGroup
 	for i, store := range stores {
@@ -100,7 +100,7 @@
 }
 
 // probe returns a store as an endpoint if it accepts a connection, and nothing otherwise.
-func probe(ctx context.Context, dial engine.Dial, store *routes.Service) []fleet.Endpoint {
+func probe(ctx context.Context, dial engine.DialFunc, store *routes.Service) []fleet.Endpoint {
 	bounded, cancel := context.WithTimeout(ctx, kvStoreProbeTimeout)
 	defer cancel()
 	conn, err := dial(bounded, store.KVStoreAddress)
--- a/node/node.go
+++ b/node/node.go
@@ -50,7 +50,7 @@
 	EngineClient rollout.EngineClient
 	// CacheReporter reads the cache events of engines and KV cache stores; nil if they report
 	// none.
-	CacheReporter engine.Reporter
+	CacheReporter engine.ReportReader
 	// OperatorHandler returns the HTTP handler for operators' calls.
 	OperatorHandler func(documents *deployment.Service, log *zap.Logger) http.Handler
 }
@@ -98,7 +98,7 @@
 	// client calls other instances.
 	client *http.Client
 	// dial opens connections to endpoints and instances.
-	dial           engine.Dial
+	dial           engine.DialFunc
 	dialer         *transport.Dialer
 	controlClients controlClientCache
 	gossip         atomic.Pointer[gossip.Gossip]
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -134,7 +134,7 @@
 	mux.HandleFunc("POST "+engine.PathGenerate, e.serveGenerate)
 	mux.HandleFunc("POST "+engine.PathCancel, e.serveCancel)
 	mux.HandleFunc("GET "+engine.PathLoad, e.serveLoad)
-	mux.HandleFunc("GET "+engine.PathEvents, e.serveEvents)
+	mux.HandleFunc("GET "+engine.PathCacheEvents, e.serveEvents)
 	mux.HandleFunc("POST "+engine.PathOrders, e.serveOrder)
 	mux.HandleFunc("GET "+engine.PathOrderState, e.serveOrderState)
 	mux.HandleFunc("POST "+engine.PathCacheExport, e.serveExport)
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -29,7 +29,7 @@
 }
 
 func ask(attempt, prompt string) engine.GenerateRequest {
-	return engine.GenerateRequest{Attempt: tables.AttemptID(attempt), Model: "m", Prompt: prompt, MaxToken: 2, Salt: "org"}
+	return engine.GenerateRequest{Attempt: tables.AttemptID(attempt), Model: "m", Prompt: prompt, MaxTokens: 2, Salt: "org"}
 }
 
 // run takes an attempt to its end.
@@ -111,7 +111,7 @@
 	e, c := newEngine(t, func(o *EngineOptions) { o.Speedup = 1 })
 	before := e.Boot()
 	long := ask("innocent", "p")
-	long.MaxToken = 100_000
+	long.MaxTokens = 100_000
 	innocent, err := c.Generate(t.Context(), e.Address(), long)
 	assert.NilError(t, err)
 	poisoned, err := c.Generate(t.Context(), e.Address(), ask("poisoned", "x"+PoisonMark))
@@ -119,7 +119,7 @@
 		_, err = poisoned.Next()
 		_ = poisoned.Close()
 	}
-	var open *engine.Interrupted
+	var open *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &open), "%v", err)
 	for err = nil; err == nil; {
 		_, err = innocent.Next()
@@ -144,9 +144,9 @@
 		t.Run(name, func(t *testing.T) {
 			e, c := newEngine(t, nil)
 			stop(e)
-			impatient := engine.NewHTTPClient(engine.Options{AcceptTimeout: 50 * time.Millisecond})
+			impatient := engine.NewHTTPClient(engine.Options{ResponseTimeout: 50 * time.Millisecond})
 			_, err := impatient.Generate(t.Context(), e.Address(), ask("1", "p"))
-			var silent *engine.Silent
+			var silent *engine.ReadTimeoutError
 			assert.Assert(t, errors.As(err, &silent), "%v", err)
 			e.Resume()
 			run(t, c, e, ask("2", "p"))
@@ -158,7 +158,7 @@
 func TestRefusingEngineKeepsItsStreams(t *testing.T) {
 	e, c := newEngine(t, func(o *EngineOptions) { o.Speedup = 1 })
 	long := ask("1", "p")
-	long.MaxToken = 100_000
+	long.MaxTokens = 100_000
 	s, err := c.Generate(t.Context(), e.Address(), long)
 	assert.NilError(t, err)
 	_, err = s.Next()
@@ -166,7 +166,7 @@
 	e.Refuse()
 	other := engine.NewHTTPClient(engine.Options{})
 	_, err = other.Generate(t.Context(), e.Address(), ask("2", "p"))
-	var proven *engine.NotStarted
+	var proven *engine.NotStartedError
 	assert.Assert(t, errors.As(err, &proven) && proven.Unreachable, "%v", err)
 	_, err = s.Next()
 	assert.NilError(t, err)
@@ -208,7 +208,7 @@
 		state, stateErr := c.OrderState(t.Context(), e.Address())
 		assert.NilError(t, stateErr)
 		if checks {
-			var old *engine.OldFence
+			var old *engine.StaleFencingTokenError
 			assert.Assert(t, errors.As(err, &old), "%v", err)
 			assert.Equal(t, old.Seen, tables.FencingToken(7))
 			assert.Equal(t, state.Weights["m"], tables.WeightsVersion("v2"))
@@ -259,7 +259,7 @@
 	req := ask("1", "p")
 	req.ResumeFrom, req.Emitted = 1, "other"
 	_, err := c.Generate(t.Context(), e.Address(), req)
-	var proven *engine.NotStarted
+	var proven *engine.NotStartedError
 	assert.Assert(t, errors.As(err, &proven), "%v", err)
 	assert.Equal(t, e.Records().Totals().BadResumes, 1)
 }
--- a/standin/handlers.go
+++ b/standin/handlers.go
@@ -27,14 +27,14 @@
 func readJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(value)
 	if err != nil {
-		answerJSON(w, http.StatusBadRequest, engine.Decline{NotStarted: true, Reason: "malformed request"})
+		answerJSON(w, http.StatusBadRequest, engine.Rejection{NotStarted: true, Reason: "malformed request"})
 	}
 	return err == nil
 }
 
 func (e *Engine) decline(w http.ResponseWriter, status int, attempt tables.AttemptID, reason string) {
 	e.options.Records.update(func(t *Totals) { t.Declined++ })
-	answerJSON(w, status, engine.Decline{Attempt: attempt, NotStarted: true, Reason: reason})
+	answerJSON(w, status, engine.Rejection{Attempt: attempt, NotStarted: true, Reason: reason})
 }
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
@@ -90,7 +90,7 @@
 func (e *Engine) streamAnswer(w http.ResponseWriter, r *http.Request, l *life, a *attempt) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := &eventWriter{w: w, flusher: w.(http.Flusher)}
-	out.event(engine.EventAccepted, engine.Accepted{
+	out.event(engine.EventAccepted, engine.AcceptedEvent{
 		Attempt: a.req.Attempt, Boot: l.boot, Weights: a.weights, CachedTokens: a.foundTokens,
 	})
 	ticker := time.NewTicker(heartbeat)
@@ -102,7 +102,7 @@
 		case <-ticker.C:
 			out.text(heartbeatLine)
 		case <-a.gone:
-			out.event(engine.EventError, engine.StreamFailure{Attempt: a.req.Attempt, Reason: "cancelled"})
+			out.event(engine.EventError, engine.ErrorEvent{Attempt: a.req.Attempt, Reason: "cancelled"})
 			return
 		case <-l.ctx.Done():
 			l.cut(a)
@@ -112,8 +112,8 @@
 			panic(http.ErrAbortHandler)
 		}
 		<-e.hang.opened()
-		if sent = out.tokens(a, sent); sent == a.req.MaxToken {
-			out.event(engine.EventDone, engine.Done{Attempt: a.req.Attempt, Tokens: sent, CachedTokens: a.cachedTokens})
+		if sent = out.tokens(a, sent); sent == a.req.MaxTokens {
+			out.event(engine.EventDone, engine.DoneEvent{Attempt: a.req.Attempt, Tokens: sent, CachedTokens: a.cachedTokens})
 			return
 		}
 	}
@@ -144,7 +144,7 @@
 	produced := int(a.produced.Load())
 	for ; sent < produced; sent++ {
 		token := engine.Token{Attempt: a.req.Attempt, Index: sent, Text: a.text.Token(sent)}
-		o.buffer = engine.AppendToken(o.buffer[:0], token)
+		o.buffer = engine.AppendTokenEvent(o.buffer[:0], token)
 		_, _ = o.w.Write(o.buffer)
 		o.flusher.Flush()
 	}
@@ -158,7 +158,7 @@
 	}
 	l := e.current()
 	found := l.drop(req.Attempt)
-	answerJSON(w, http.StatusOK, engine.CancelAnswer{Attempt: req.Attempt, Boot: l.boot, Found: found})
+	answerJSON(w, http.StatusOK, engine.CancelResponse{Attempt: req.Attempt, Boot: l.boot, Found: found})
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, r *http.Request) {
@@ -208,8 +208,8 @@
 	defer deadline.Stop()
 	for {
 		changes, next, grown := l.log.after(after, time.Now())
-		if len(changes) > engine.MaxChanges {
-			changes = changes[:engine.MaxChanges]
+		if len(changes) > engine.MaxChangesPerResponse {
+			changes = changes[:engine.MaxChangesPerResponse]
 		}
 		if len(changes) > 0 {
 			answerJSON(w, http.StatusOK, engine.CacheChanges{Boot: l.boot, Changes: changes})
--- a/standin/life.go
+++ b/standin/life.go
@@ -224,7 +224,7 @@
 // decode computes one token of an answer and reports whether more are due.
 func (l *life) decode(a *attempt) bool {
 	produced := a.produced.Add(1)
-	more := int(produced) < a.req.MaxToken
+	more := int(produced) < a.req.MaxTokens
 	if !more {
 		l.unpin(a)
 		a.over.Store(true)
--- a/standin/service.go
+++ b/standin/service.go
@@ -204,7 +204,7 @@
 	w.Header().Set(engine.HeaderBoot, string(s.Boot()))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	if err != nil {
-		answerJSON(w, http.StatusBadRequest, engine.Decline{Attempt: attempt, NotStarted: true, Reason: "incomplete body"})
+		answerJSON(w, http.StatusBadRequest, engine.Rejection{Attempt: attempt, NotStarted: true, Reason: "incomplete body"})
 		return
 	}
 	select {
@@ -221,7 +221,7 @@
 	s.options.Records.mu.Lock()
 	s.options.Records.declined++
 	s.options.Records.mu.Unlock()
-	answerJSON(w, http.StatusServiceUnavailable, engine.Decline{Attempt: attempt, NotStarted: true, Reason: "all slots busy"})
+	answerJSON(w, http.StatusServiceUnavailable, engine.Rejection{Attempt: attempt, NotStarted: true, Reason: "all slots busy"})
 }
 
 func (s *Service) execute(w http.ResponseWriter, r *http.Request, attempt tables.AttemptID, body []byte) {
@@ -229,7 +229,7 @@
 	s.options.Records.mu.Lock()
 	s.options.Records.executions = append(s.options.Records.executions, Execution{
 		Endpoint: s.options.ID, Boot: s.Boot(), Attempt: attempt, Call: call,
-		Key: r.Header.Get(engine.HeaderKey), Work: ServiceWork(call, body),
+		Key: r.Header.Get(engine.HeaderIdempotencyKey), Work: ServiceWork(call, body),
 	})
 	s.options.Records.mu.Unlock()
 	if bytes.Contains(body, []byte(PoisonMark)) {
--- a/standin/service_test.go
+++ b/standin/service_test.go
@@ -22,7 +22,7 @@
 func publish(key string) engine.CallRequest {
 	return engine.CallRequest{
 		Attempt: "a1", Path: engine.PathCall + "publish",
-		Type: "text/plain", Key: "k-" + key, Body: []byte("note"),
+		ContentType: "text/plain", IdempotencyKey: "k-" + key, Body: []byte("note"),
 	}
 }
 
@@ -45,7 +45,7 @@
 	s := startService(t, ServiceOptions{AnswerLoss: 1})
 	c := engine.NewHTTPClient(engine.Options{})
 	_, err := c.Call(context.Background(), s.Address(), publish("1"))
-	var open *engine.Interrupted
+	var open *engine.InterruptedError
 	assert.Assert(t, errors.As(err, &open), "%v", err)
 	assert.Equal(t, len(s.Records().Executions()), 1)
 }
@@ -56,7 +56,7 @@
 	s.slots <- struct{}{}
 	c := engine.NewHTTPClient(engine.Options{})
 	_, err := c.Call(context.Background(), s.Address(), publish("1"))
-	var proven *engine.NotStarted
+	var proven *engine.NotStartedError
 	assert.Assert(t, errors.As(err, &proven), "%v", err)
 	assert.Equal(t, len(s.Records().Executions()), 0)
 	assert.Equal(t, s.Records().Declined(), 1)
