--- a/engine/exchange/answer.go
+++ b/engine/exchange/answer.go
@@ -8,9 +8,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Answer is an endpoint's answer whose header has arrived. One goroutine uses
+// Response is an endpoint's answer whose header has arrived. One goroutine uses
 // it and ends it by reading to the end or by Close.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 
@@ -28,7 +28,7 @@
 
 // ReadAll gives the whole body, or *engine.Interrupted if it broke off or is
 // longer than the client's limit.
-func (a *Answer) ReadAll() ([]byte, error) {
+func (a *Response) ReadAll() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.resp.Body, a.client.limit+1))
 	if err == nil && int64(len(body)) > a.client.limit {
 		err = &engine.TooLargeError{What: "answer", Limit: a.client.limit}
@@ -43,7 +43,7 @@
 
 // Read reads on in the body; it is for streams. io.EOF means that the answer is
 // whole.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.resp.Body.Read(p)
 	if err == io.EOF {
 		a.finish()
@@ -54,7 +54,7 @@
 // finish ends a whole answer and keeps the connection if it is clean. Bytes
 // after the answer belong to no request, and a body that was answered before it
 // was read leaves the connection in the middle of it.
-func (a *Answer) finish() {
+func (a *Response) finish() {
 	if a.ended {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // sent says whether the whole request has left.
-func (a *Answer) sent() bool {
+func (a *Response) sent() bool {
 	if a.written == nil {
 		return true
 	}
@@ -82,14 +82,14 @@
 
 // Close ends the attempt: the connection is closed, which tells the endpoint to
 // stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.ended {
 		return
 	}
 	a.drop()
 }
 
-func (a *Answer) drop() {
+func (a *Response) drop() {
 	a.ended = true
 	a.release()
 	_ = a.conn.Close()
--- a/engine/exchange/client.go
+++ b/engine/exchange/client.go
@@ -27,8 +27,8 @@
 	// is sent again after a second when an endpoint's queue is full, so a longer
 	// wait only helps the caller in the rarest case.
 	ConnectTimeout time.Duration
-	// AnswerBytes bounds an answer that is not a stream.
-	AnswerBytes int64
+	// MaxResponseBytes bounds an answer that is not a stream.
+	MaxResponseBytes int64
 }
 
 const (
@@ -58,13 +58,13 @@
 	if o.ConnectTimeout == 0 {
 		o.ConnectTimeout = defaultConnectTimeout
 	}
-	if o.AnswerBytes == 0 {
-		o.AnswerBytes = defaultAnswerBytes
+	if o.MaxResponseBytes == 0 {
+		o.MaxResponseBytes = defaultAnswerBytes
 	}
 	return &Client{
 		headers: o.Headers,
 		pool:    &pool{dial: o.Dial, idle: map[netip.AddrPort][]*connection{}},
-		limit:   o.AnswerBytes,
+		limit:   o.MaxResponseBytes,
 		timeout: o.ConnectTimeout,
 	}
 }
@@ -95,14 +95,14 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Once is set for work that must not run twice.
-	Once bool
+	// AtMostOnce is set for work that must not run twice.
+	AtMostOnce bool
 }
 
 // connect returns a connection for a request and whether it carried one before.
 func (c *Client) connect(ctx context.Context, to netip.AddrPort, r *Request) (*connection, error) {
 	fresh := time.Duration(0)
-	if r.Once {
+	if r.AtMostOnce {
 		fresh = freshOnce
 	}
 	if kept := c.pool.take(to, fresh); kept != nil {
@@ -126,9 +126,9 @@
 	}
 }
 
-// Reach says whether an endpoint takes a connection; kept ones are of no use if it
+// CheckReachable says whether an endpoint takes a connection; kept ones are of no use if it
 // does not, and are closed.
-func (c *Client) Reach(ctx context.Context, to netip.AddrPort) error {
+func (c *Client) CheckReachable(ctx context.Context, to netip.AddrPort) error {
 	bounded, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	conn, err := c.pool.open(bounded, to)
--- a/engine/exchange/events.go
+++ b/engine/exchange/events.go
@@ -21,16 +21,16 @@
 	HasID bool
 }
 
-// Events reads whole events. What was cut off in the middle is never returned:
+// EventReader reads whole events. What was cut off in the middle is never returned:
 // a caller that had got a part of an event could not tell it from a whole one
 // when the stream goes on elsewhere.
-type Events struct {
+type EventReader struct {
 	reader *bufio.Reader
 }
 
-// NewEvents reads the events of an answer.
-func NewEvents(from io.Reader) *Events {
-	return &Events{reader: bufio.NewReaderSize(from, readBuffer)}
+// NewEventReader reads the events of an answer.
+func NewEventReader(from io.Reader) *EventReader {
+	return &EventReader{reader: bufio.NewReaderSize(from, readBuffer)}
 }
 
 var fieldID = []byte("id:")
@@ -38,7 +38,7 @@
 // Next returns the next event, io.EOF after the last one, and
 // io.ErrUnexpectedEOF if the stream ends inside an event. The event is the
 // caller's.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	var event Event
 	start := 0 // of the line that is being read
 	for {
--- a/engine/exchange/exchange_test.go
+++ b/engine/exchange/exchange_test.go
@@ -63,11 +63,11 @@
 func request(id string) *Request {
 	return &Request{
 		Attempt: "a-1", ID: id, Method: http.MethodPost, Target: "/x/y?z=1", Host: "h.example",
-		Header: http.Header{"X-Request": {id}}, Body: []byte("body"), Once: true,
+		Header: http.Header{"X-Request": {id}}, Body: []byte("body"), AtMostOnce: true,
 	}
 }
 
-func send(t *testing.T, c *Client, to netip.AddrPort, r *Request) (*Answer, error) {
+func send(t *testing.T, c *Client, to netip.AddrPort, r *Request) (*Response, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	t.Cleanup(cancel)
@@ -197,7 +197,7 @@
 	c := NewClient(Options{Headers: headers()})
 	for range answers {
 		_, err := send(t, c, to, request("r-1"))
-		var declined *Declined
+		var declined *RejectedError
 		assert.Assert(t, errors.As(err, &declined), "%v", err)
 		var not *engine.NotStartedError
 		assert.Assert(t, errors.As(err, &not))
@@ -280,7 +280,7 @@
 func TestEventsComeWholeAndByteForByte(t *testing.T) {
 	long := strings.Repeat("x", 3*readBuffer)
 	text := "id: 1\ndata: a\n\n" + ": note\r\nid:2\r\ndata: " + long + "\r\n\r\n" + "id: 3\ndata: cut"
-	events := NewEvents(strings.NewReader(text))
+	events := NewEventReader(strings.NewReader(text))
 	first, err := events.Next()
 	assert.NilError(t, err)
 	assert.Equal(t, string(first.Raw), "id: 1\ndata: a\n\n")
@@ -297,7 +297,7 @@
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n")
 	f.Add("\n\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		events := NewEvents(strings.NewReader(text))
+		events := NewEventReader(strings.NewReader(text))
 		var got strings.Builder
 		for {
 			event, err := events.Next()
--- a/engine/exchange/send.go
+++ b/engine/exchange/send.go
@@ -25,7 +25,7 @@
 // *engine.NotStarted, with proof that the request did not run, and
 // *engine.Interrupted, after which it may have run. When the context ends the
 // connection is closed, which ends the work at the endpoint.
-func (c *Client) Send(ctx context.Context, to netip.AddrPort, r *Request) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, to netip.AddrPort, r *Request) (*Response, error) {
 	conn, err := c.connect(ctx, to, r)
 	if err != nil {
 		return nil, err
@@ -47,8 +47,8 @@
 func (e *nothingWritten) Error() string { return "nothing was written: " + e.cause.Error() }
 
 // sendOn runs one request on a connection.
-func (c *Client) sendOn(ctx context.Context, conn *connection, r *Request) (*Answer, error) {
-	a := &Answer{client: c, conn: conn, attempt: r.Attempt}
+func (c *Client) sendOn(ctx context.Context, conn *connection, r *Request) (*Response, error) {
+	a := &Response{client: c, conn: conn, attempt: r.Attempt}
 	a.release = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if err := a.write(r); err != nil {
 		a.drop()
@@ -65,7 +65,7 @@
 }
 
 // write sends the request. A long body is sent beside the reading of the answer.
-func (a *Answer) write(r *Request) error {
+func (a *Response) write(r *Request) error {
 	message := encodeRequest(r)
 	if len(message) <= syncBody {
 		n, err := a.conn.Write(message)
@@ -109,7 +109,7 @@
 // readHeader reads the header of the answer to this request. Answers that name
 // another request are skipped: an endpoint may answer an earlier request of the
 // connection twice, and its caller must not get this one's place.
-func (a *Answer) readHeader(r *Request) error {
+func (a *Response) readHeader(r *Request) error {
 	asked := &http.Request{Method: r.Method, URL: &url.URL{}}
 	for stray := 0; ; {
 		resp, err := http.ReadResponse(a.conn.reader, asked)
@@ -135,18 +135,18 @@
 	}
 }
 
-func (a *Answer) unrun(resp *http.Response) bool {
+func (a *Response) unrun(resp *http.Response) bool {
 	return resp.Header.Get(a.client.headers.NotRun) != ""
 }
 
 // declined returns the endpoint's word that it did not run the request, nil if
 // it did not say so. The connection stays usable.
-func (c *Client) declined(a *Answer, r *Request) error {
+func (c *Client) declined(a *Response, r *Request) error {
 	misdirected := a.Status == http.StatusMisdirectedRequest
 	if !misdirected && a.Header.Get(c.headers.NotRun) == "" {
 		return nil
 	}
-	failure := &Declined{
+	failure := &RejectedError{
 		NotStartedError: engine.NotStartedError{Attempt: r.Attempt, Rejected: true, Reason: http.StatusText(a.Status)},
 		Status:          a.Status,
 		Header:          a.Header,
@@ -157,13 +157,13 @@
 	return failure
 }
 
-// Declined is an endpoint's word that it did not run the request. It unwraps to
+// RejectedError is an endpoint's word that it did not run the request. It unwraps to
 // *engine.NotStarted.
-type Declined struct {
+type RejectedError struct {
 	engine.NotStartedError
 	Status int
 	Header http.Header
 }
 
 // Unwrap gives the proof.
-func (e *Declined) Unwrap() error { return &e.NotStartedError }
+func (e *RejectedError) Unwrap() error { return &e.NotStartedError }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -123,14 +123,14 @@
 		header.Set(h.LastEvent, c.lastEventID)
 	}
 	return &exchange.Request{
-		Attempt: a.id,
-		ID:      c.id,
-		Method:  c.r.Method,
-		Target:  c.r.RequestURI,
-		Host:    c.r.Host,
-		Header:  header,
-		Body:    c.body,
-		Once:    !c.route.SafeToRetry(),
+		Attempt:    a.id,
+		ID:         c.id,
+		Method:     c.r.Method,
+		Target:     c.r.RequestURI,
+		Host:       c.r.Host,
+		Header:     header,
+		Body:       c.body,
+		AtMostOnce: !c.route.SafeToRetry(),
 	}
 }
 
@@ -172,7 +172,7 @@
 // isValidResponse reports whether the response can come from the endpoint's application. A
 // success without the signature header, or any body in an encoding that was not requested,
 // does not.
-func (a *attempt) isValidResponse(response *exchange.Answer) bool {
+func (a *attempt) isValidResponse(response *exchange.Response) bool {
 	if response.Header.Get("Content-Encoding") != "" {
 		return false
 	}
@@ -250,7 +250,7 @@
 // classifyError maps the error of an attempt to its outcome.
 func (a *attempt) classifyError(err error) dispatch.Outcome {
 	timedOut := a.stopResponseTimer()
-	var declined *exchange.Declined
+	var declined *exchange.RejectedError
 	var notStarted *engine.NotStartedError
 	switch {
 	case errors.As(err, &declined) && declined.Status == http.StatusMisdirectedRequest:
--- a/forward/healthcheck.go
+++ b/forward/healthcheck.go
@@ -134,7 +134,7 @@
 	ctx := h.server.options.Context
 	unreachable := false
 	for range maxProbes {
-		err := h.server.options.Client.Reach(ctx, e.Address)
+		err := h.server.options.Client.CheckReachable(ctx, e.Address)
 		if err == nil {
 			break
 		}
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -28,7 +28,7 @@
 
 // isEventStream reports whether the response is a successful stream of server-sent events
 // on a route for streams.
-func (a *attempt) isEventStream(response *exchange.Answer) bool {
+func (a *attempt) isEventStream(response *exchange.Response) bool {
 	if a.request.route.Kind != routes.Stream || !isSuccess(response.Status) {
 		return false
 	}
@@ -38,7 +38,7 @@
 
 // relayBuffered relays a response that is not a stream. It buffers the whole response
 // first, so that a broken one can be retried and no client receives a part of it.
-func (a *attempt) relayBuffered(response *exchange.Answer) {
+func (a *attempt) relayBuffered(response *exchange.Response) {
 	c := a.request
 	body, err := response.ReadAll()
 	if err != nil {
@@ -107,9 +107,9 @@
 
 // relayStream relays events as they arrive. The client receives only complete events, each
 // once and in order, also if several endpoints have produced them.
-func (a *attempt) relayStream(response *exchange.Answer) {
+func (a *attempt) relayStream(response *exchange.Response) {
 	c := a.request
-	stream := exchange.NewEvents(response)
+	stream := exchange.NewEventReader(response)
 	for {
 		event, err := stream.Next()
 		if err == io.EOF {
@@ -151,7 +151,7 @@
 
 // writeEvent sends one event to the client. Before the first event it sends the header of
 // the response that contains it.
-func (c *clientRequest) writeEvent(response *exchange.Answer, event exchange.Event) error {
+func (c *clientRequest) writeEvent(response *exchange.Response, event exchange.Event) error {
 	control := http.NewResponseController(c.w)
 	if !c.responseStarted {
 		c.responseStarted = true
@@ -175,7 +175,7 @@
 }
 
 // finishStream ends a stream that is complete.
-func (a *attempt) finishStream(response *exchange.Answer) {
+func (a *attempt) finishStream(response *exchange.Response) {
 	c := a.request
 	a.stopResponseTimer()
 	a.recordResponseStart()
