--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -72,7 +72,7 @@
 	// The entry role; nil without it.
 	router *router.Router
 	entry  *entry.Server
-	feeds  *feed.Group
+	feeds  *feed.PollerGroup
 	// callers serves the entry.
 	callers *http.Server
 
@@ -173,7 +173,7 @@
 func (d *Daemon) configure(c *tables.Configuration) {
 	if d.entry != nil {
 		d.entry.Configure(c)
-		d.feeds.Configure(c)
+		d.feeds.Reconcile(c)
 	}
 	d.inForce.Store(&inForce{configuration: c, since: time.Now()})
 	d.tellRevision()
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -39,11 +39,11 @@
 		return err
 	}
 	d.entry = server
-	d.feeds = feed.NewGroup(feed.Options{
-		Reporter: d.client,
-		Deliver:  server.Observe,
-		Period:   d.options.FeedPeriod,
-		Log:      d.options.Log,
+	d.feeds = feed.NewPollerGroup(feed.Options{
+		Reporter:     d.client,
+		Deliver:      server.Observe,
+		LoadInterval: d.options.FeedPeriod,
+		Log:          d.options.Log,
 	})
 	return nil
 }
--- a/engine/feed/feed.go
+++ b/engine/feed/feed.go
@@ -21,11 +21,11 @@
 
 // The defaults of Options.
 const (
-	DefaultPeriod     = 250 * time.Millisecond
-	DefaultEventWait  = 2 * time.Second
-	DefaultEventPause = 20 * time.Millisecond
-	DefaultMaxBackOff = 5 * time.Second
-	DefaultSilentAt   = 3
+	DefaultLoadInterval     = 250 * time.Millisecond
+	DefaultLongPollTimeout  = 2 * time.Second
+	DefaultMinEventInterval = 20 * time.Millisecond
+	DefaultMaxBackoff       = 5 * time.Second
+	DefaultFailureThreshold = 3
 )
 
 // jitter is the part of each wait that is random. Without it instances that
@@ -37,26 +37,26 @@
 	Reporter engine.ReportReader
 	// Deliver takes the inputs. It is called by many goroutines.
 	Deliver func(router.Input)
-	// Batch takes the changes of caches instead of Deliver, an answer at a time,
+	// DeliverBatch takes the changes of caches instead of Deliver, an answer at a time,
 	// where it is set; load reports are not read then.
-	Batch func(Batch)
-	// Silent is told when an endpoint stops answering and when it answers
+	DeliverBatch func(CacheBatch)
+	// OnUnresponsive is told when an endpoint stops answering and when it answers
 	// again; nil means nobody.
-	Silent func(id tables.EndpointID, silent bool)
-	// Watches chooses the endpoints that this instance reads; nil means all.
+	OnUnresponsive func(id tables.EndpointID, silent bool)
+	// ShouldPoll chooses the endpoints that this instance reads; nil means all.
 	// At many instances and endpoints each instance reads its share only.
-	Watches func(id tables.EndpointID) bool
-	// Period is the time between two load reports, EventWait how long an
+	ShouldPoll func(id tables.EndpointID) bool
+	// LoadInterval is the time between two load reports, EventWait how long an
 	// endpoint may hold back the question for cache events, EventPause the
 	// least time between two such questions, so that a busy cache is read in
 	// batches.
-	Period     time.Duration
-	EventWait  time.Duration
-	EventPause time.Duration
-	// MaxBackOff bounds the waits between questions that fail.
-	MaxBackOff time.Duration
-	// SilentAt is the number of load reports in a row that must fail.
-	SilentAt int
+	LoadInterval     time.Duration
+	LongPollTimeout  time.Duration
+	MinEventInterval time.Duration
+	// MaxBackoff bounds the waits between questions that fail.
+	MaxBackoff time.Duration
+	// FailureThreshold is the number of load reports in a row that must fail.
+	FailureThreshold int
 	// Sleep waits, or returns early with the context's error; nil means real
 	// time. Random gives numbers in [0, 1); nil means math/rand.
 	Sleep  func(ctx context.Context, d time.Duration) error
@@ -65,11 +65,11 @@
 }
 
 func (o Options) withDefaults() Options {
-	defaults.Set(&o.Period, DefaultPeriod)
-	defaults.Set(&o.EventWait, DefaultEventWait)
-	defaults.Set(&o.EventPause, DefaultEventPause)
-	defaults.Set(&o.MaxBackOff, DefaultMaxBackOff)
-	defaults.Set(&o.SilentAt, DefaultSilentAt)
+	defaults.Set(&o.LoadInterval, DefaultLoadInterval)
+	defaults.Set(&o.LongPollTimeout, DefaultLongPollTimeout)
+	defaults.Set(&o.MinEventInterval, DefaultMinEventInterval)
+	defaults.Set(&o.MaxBackoff, DefaultMaxBackoff)
+	defaults.Set(&o.FailureThreshold, DefaultFailureThreshold)
 	if o.Sleep == nil {
 		o.Sleep = wait.For
 	}
@@ -79,19 +79,19 @@
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	if o.Silent == nil {
-		o.Silent = func(tables.EndpointID, bool) {}
+	if o.OnUnresponsive == nil {
+		o.OnUnresponsive = func(tables.EndpointID, bool) {}
 	}
 	return o
 }
 
-// Batch is the changes of an endpoint's cache that came with one answer.
-type Batch struct {
+// CacheBatch is the changes of an endpoint's cache that came with one answer.
+type CacheBatch struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
-	// First is set for the first answer of a boot.
-	First   bool
-	Changes []engine.CacheChange
+	// FirstOfBoot is set for the first answer of a boot.
+	FirstOfBoot bool
+	Changes     []engine.CacheChange
 }
 
 // feed reads one endpoint.
@@ -106,10 +106,10 @@
 // instance.
 func (f *feed) backOff(base time.Duration, failures int) time.Duration {
 	wait := base
-	for i := 1; i < failures && wait < f.MaxBackOff; i++ {
+	for i := 1; i < failures && wait < f.MaxBackoff; i++ {
 		wait *= 2
 	}
-	return f.spread(min(wait, f.MaxBackOff))
+	return f.spread(min(wait, f.MaxBackoff))
 }
 
 func (f *feed) spread(d time.Duration) time.Duration {
@@ -119,16 +119,16 @@
 func (f *feed) named() zap.Field { return zap.String("endpoint", string(f.id)) }
 
 func (f *feed) noteSilence(failures int, err error) {
-	if failures == f.SilentAt {
+	if failures == f.FailureThreshold {
 		events.EndpointSilent.Log(f.Log, f.named(), zap.Error(err))
-		f.Silent(f.id, true)
+		f.OnUnresponsive(f.id, true)
 	}
 }
 
 func (f *feed) noteAnswer(failures int) {
-	if failures >= f.SilentAt {
+	if failures >= f.FailureThreshold {
 		events.EndpointAnswers.Log(f.Log, f.named())
-		f.Silent(f.id, false)
+		f.OnUnresponsive(f.id, false)
 	}
 }
 
@@ -150,12 +150,12 @@
 	var boot tables.BootID
 	var after uint64
 	failures := 0
-	wait := f.spread(f.EventPause)
+	wait := f.spread(f.MinEventInterval)
 	for f.Sleep(ctx, wait) == nil {
-		changes, err := f.Reporter.CacheChanges(ctx, f.at, boot, after, f.EventWait)
+		changes, err := f.Reporter.CacheChanges(ctx, f.at, boot, after, f.LongPollTimeout)
 		if err != nil || changes.Boot == "" {
 			failures++
-			wait = f.backOff(f.Period, failures)
+			wait = f.backOff(f.LoadInterval, failures)
 			continue
 		}
 		failures = 0
@@ -163,26 +163,26 @@
 		if first {
 			boot, after = changes.Boot, 0
 		}
-		if f.Batch != nil {
-			after = f.deliverBatch(Batch{Endpoint: f.id, Boot: boot, First: first}, after, changes.Changes)
+		if f.DeliverBatch != nil {
+			after = f.deliverBatch(CacheBatch{Endpoint: f.id, Boot: boot, FirstOfBoot: first}, after, changes.Changes)
 		} else {
 			after = f.deliverChanges(boot, after, changes.Changes)
 		}
-		wait = f.spread(f.EventPause)
+		wait = f.spread(f.MinEventInterval)
 	}
 }
 
 // deliverBatch hands on what is new of an answer, and returns the last sequence
 // number.
-func (f *feed) deliverBatch(b Batch, after uint64, changes []engine.CacheChange) uint64 {
+func (f *feed) deliverBatch(b CacheBatch, after uint64, changes []engine.CacheChange) uint64 {
 	for _, change := range changes {
-		if change.Sequence > after || b.First {
+		if change.Sequence > after || b.FirstOfBoot {
 			after = max(after, change.Sequence)
 			b.Changes = append(b.Changes, change)
 		}
 	}
-	if b.First || len(b.Changes) > 0 {
-		f.Batch(b)
+	if b.FirstOfBoot || len(b.Changes) > 0 {
+		f.DeliverBatch(b)
 	}
 	return after
 }
--- a/engine/feed/feed_test.go
+++ b/engine/feed/feed_test.go
@@ -68,10 +68,10 @@
 	s.end = cancel
 	r := &rig{ctx: ctx}
 	r.feed = feed{id: "e", Options: Options{
-		Reporter: s,
-		Deliver:  func(in router.Input) { r.inputs = append(r.inputs, in) },
-		Silent:   func(_ tables.EndpointID, silent bool) { r.silent = append(r.silent, silent) },
-		Random:   func() float64 { return 0.5 },
+		Reporter:       s,
+		Deliver:        func(in router.Input) { r.inputs = append(r.inputs, in) },
+		OnUnresponsive: func(_ tables.EndpointID, silent bool) { r.silent = append(r.silent, silent) },
+		Random:         func() float64 { return 0.5 },
 		Sleep: func(ctx context.Context, d time.Duration) error {
 			r.waits = append(r.waits, d)
 			return ctx.Err()
@@ -91,7 +91,7 @@
 	r := newRig(t, s)
 	r.readLoads(r.ctx)
 	assert.DeepEqual(t, r.silent, []bool{true, false})
-	p := r.Period
+	p := r.LoadInterval
 	assert.DeepEqual(t, r.waits[1:7], []time.Duration{p, p, 2 * p, 4 * p, 8 * p, p})
 	assert.DeepEqual(t, r.inputs, []router.Input{
 		router.LoadReport{Endpoint: "e", Boot: "b1", Running: 1},
@@ -132,9 +132,9 @@
 	defer e.Close()
 	inputs := make(chan router.Input, 1024)
 	client := engine.NewHTTPClient(engine.Options{})
-	g := NewGroup(Options{Reporter: client, Deliver: func(in router.Input) { inputs <- in }, Period: time.Millisecond, MaxBackOff: 5 * time.Millisecond})
+	g := NewPollerGroup(Options{Reporter: client, Deliver: func(in router.Input) { inputs <- in }, LoadInterval: time.Millisecond, MaxBackoff: 5 * time.Millisecond})
 	defer g.Close()
-	g.Configure(&tables.Configuration{Endpoints: []tables.Endpoint{{ID: "e1", Address: e.Address()}}})
+	g.Reconcile(&tables.Configuration{Endpoints: []tables.Endpoint{{ID: "e1", Address: e.Address()}}})
 
 	prompt := string(make([]byte, prefix.BlockBytes))
 	s, err := client.Generate(t.Context(), e.Address(), engine.GenerateRequest{
@@ -178,13 +178,13 @@
 		},
 	}
 	r := newRig(t, s)
-	var batches []Batch
-	r.Batch = func(b Batch) { batches = append(batches, b) }
+	var batches []CacheBatch
+	r.DeliverBatch = func(b CacheBatch) { batches = append(batches, b) }
 	r.readChanges(r.ctx)
 	assert.DeepEqual(t, s.asked, []uint64{0, 0, 2, 2, 0})
-	assert.DeepEqual(t, batches, []Batch{
-		{Endpoint: "e", Boot: "b1", First: true},
+	assert.DeepEqual(t, batches, []CacheBatch{
+		{Endpoint: "e", Boot: "b1", FirstOfBoot: true},
 		{Endpoint: "e", Boot: "b1", Changes: []engine.CacheChange{{Sequence: 1}, {Sequence: 2}}},
-		{Endpoint: "e", Boot: "b2", First: true, Changes: []engine.CacheChange{{Sequence: 0}}},
+		{Endpoint: "e", Boot: "b2", FirstOfBoot: true, Changes: []engine.CacheChange{{Sequence: 0}}},
 	})
 }
--- a/engine/feed/group.go
+++ b/engine/feed/group.go
@@ -20,9 +20,9 @@
 	stop context.CancelFunc
 }
 
-// Group holds the feeds of all endpoints of the configuration in force. Its
+// PollerGroup holds the feeds of all endpoints of the configuration in force. Its
 // methods are safe for concurrent use.
-type Group struct {
+type PollerGroup struct {
 	options Options
 	ctx     context.Context
 	end     context.CancelFunc
@@ -32,10 +32,10 @@
 	feeds map[tables.EndpointID]running
 }
 
-// NewGroup returns a group without feeds.
-func NewGroup(options Options) *Group {
+// NewPollerGroup returns a group without feeds.
+func NewPollerGroup(options Options) *PollerGroup {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Group{
+	return &PollerGroup{
 		options: options.withDefaults(),
 		ctx:     ctx,
 		end:     cancel,
@@ -43,10 +43,10 @@
 	}
 }
 
-// Configure starts feeds for new endpoints, stops those of endpoints that are
+// Reconcile starts feeds for new endpoints, stops those of endpoints that are
 // gone and restarts those whose address or life changed. A leaving endpoint is
 // read on, because its attempts still run.
-func (g *Group) Configure(c *tables.Configuration) {
+func (g *PollerGroup) Reconcile(c *tables.Configuration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.ctx.Err() != nil {
@@ -55,7 +55,7 @@
 	wanted := make(map[tables.EndpointID]target, len(c.Endpoints))
 	for i := range c.Endpoints {
 		e := &c.Endpoints[i]
-		if g.options.Watches == nil || g.options.Watches(e.ID) {
+		if g.options.ShouldPoll == nil || g.options.ShouldPoll(e.ID) {
 			wanted[e.ID] = target{at: e.Address, life: e.Life, kind: e.Kind}
 		}
 	}
@@ -72,11 +72,11 @@
 	}
 }
 
-func (g *Group) start(id tables.EndpointID, t target) {
+func (g *PollerGroup) start(id tables.EndpointID, t target) {
 	ctx, cancel := context.WithCancel(g.ctx)
 	g.feeds[id] = running{target: t, stop: cancel}
 	f := &feed{Options: g.options, id: id, at: t.at}
-	if g.options.Batch == nil {
+	if g.options.DeliverBatch == nil {
 		g.loops.Go(func() { f.readLoads(ctx) })
 	}
 	if t.kind == tables.Engine {
@@ -85,7 +85,7 @@
 }
 
 // Close stops all feeds and waits for them.
-func (g *Group) Close() {
+func (g *PollerGroup) Close() {
 	g.mu.Lock()
 	g.end()
 	g.mu.Unlock()
--- a/engine/feed/loads.go
+++ b/engine/feed/loads.go
@@ -30,7 +30,7 @@
 func (f *feed) readLoads(ctx context.Context) {
 	r := &loadReader{feed: f}
 	r.streamer, _ = f.Reporter.(engine.LoadStreamer)
-	wait := time.Duration(f.Random() * float64(f.Period))
+	wait := time.Duration(f.Random() * float64(f.LoadInterval))
 	for f.Sleep(ctx, wait) == nil {
 		wait = r.read(ctx)
 	}
@@ -50,7 +50,7 @@
 // reports it rests for half a period, so that an endpoint that sends faster
 // than it was asked to is held back by its connection.
 func (r *loadReader) stream(ctx context.Context) time.Duration {
-	s, err := r.streamer.LoadStream(ctx, r.at, r.Period)
+	s, err := r.streamer.LoadStream(ctx, r.at, r.LoadInterval)
 	var single *engine.LoadStreamUnsupportedError
 	if errors.As(err, &single) {
 		r.polls = pollsPerTry
@@ -71,7 +71,7 @@
 			return r.askInstead(ctx, err)
 		}
 		wait := r.take(load, err)
-		if err != nil || load.Boot == "" || r.Sleep(ctx, r.Period/2) != nil {
+		if err != nil || load.Boot == "" || r.Sleep(ctx, r.LoadInterval/2) != nil {
 			return wait
 		}
 	}
@@ -100,7 +100,7 @@
 	if err != nil || load.Boot == "" {
 		r.failures++
 		r.noteSilence(r.failures, err)
-		return r.backOff(r.Period, r.failures)
+		return r.backOff(r.LoadInterval, r.failures)
 	}
 	r.noteAnswer(r.failures)
 	r.failures = 0
@@ -109,5 +109,5 @@
 	}
 	r.boot = load.Boot
 	r.Deliver(r.report(load))
-	return r.spread(r.Period)
+	return r.spread(r.LoadInterval)
 }
--- a/engine/feed/loads_bench_test.go
+++ b/engine/feed/loads_bench_test.go
@@ -98,7 +98,7 @@
 		})
 		b.Run(fmt.Sprintf("stream/attempts=%d", attempts), func(b *testing.B) {
 			benchLoads(b, attempts, func(client *engine.HTTPClient, at netip.AddrPort, due chan<- struct{}) func() (engine.Load, error) {
-				s, err := client.LoadStream(b.Context(), at, DefaultPeriod)
+				s, err := client.LoadStream(b.Context(), at, DefaultLoadInterval)
 				assert.NilError(b, err)
 				b.Cleanup(s.Close)
 				return func() (engine.Load, error) {
@@ -139,7 +139,7 @@
 	perReport := float64(sent.Load()-from) / float64(b.N)
 	b.ReportMetric(perReport, "wire_B/report")
 	b.ReportMetric(float64((processorTime()-used).Microseconds())/float64(b.N), "cpu_us/report")
-	perSecond := perReport * float64(time.Second/DefaultPeriod)
+	perSecond := perReport * float64(time.Second/DefaultLoadInterval)
 	b.ReportMetric(12*perSecond, "B/s_at_12")
 	b.ReportMetric(21*perSecond, "B/s_at_21")
 }
--- a/engine/feed/loads_test.go
+++ b/engine/feed/loads_test.go
@@ -58,7 +58,7 @@
 	r := newRig(t, s)
 	r.Reporter = streamScript{s}
 	r.readLoads(r.ctx)
-	p := r.Period
+	p := r.LoadInterval
 	assert.DeepEqual(t, r.waits[1:7], []time.Duration{p / 2, p, 2 * p, 4 * p, 8 * p, p / 2})
 	assert.DeepEqual(t, r.silent, []bool{true, false})
 	assert.DeepEqual(t, r.inputs, []router.Input{
@@ -163,9 +163,9 @@
 			case <-ctx.Done():
 			}
 		},
-		Silent:     func(_ tables.EndpointID, is bool) { silent <- is },
-		Period:     time.Millisecond,
-		MaxBackOff: 5 * time.Millisecond,
+		OnUnresponsive: func(_ tables.EndpointID, is bool) { silent <- is },
+		LoadInterval:   time.Millisecond,
+		MaxBackoff:     5 * time.Millisecond,
 	}.withDefaults()}
 	done := make(chan struct{})
 	go func() {
--- a/node/cachesync.go
+++ b/node/cachesync.go
@@ -58,7 +58,7 @@
 // their caches, and callers of long prompts waited for that.
 type cacheSync struct {
 	node  *Node
-	feeds *feed.Group
+	feeds *feed.PollerGroup
 
 	mu        sync.Mutex
 	inventory cacheInventory
@@ -73,13 +73,13 @@
 		return
 	}
 	c := &cacheSync{node: n}
-	c.feeds = feed.NewGroup(feed.Options{
-		Reporter:   n.options.Platform.CacheReporter,
-		Batch:      c.handleBatch,
-		EventWait:  cacheLongPollTimeout,
-		EventPause: cachePollInterval,
-		MaxBackOff: cacheMaxBackOff,
-		Log:        n.log,
+	c.feeds = feed.NewPollerGroup(feed.Options{
+		Reporter:         n.options.Platform.CacheReporter,
+		DeliverBatch:     c.handleBatch,
+		LongPollTimeout:  cacheLongPollTimeout,
+		MinEventInterval: cachePollInterval,
+		MaxBackoff:       cacheMaxBackOff,
+		Log:              n.log,
 	})
 	n.background.Go(func() {
 		defer c.feeds.Close()
@@ -117,7 +117,7 @@
 			assigned.Endpoints = append(assigned.Endpoints, tables.Endpoint{ID: id, Address: e.Address, Life: uint64(e.StartUnixMilli), Kind: tables.Engine})
 		}
 	}
-	c.feeds.Configure(&assigned)
+	c.feeds.Reconcile(&assigned)
 	c.mu.Lock()
 	c.inventory.retain(func(id tables.EndpointID) bool {
 		return slices.ContainsFunc(assigned.Endpoints, func(e tables.Endpoint) bool { return e.ID == id })
@@ -151,17 +151,17 @@
 
 // handleBatch handles the changes of an endpoint's cache. The first batch of an incarnation
 // lists the whole cache and is sent to the receivers of cache reports at once.
-func (c *cacheSync) handleBatch(b feed.Batch) {
+func (c *cacheSync) handleBatch(b feed.CacheBatch) {
 	stored, evicted := netChanges(b)
 	c.mu.Lock()
-	c.inventory.apply(b.Endpoint, stored, evicted, b.First)
+	c.inventory.apply(b.Endpoint, stored, evicted, b.FirstOfBoot)
 	c.mu.Unlock()
-	if !b.First && !c.node.selectsEndpoints() {
+	if !b.FirstOfBoot && !c.node.selectsEndpoints() {
 		c.reportToSchedulers(b.Endpoint, stored, evicted)
 		return
 	}
-	c.node.entry.RecordCacheEvents(b.Endpoint, stored, evicted, b.First)
-	if !b.First {
+	c.node.entry.RecordCacheEvents(b.Endpoint, stored, evicted, b.FirstOfBoot)
+	if !b.FirstOfBoot {
 		return
 	}
 	events.CacheRead.Log(c.node.log, zap.String("endpoint", string(b.Endpoint)), zap.String("boot", string(b.Boot)),
@@ -190,7 +190,7 @@
 
 // netChanges compacts a batch to the last state of each part: a part that is stored and
 // evicted within the batch counts as evicted.
-func netChanges(b feed.Batch) (stored, evicted []parts.Key) {
+func netChanges(b feed.CacheBatch) (stored, evicted []parts.Key) {
 	last := map[parts.Key]bool{}
 	var order []parts.Key
 	record := func(blocks []tables.BlockHash, present bool) {
--- a/node/cachesync_test.go
+++ b/node/cachesync_test.go
@@ -72,7 +72,7 @@
 		}
 		return c
 	}
-	stored, evicted := netChanges(feed.Batch{Changes: []engine.CacheChange{change(1, 0), change(2, 0), change(0, 1), change(0, 3), change(1, 0), change(0, 2)}})
+	stored, evicted := netChanges(feed.CacheBatch{Changes: []engine.CacheChange{change(1, 0), change(2, 0), change(0, 1), change(0, 3), change(1, 0), change(0, 2)}})
 	assert.DeepEqual(t, stored, []parts.Key{1})
 	assert.DeepEqual(t, evicted, []parts.Key{2, 3})
 }
