--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -8,8 +8,8 @@
 
 // Headers names the headers of requests and answers.
 type Headers struct {
-	// Request carries the caller's identity of one request. Endpoints echo it.
-	Request string
+	// RequestID carries the caller's identity of one request. Endpoints echo it.
+	RequestID string
 	// Deadline carries how many milliseconds the sender will still wait.
 	Deadline string
 	// Organisation tells endpoints on whose behalf a request runs.
@@ -20,8 +20,8 @@
 	ExpectWeights  string
 	// Signature is on every answer that an endpoint's work produced.
 	Signature string
-	// NotRun is on answers that say the request did not run and will not.
-	NotRun string
+	// NotExecuted is on answers that say the request did not run and will not.
+	NotExecuted string
 	// Load carries "running,waiting,slots" of the endpoint that answers.
 	Load string
 	// RateLimit carries the requests a second that the endpoint takes from all instances
@@ -31,22 +31,22 @@
 	Weights string
 	// Model, Tokens ("prompt,most output") and Prefix ("part:tokens,...")
 	// describe a generation. The endpoint must get them as the caller sent them.
-	Model  string
-	Tokens string
-	Prefix string
+	Model       string
+	TokenCounts string
+	PromptParts string
 	// CacheSalt keeps cached prompts apart, and CacheSource names the address
 	// from which missing parts are fetched.
 	CacheSalt   string
 	CacheSource string
-	CacheTarget string
+	CacheStore  string
 	// Priority is the urgency at the endpoint, from 0 (first) to 9.
 	Priority string
-	// LastEvent names the last event that the caller has of a stream.
-	LastEvent string
+	// LastEventID names the last event that the caller has of a stream.
+	LastEventID string
 	// Reserved are further headers that only the system may send to endpoints.
 	Reserved []string
-	// KeyScheme precedes a caller's key in Authorization.
-	KeyScheme string
+	// AuthScheme precedes a caller's key in Authorization.
+	AuthScheme string
 }
 
 // hopByHop headers concern one connection only.
@@ -55,11 +55,11 @@
 	"Content-Length", "Expect",
 }
 
-// ToEndpoint returns the caller's headers without those that concern only the
+// EndpointRequestHeaders returns the caller's headers without those that concern only the
 // caller's connection, the key, and those that only the system may set. Were
 // one of the latter passed on, a caller could name another organisation or the
 // memory of another request.
-func (h *Headers) ToEndpoint(from http.Header) http.Header {
+func (h *Headers) EndpointRequestHeaders(from http.Header) http.Header {
 	to := from.Clone()
 	for _, name := range connectionNames(from) {
 		to.Del(name)
@@ -74,11 +74,11 @@
 	return to
 }
 
-// ToCaller copies an answer's headers without those of the endpoint's
+// CopyResponseHeaders copies an answer's headers without those of the endpoint's
 // connection. Headers that concern the caller's own connection are in place
 // already and stay: without them a draining instance could not tell callers to
 // leave their connections.
-func (h *Headers) ToCaller(to, from http.Header) {
+func (h *Headers) CopyResponseHeaders(to, from http.Header) {
 	passed := from.Clone()
 	for _, name := range connectionNames(from) {
 		passed.Del(name)
@@ -94,7 +94,7 @@
 func (h *Headers) systemOnly() []string {
 	own := []string{
 		h.Deadline, h.Organisation, h.ExpectEndpoint, h.ExpectWeights,
-		h.CacheSalt, h.CacheSource, h.CacheTarget, h.Priority, h.LastEvent,
+		h.CacheSalt, h.CacheSource, h.CacheStore, h.Priority, h.LastEventID,
 	}
 	return append(own, h.Reserved...)
 }
--- a/dialect/tokens.go
+++ b/dialect/tokens.go
@@ -20,33 +20,33 @@
 	return names
 }
 
-// Part is a piece of a prompt that the caller names, so that requests with the
+// PromptPart is a piece of a prompt that the caller names, so that requests with the
 // same pieces in the same order can share cached work.
-type Part struct {
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// ParseParts reads "id:tokens,id:tokens". Parts after one that cannot be read
+// ParsePromptParts reads "id:tokens,id:tokens". Parts after one that cannot be read
 // are left out: what stands before them is still shared.
-func ParseParts(text string) []Part {
+func ParsePromptParts(text string) []PromptPart {
 	if text == "" {
 		return nil
 	}
-	var parts []Part
+	var parts []PromptPart
 	for item := range strings.SplitSeq(text, ",") {
 		id, count, found := strings.Cut(strings.TrimSpace(item), ":")
 		tokens, err := strconv.Atoi(count)
 		if !found || err != nil || tokens < 0 {
 			return parts
 		}
-		parts = append(parts, Part{ID: id, Tokens: tokens})
+		parts = append(parts, PromptPart{ID: id, Tokens: tokens})
 	}
 	return parts
 }
 
-// ParseTokens reads "prompt,most output"; zeros where it cannot be read.
-func ParseTokens(text string) (prompt, output int) {
+// ParseTokenCounts reads "prompt,most output"; zeros where it cannot be read.
+func ParseTokenCounts(text string) (prompt, output int) {
 	first, second, _ := strings.Cut(text, ",")
 	prompt, _ = strconv.Atoi(strings.TrimSpace(first))
 	output, _ = strconv.Atoi(strings.TrimSpace(second))
@@ -75,9 +75,9 @@
 	return EndpointLoad{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// ParseRate reads a rate limit in requests a second; limited is false if the text holds none
+// ParseRateLimit reads a rate limit in requests a second; limited is false if the text holds none
 // that can be read.
-func ParseRate(text string) (perSecond float64, limited bool) {
+func ParseRateLimit(text string) (perSecond float64, limited bool) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || rate < 0 || math.IsNaN(rate) || math.IsInf(rate, 0) {
 		return 0, false
--- a/dialect/tokens_test.go
+++ b/dialect/tokens_test.go
@@ -9,12 +9,12 @@
 // Guards against an odd text in an answer being taken for a limit that stops all requests.
 func TestOnlyReadableRatesLimit(t *testing.T) {
 	for text, want := range map[string]float64{"1.2": 1.2, " 3 ": 3, "0": 0, "0.05": 0.05} {
-		rate, limited := ParseRate(text)
+		rate, limited := ParseRateLimit(text)
 		assert.Assert(t, limited, text)
 		assert.Equal(t, rate, want, text)
 	}
 	for _, text := range []string{"", "-1", "NaN", "Inf", "1.2/s", "one"} {
-		_, limited := ParseRate(text)
+		_, limited := ParseRateLimit(text)
 		assert.Assert(t, !limited, text)
 	}
 }
--- a/engine/exchange/exchange_test.go
+++ b/engine/exchange/exchange_test.go
@@ -21,7 +21,7 @@
 )
 
 func headers() *dialect.Headers {
-	return &dialect.Headers{Request: "X-Request", NotRun: "X-Not-Run", Signature: "X-Signature"}
+	return &dialect.Headers{RequestID: "X-Request", NotExecuted: "X-Not-Run", Signature: "X-Signature"}
 }
 
 // scripted is an endpoint that does with each connection what the test says.
--- a/engine/exchange/send.go
+++ b/engine/exchange/send.go
@@ -119,7 +119,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		named := resp.Header.Get(a.client.headers.Request)
+		named := resp.Header.Get(a.client.headers.RequestID)
 		if named == r.ID || named == "" && (!a.conn.reused || a.unrun(resp)) {
 			a.resp = resp
 			a.Status, a.Header = resp.StatusCode, resp.Header
@@ -136,14 +136,14 @@
 }
 
 func (a *Response) unrun(resp *http.Response) bool {
-	return resp.Header.Get(a.client.headers.NotRun) != ""
+	return resp.Header.Get(a.client.headers.NotExecuted) != ""
 }
 
 // declined returns the endpoint's word that it did not run the request, nil if
 // it did not say so. The connection stays usable.
 func (c *Client) declined(a *Response, r *Request) error {
 	misdirected := a.Status == http.StatusMisdirectedRequest
-	if !misdirected && a.Header.Get(c.headers.NotRun) == "" {
+	if !misdirected && a.Header.Get(c.headers.NotExecuted) == "" {
 		return nil
 	}
 	failure := &RejectedError{
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -120,7 +120,7 @@
 		a.setGenerationHeaders(header)
 	}
 	if c.lastEventID != "" {
-		header.Set(h.LastEvent, c.lastEventID)
+		header.Set(h.LastEventID, c.lastEventID)
 	}
 	return &exchange.Request{
 		Attempt:    a.id,
@@ -149,7 +149,7 @@
 		header.Set(h.CacheSource, a.placement.CacheSource.Address.String())
 	}
 	if a.placement.HasCacheStore() {
-		header.Set(h.CacheTarget, a.placement.CacheStore.Address.String())
+		header.Set(h.CacheStore, a.placement.CacheStore.Address.String())
 	}
 }
 
--- a/forward/endpointlimit.go
+++ b/forward/endpointlimit.go
@@ -63,7 +63,7 @@
 // may come from an intermediary. The caller holds the server's mu.
 func (a *attempt) recordRateLimit(now tables.Instant, header http.Header) {
 	s := a.request.server
-	perSecond, limited := dialect.ParseRate(header.Get(s.headers.RateLimit))
+	perSecond, limited := dialect.ParseRateLimit(header.Get(s.headers.RateLimit))
 	if !limited && header.Get(s.headers.Signature) == "" {
 		return
 	}
--- a/forward/harness_test.go
+++ b/forward/harness_test.go
@@ -24,11 +24,11 @@
 
 // headerNames are the header names of the test deployment.
 var headerNames = &dialect.Headers{
-	Request: "X-Request", Deadline: "X-Deadline", Organisation: "X-Organisation",
-	ExpectEndpoint: "X-Endpoint", ExpectWeights: "X-Expect-Weights", Signature: "X-Signature", NotRun: "X-Not-Run",
-	Load: "X-Load", RateLimit: "X-Rate-Limit", Weights: "X-Weights", Model: "X-Model", Tokens: "X-Tokens", Prefix: "X-Prefix",
-	CacheSalt: "X-Salt", CacheSource: "X-Source", CacheTarget: "X-Target", Priority: "X-Priority",
-	LastEvent: "Last-Event-Id", Reserved: []string{"X-Hold"}, KeyScheme: "Bearer",
+	RequestID: "X-Request", Deadline: "X-Deadline", Organisation: "X-Organisation",
+	ExpectEndpoint: "X-Endpoint", ExpectWeights: "X-Expect-Weights", Signature: "X-Signature", NotExecuted: "X-Not-Run",
+	Load: "X-Load", RateLimit: "X-Rate-Limit", Weights: "X-Weights", Model: "X-Model", TokenCounts: "X-Tokens", PromptParts: "X-Prefix",
+	CacheSalt: "X-Salt", CacheSource: "X-Source", CacheStore: "X-Target", Priority: "X-Priority",
+	LastEventID: "Last-Event-Id", Reserved: []string{"X-Hold"}, AuthScheme: "Bearer",
 }
 
 // fakeEndpoint is an endpoint that serves requests with a handler and records them.
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -71,7 +71,7 @@
 
 // writeResponse sends a buffered response to the client unchanged.
 func (c *clientRequest) writeResponse(buffered *bufferedResponse) {
-	c.server.headers.ToCaller(c.w.Header(), buffered.header)
+	c.server.headers.CopyResponseHeaders(c.w.Header(), buffered.header)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
 	c.suppressContentTypeSniffing(buffered.header)
 	c.w.WriteHeader(buffered.status)
@@ -155,7 +155,7 @@
 	control := http.NewResponseController(c.w)
 	if !c.responseStarted {
 		c.responseStarted = true
-		c.server.headers.ToCaller(c.w.Header(), response.Header)
+		c.server.headers.CopyResponseHeaders(c.w.Header(), response.Header)
 		c.w.WriteHeader(response.Status)
 		c.timeToFirstEvent = c.now() - c.arrivedAt
 		c.server.metrics.observeFirstEvent(c)
@@ -182,7 +182,7 @@
 	a.recordOutcome(dispatch.Completed)
 	if !c.responseStarted {
 		c.responseStarted = true
-		c.server.headers.ToCaller(c.w.Header(), response.Header)
+		c.server.headers.CopyResponseHeaders(c.w.Header(), response.Header)
 		c.w.WriteHeader(response.Status)
 	}
 	c.finishAnswered(response.Status, a)
--- a/forward/request.go
+++ b/forward/request.go
@@ -103,7 +103,7 @@
 		return false
 	}
 	c.service = c.table.SelectService(c.route, c.id)
-	c.endpointHeader = s.headers.ToEndpoint(c.r.Header)
+	c.endpointHeader = s.headers.EndpointRequestHeaders(c.r.Header)
 	c.setDeadline()
 	c.buildDispatchRequest()
 	return c.reserveUsage()
@@ -138,7 +138,7 @@
 // request is allowed.
 func (c *clientRequest) authenticate() bool {
 	scheme, key, _ := strings.Cut(c.r.Header.Get("Authorization"), " ")
-	if strings.EqualFold(scheme, c.server.headers.KeyScheme) {
+	if strings.EqualFold(scheme, c.server.headers.AuthScheme) {
 		c.org = c.table.OrganisationByKey(strings.TrimSpace(key))
 	}
 	return c.org != nil || c.route.Public || !c.table.RequiresKey()
@@ -215,11 +215,11 @@
 	}
 	if c.service.Slots > 0 {
 		c.dispatchRequest.Model = c.r.Header.Get(h.Model)
-		c.dispatchRequest.PromptTokens, c.dispatchRequest.OutputTokens = dialect.ParseTokens(c.r.Header.Get(h.Tokens))
-		c.addSharedParts(dialect.ParseParts(c.r.Header.Get(h.Prefix)), c.cacheScope())
+		c.dispatchRequest.PromptTokens, c.dispatchRequest.OutputTokens = dialect.ParseTokenCounts(c.r.Header.Get(h.TokenCounts))
+		c.addSharedParts(dialect.ParsePromptParts(c.r.Header.Get(h.PromptParts)), c.cacheScope())
 	}
 	c.fingerprint = fingerprintOf(c.r.Method, c.r.RequestURI, organisation, c.body)
-	if last := c.r.Header.Get(h.LastEvent); last != "" && c.route.Resumable {
+	if last := c.r.Header.Get(h.LastEventID); last != "" && c.route.Resumable {
 		c.setLastEvent(last)
 	}
 }
@@ -227,8 +227,8 @@
 // declaredTokens returns the sum of the prompt tokens and the maximum output tokens that
 // the client declares in a header. It reports whether the request has that header.
 func (c *clientRequest) declaredTokens() (tokens int64, declared bool) {
-	header := c.r.Header.Get(c.server.headers.Tokens)
-	prompt, output := dialect.ParseTokens(header)
+	header := c.r.Header.Get(c.server.headers.TokenCounts)
+	prompt, output := dialect.ParseTokenCounts(header)
 	return int64(prompt) + int64(output), header != ""
 }
 
@@ -244,7 +244,7 @@
 
 // addSharedParts adds the prompt parts that other requests may share: all but the last,
 // which belongs to this request or its session alone.
-func (c *clientRequest) addSharedParts(promptParts []dialect.Part, scope string) {
+func (c *clientRequest) addSharedParts(promptParts []dialect.PromptPart, scope string) {
 	endTokens := 0
 	for _, part := range promptParts[:max(0, len(promptParts)-1)] {
 		endTokens = min(endTokens+part.Tokens, c.dispatchRequest.PromptTokens)
--- a/forward/server.go
+++ b/forward/server.go
@@ -324,7 +324,7 @@
 	if !s.gate.State().Ready() || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
-	c := &clientRequest{server: s, w: w, r: r, arrivedAt: arrivedAt, id: r.Header.Get(s.headers.Request)}
+	c := &clientRequest{server: s, w: w, r: r, arrivedAt: arrivedAt, id: r.Header.Get(s.headers.RequestID)}
 	defer c.release()
 	if !admitted {
 		c.rejectRetryable(tables.CodeDraining, minRetryAfter)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -99,9 +99,9 @@
 func (p *fakePlatform) platform() Platform {
 	return Platform{
 		Headers: &dialect.Headers{
-			Request: "X-Request", Deadline: "X-Deadline", Organisation: "X-Organisation", ExpectEndpoint: "X-Endpoint",
-			ExpectWeights: "X-Expect-Weights", Signature: "X-Signature", NotRun: "X-Not-Run", Model: "X-Model", Tokens: "X-Tokens",
-			Prefix: "X-Prefix", CacheSalt: "X-Salt", Priority: "X-Priority", LastEvent: "Last-Event-Id",
+			RequestID: "X-Request", Deadline: "X-Deadline", Organisation: "X-Organisation", ExpectEndpoint: "X-Endpoint",
+			ExpectWeights: "X-Expect-Weights", Signature: "X-Signature", NotExecuted: "X-Not-Run", Model: "X-Model", TokenCounts: "X-Tokens",
+			PromptParts: "X-Prefix", CacheSalt: "X-Salt", Priority: "X-Priority", LastEventID: "Last-Event-Id",
 		},
 		ParseConfiguration: parseConfiguration,
 		NewLister:          func(netip.AddrPort) EndpointLister { return p },
