--- a/control/client/claims.go
+++ b/control/client/claim_client.go
@@ -35,8 +35,8 @@
 	maxDrift = 0.01
 )
 
-// ClaimsOptions sets Claims up.
-type ClaimsOptions struct {
+// ClaimClientOptions sets Claims up.
+type ClaimClientOptions struct {
 	Executor Executor
 	Instance tables.InstanceID
 	// Boot grows with every start of this instance.
@@ -46,11 +46,11 @@
 	Log *zap.Logger
 }
 
-// Claims makes the claims of one entry instance. It is safe for concurrent use.
+// ClaimClient makes the claims of one entry instance. It is safe for concurrent use.
 // Its errors are *tables.KeyReused, *tables.NoQuorum, *tables.GrantLost,
 // *ClaimsFull and *ClaimsHeld; after any of them nothing may be dispatched.
-type Claims struct {
-	options ClaimsOptions
+type ClaimClient struct {
+	options ClaimClientOptions
 	tokens  atomic.Uint64
 	stop    context.CancelFunc
 	running sync.WaitGroup
@@ -73,59 +73,59 @@
 	fence tables.FencingToken
 }
 
-// ClaimsFull means that the control state keeps as many claims as it can.
+// ClaimLimitError means that the control state keeps as many claims as it can.
 // Forgetting one to make room could let its work run twice.
-type ClaimsFull struct {
+type ClaimLimitError struct {
 	Organisation tables.OrganisationID
 }
 
 // Error says whose claim it was.
-func (e *ClaimsFull) Error() string {
+func (e *ClaimLimitError) Error() string {
 	return fmt.Sprintf("no room for another claim of organisation %s", e.Organisation)
 }
 
-// ClaimsHeld means that the control state was restored from a backup a short
+// ClaimsOnHoldError means that the control state was restored from a backup a short
 // while ago. A key that it does not know may have run since the backup.
-type ClaimsHeld struct {
-	For time.Duration
+type ClaimsOnHoldError struct {
+	RetryAfter time.Duration
 }
 
 // Error says for how long.
-func (e *ClaimsHeld) Error() string {
-	return fmt.Sprintf("claims on unknown keys are held for another %v after a restore", e.For)
+func (e *ClaimsOnHoldError) Error() string {
+	return fmt.Sprintf("claims on unknown keys are held for another %v after a restore", e.RetryAfter)
 }
 
-// Unexpected means that the control state answered what does not fit the
+// UnexpectedResultError means that the control state answered what does not fit the
 // question.
-type Unexpected struct {
-	Asked  string
+type UnexpectedResultError struct {
+	Operation  string
 	Reason rpc.RefusalReason
 }
 
 // Error gives the answer.
-func (e *Unexpected) Error() string {
-	return fmt.Sprintf("%s: control state answered %s", e.Asked, e.Reason)
+func (e *UnexpectedResultError) Error() string {
+	return fmt.Sprintf("%s: control state answered %s", e.Operation, e.Reason)
 }
 
-// NewClaims returns Claims that keep themselves alive until Close.
-func NewClaims(options ClaimsOptions) *Claims {
+// NewClaimClient returns Claims that keep themselves alive until Close.
+func NewClaimClient(options ClaimClientOptions) *ClaimClient {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Claims{options: options, stop: cancel, open: map[claimID]bool{}, active: map[claimKey]int{}}
+	c := &ClaimClient{options: options, stop: cancel, open: map[claimID]bool{}, active: map[claimKey]int{}}
 	c.running.Go(func() { c.run(ctx) })
 	return c
 }
 
 // Close stops the signs of life; open claims then count as lost.
-func (c *Claims) Close() {
+func (c *ClaimClient) Close() {
 	c.stop()
 	c.running.Wait()
 }
 
 // Claim asks for the right to run the work named by the organisation's key.
-func (c *Claims) Claim(ctx context.Context, organisation tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
+func (c *ClaimClient) Claim(ctx context.Context, organisation tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
 	at := claimKey{organisation, key}
 	token, sent := c.token(), c.options.Now()
 	result, err := c.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_Claim{Claim: &rpc.Claim{
@@ -163,7 +163,7 @@
 
 // MarkDispatched records that the work may run from now on. It is called before
 // the call leaves, and once per grant: a second one would be a second dispatch.
-func (c *Claims) MarkDispatched(ctx context.Context, grant tables.ClaimResult) error {
+func (c *ClaimClient) MarkDispatched(ctx context.Context, grant tables.ClaimResult) error {
 	if c.options.Now() >= grant.ExpiresAt {
 		return trace.Wrap(&tables.ClaimLostError{Organisation: grant.Organisation, Key: grant.Key, FencingToken: grant.FencingToken})
 	}
@@ -187,7 +187,7 @@
 
 // Finish stores the answer that resends get. When no quorum takes it, it is
 // sent again in the background for as long as the process lives.
-func (c *Claims) Finish(ctx context.Context, grant tables.ClaimResult, answer tables.StoredResponse) error {
+func (c *ClaimClient) Finish(ctx context.Context, grant tables.ClaimResult, answer tables.StoredResponse) error {
 	return c.end(ctx, grant, &rpc.Command{Action: &rpc.Command_FinishClaim{FinishClaim: &rpc.FinishClaim{
 		Organisation: string(grant.Organisation),
 		Key:          string(grant.Key),
@@ -203,7 +203,7 @@
 
 // Release gives the claim back. The caller has proof that the work did not run,
 // and will not dispatch it under this grant any more.
-func (c *Claims) Release(ctx context.Context, grant tables.ClaimResult) error {
+func (c *ClaimClient) Release(ctx context.Context, grant tables.ClaimResult) error {
 	return c.end(ctx, grant, &rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
 		Organisation: string(grant.Organisation),
 		Key:          string(grant.Key),
@@ -211,7 +211,7 @@
 	}}})
 }
 
-func (c *Claims) end(ctx context.Context, grant tables.ClaimResult, command *rpc.Command) error {
+func (c *ClaimClient) end(ctx context.Context, grant tables.ClaimResult, command *rpc.Command) error {
 	c.closed(grant)
 	result, err := c.options.Executor.Execute(ctx, command)
 	if err != nil {
@@ -224,19 +224,19 @@
 	return nil
 }
 
-func (c *Claims) owner() *rpc.ClaimOwner {
+func (c *ClaimClient) owner() *rpc.ClaimOwner {
 	return &rpc.ClaimOwner{Instance: string(c.options.Instance), Boot: c.options.Boot}
 }
 
 // token names one call of this process, so that its copies are told from the
 // next call.
-func (c *Claims) token() string {
+func (c *ClaimClient) token() string {
 	return strconv.FormatUint(c.options.Boot, 36) + "-" + strconv.FormatUint(c.tokens.Add(1), 36)
 }
 
 // begin notes that a key is being claimed, and returns whether no other claim of
 // this process on it is active.
-func (c *Claims) begin(at claimKey) bool {
+func (c *ClaimClient) begin(at claimKey) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.active[at]++
@@ -244,7 +244,7 @@
 }
 
 // finished ends what begin noted.
-func (c *Claims) finished(at claimKey) {
+func (c *ClaimClient) finished(at claimKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.active[at]--
@@ -256,7 +256,7 @@
 // abandon gives back a claim that may have been granted though no answer came.
 // As long as this process lives, nobody could take it over, and resends through
 // other instances would be told that it is in progress.
-func (c *Claims) abandon(at claimKey, token string) {
+func (c *ClaimClient) abandon(at claimKey, token string) {
 	c.later(&rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
 		Organisation: string(at.organisation),
 		Key:          string(at.key),
@@ -265,13 +265,13 @@
 	}}})
 }
 
-func (c *Claims) opened(grant tables.ClaimResult) {
+func (c *ClaimClient) opened(grant tables.ClaimResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open[claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}] = true
 }
 
-func (c *Claims) closed(grant tables.ClaimResult) {
+func (c *ClaimClient) closed(grant tables.ClaimResult) {
 	id := claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}
 	c.mu.Lock()
 	known := c.open[id]
@@ -284,7 +284,7 @@
 
 // later keeps the end of a claim. Without it, a resend would be told that the
 // outcome is unknown although the answer is here.
-func (c *Claims) later(command *rpc.Command) {
+func (c *ClaimClient) later(command *rpc.Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.unsent) < maxUnsent {
@@ -294,7 +294,7 @@
 
 // run says that this owner lives while it has open claims, and sends again what
 // found no quorum.
-func (c *Claims) run(ctx context.Context) {
+func (c *ClaimClient) run(ctx context.Context) {
 	for wait(ctx, keepAlive) {
 		c.mu.Lock()
 		open, unsent := len(c.open), c.unsent
@@ -314,7 +314,7 @@
 	}
 }
 
-func (c *Claims) sendAgain(ctx context.Context, unsent []*rpc.Command) {
+func (c *ClaimClient) sendAgain(ctx context.Context, unsent []*rpc.Command) {
 	for i, command := range unsent {
 		bounded, cancel := context.WithTimeout(ctx, keepAlive)
 		_, err := c.options.Executor.Execute(bounded, command)
@@ -361,12 +361,12 @@
 	case rpc.RefusalReason_REFUSED_KEY_REUSED:
 		return &tables.KeyReusedError{Organisation: organisation, Key: key}
 	case rpc.RefusalReason_REFUSED_CLAIMS_FULL:
-		return &ClaimsFull{Organisation: organisation}
+		return &ClaimLimitError{Organisation: organisation}
 	case rpc.RefusalReason_REFUSED_CLAIMS_HELD:
-		return &ClaimsHeld{For: time.Duration(result.GetRefusal().GetRetryAfterNanos())}
+		return &ClaimsOnHoldError{RetryAfter: time.Duration(result.GetRefusal().GetRetryAfterNanos())}
 	case rpc.RefusalReason_REFUSED_CLAIM_LOST, rpc.RefusalReason_REFUSED_ALREADY_DISPATCHED:
 		return &tables.ClaimLostError{Organisation: organisation, Key: key, FencingToken: fence}
 	default:
-		return &Unexpected{Asked: asked, Reason: reason}
+		return &UnexpectedResultError{Operation: asked, Reason: reason}
 	}
 }
--- a/control/client/executor.go
+++ b/control/client/executor.go
@@ -24,24 +24,24 @@
 	Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error)
 }
 
-// Group executes commands at any of several control instances. It is safe for
+// FailoverExecutor executes commands at any of several control instances. It is safe for
 // concurrent use.
-type Group struct {
+type FailoverExecutor struct {
 	controls []Executor
 	// current is the one that answered last.
 	current atomic.Uint64
 }
 
-// NewGroup returns a Group over control instances in order of preference, those
+// NewFailoverExecutor returns a Group over control instances in order of preference, those
 // of the own zone first.
-func NewGroup(controls ...Executor) *Group { return &Group{controls: controls} }
+func NewFailoverExecutor(controls ...Executor) *FailoverExecutor { return &FailoverExecutor{controls: controls} }
 
 // Execute asks one control instance after the other until one answers or the
 // context ends. Sending a command twice is harmless: each says whose it is.
 // Its failure is *tables.NoQuorum.
-func (g *Group) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
+func (g *FailoverExecutor) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	start := g.current.Load()
-	var last error = &NoControl{}
+	var last error = &NoControlInstancesError{}
 	for try := uint64(0); len(g.controls) > 0; try++ {
 		i := (start + try) % uint64(len(g.controls))
 		bounded, cancel := context.WithTimeout(ctx, tryTimeout)
@@ -74,11 +74,11 @@
 	}
 }
 
-// NoControl means that the settings name no control instance.
-type NoControl struct{}
+// NoControlInstancesError means that the settings name no control instance.
+type NoControlInstancesError struct{}
 
 // Error says so.
-func (e *NoControl) Error() string { return "no control instance is set" }
+func (e *NoControlInstancesError) Error() string { return "no control instance is set" }
 
 func asked(command *rpc.Command) string {
 	switch command.GetAction().(type) {
--- a/control/client/lease.go
+++ b/control/client/lease.go
@@ -41,18 +41,18 @@
 // NewLease returns a lease that is not held.
 func NewLease(options LeaseOptions) *Lease { return &Lease{options: options} }
 
-// LeaseHeld means that another instance holds the lease.
-type LeaseHeld struct {
+// LeaseHeldError means that another instance holds the lease.
+type LeaseHeldError struct {
 	Holder     tables.InstanceID
 	RetryAfter time.Duration
 }
 
 // Error names the holder.
-func (e *LeaseHeld) Error() string { return "lease is held by instance " + string(e.Holder) }
+func (e *LeaseHeldError) Error() string { return "lease is held by instance " + string(e.Holder) }
 
-// Renew asks for the lease, or for more time if it is held here. Its errors are
+// AcquireOrRenew asks for the lease, or for more time if it is held here. Its errors are
 // *LeaseHeld, *tables.NoQuorum and *Unexpected.
-func (l *Lease) Renew(ctx context.Context) error {
+func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	// The time counts from before the question left: the answer may take long,
 	// and the group counts from when it decided.
 	sent := l.options.Now()
@@ -68,10 +68,10 @@
 	}
 	answer := result.GetLease()
 	if answer == nil {
-		return trace.Wrap(&Unexpected{Asked: "acquire lease", Reason: result.GetRefusal().GetReason()})
+		return trace.Wrap(&UnexpectedResultError{Operation: "acquire lease", Reason: result.GetRefusal().GetReason()})
 	}
 	if !answer.GetGranted() {
-		return trace.Wrap(&LeaseHeld{
+		return trace.Wrap(&LeaseHeldError{
 			Holder:     tables.InstanceID(answer.GetHolder().GetInstance()),
 			RetryAfter: time.Duration(answer.GetRetryAfterNanos()),
 		})
@@ -96,19 +96,19 @@
 	return at
 }
 
-// Announced lists the endpoints that other holders may have given orders, and
+// AnnouncedByOthers lists the endpoints that other holders may have given orders, and
 // when each was announced.
-func (l *Lease) Announced() map[tables.EndpointID]tables.Instant {
+func (l *Lease) AnnouncedByOthers() map[tables.EndpointID]tables.Instant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.announced
 }
 
-// Announce has the group note that orders are about to leave for endpoints. Only
+// AnnounceOrders has the group note that orders are about to leave for endpoints. Only
 // after it has returned without a failure may they. Its errors are
 // *tables.NoQuorum and *Unexpected.
-func (l *Lease) Announce(ctx context.Context, endpoints []tables.EndpointID) error {
-	fence, _ := l.Held()
+func (l *Lease) AnnounceOrders(ctx context.Context, endpoints []tables.EndpointID) error {
+	fence, _ := l.TokenAndTTL()
 	request := &rpc.AnnounceOrders{Lease: l.options.Name, Fence: uint64(fence)}
 	for _, id := range endpoints {
 		request.Endpoints = append(request.Endpoints, string(id))
@@ -118,15 +118,15 @@
 		return trace.Wrap(err)
 	}
 	if result.GetDone() == nil {
-		return trace.Wrap(&Unexpected{Asked: "announce orders", Reason: result.GetRefusal().GetReason()})
+		return trace.Wrap(&UnexpectedResultError{Operation: "announce orders", Reason: result.GetRefusal().GetReason()})
 	}
 	return nil
 }
 
-// Held returns the fencing number and how much longer the lease is held, by the
+// TokenAndTTL returns the fencing number and how much longer the lease is held, by the
 // own clock alone. It is not held if that is not above zero. An instance that
 // is cut off needs no message to know that it must stop.
-func (l *Lease) Held() (tables.FencingToken, time.Duration) {
+func (l *Lease) TokenAndTTL() (tables.FencingToken, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence, l.until - l.options.Now()
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -41,7 +41,7 @@
 	server   *server.Server
 	service  *operator.Service
 	follower *follower.Follower
-	claims   *client.Claims
+	claims   *client.ClaimClient
 	inForce  chan tables.Revision
 }
 
@@ -125,8 +125,8 @@
 		executors = append(executors, in.dialer.Control(c.instances[(i+j)%c.controls].address))
 	}
 	started := time.Now()
-	in.claims = client.NewClaims(client.ClaimsOptions{
-		Executor: client.NewGroup(executors...),
+	in.claims = client.NewClaimClient(client.ClaimClientOptions{
+		Executor: client.NewFailoverExecutor(executors...),
 		Instance: in.name,
 		Boot:     c.boot.Add(1),
 		Now:      func() tables.Instant { return time.Since(started) },
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -210,7 +210,7 @@
 	c := newCluster(t, 1, 0)
 	in := c.instances[0]
 	lossy := &lossyExecutor{Executor: in.dialer.Control(in.address)}
-	claims := client.NewClaims(client.ClaimsOptions{
+	claims := client.NewClaimClient(client.ClaimClientOptions{
 		Executor: lossy, Instance: "lossy", Boot: 1, Now: func() tables.Instant { return 0 },
 	})
 	t.Cleanup(claims.Close)
--- a/control/orders/controller.go
+++ b/control/orders/controller.go
@@ -113,7 +113,7 @@
 		case <-ticker.C:
 			r.Step(ctx)
 		case <-ctx.Done():
-			if _, left := r.lease.Held(); left > 0 {
+			if _, left := r.lease.TokenAndTTL(); left > 0 {
 				bounded, cancel := context.WithTimeout(context.Background(), orderTimeout)
 				_ = r.lease.Release(bounded)
 				cancel()
@@ -148,15 +148,15 @@
 // ensureLease acquires the lease, or renews it below renewBelow, and returns
 // whether this instance holds it.
 func (r *Controller) ensureLease(ctx context.Context) bool {
-	_, left := r.lease.Held()
+	_, left := r.lease.TokenAndTTL()
 	if left < renewBelow && r.options.Now() >= r.acquireNotBefore {
 		bounded, cancel := context.WithTimeout(ctx, orderTimeout)
-		err := r.lease.Renew(bounded)
+		err := r.lease.AcquireOrRenew(bounded)
 		cancel()
 		// Each request is an entry of the consensus log. Instances without the
 		// lease therefore wait until it can have expired before they request it
 		// again.
-		var held *client.LeaseHeld
+		var held *client.LeaseHeldError
 		if errors.As(err, &held) {
 			r.acquireNotBefore = r.options.Now() + held.RetryAfter
 		}
@@ -171,7 +171,7 @@
 			clear(r.unreachableSince)
 		}
 	}
-	_, left = r.lease.Held()
+	_, left = r.lease.TokenAndTTL()
 	return left > 0
 }
 
@@ -179,7 +179,7 @@
 // that does not check fencing tokens accepts any order, so the lease must
 // outlast the order; the order is cancelled after orderTimeout.
 func (r *Controller) orderLoad(ctx context.Context, address netip.AddrPort, load Load) {
-	fence, left := r.lease.Held()
+	fence, left := r.lease.TokenAndTTL()
 	if left < 2*orderTimeout {
 		return
 	}
@@ -188,7 +188,7 @@
 	if !r.registerLoad(bounded, fence, load) {
 		return
 	}
-	held, left := r.lease.Held()
+	held, left := r.lease.TokenAndTTL()
 	if held != fence || left < orderTimeout {
 		return
 	}
@@ -228,7 +228,7 @@
 
 // unregisterLoad frees the slot of the endpoint's load.
 func (r *Controller) unregisterLoad(ctx context.Context, endpoint tables.EndpointID) {
-	fence, left := r.lease.Held()
+	fence, left := r.lease.TokenAndTTL()
 	if left <= 0 {
 		return
 	}
--- a/control/orders/orders_test.go
+++ b/control/orders/orders_test.go
@@ -171,7 +171,7 @@
 
 func (f *simulation) leaseHolder() *simulatedInstance {
 	for _, s := range f.instances {
-		if _, left := s.controller.lease.Held(); left > 0 {
+		if _, left := s.controller.lease.TokenAndTTL(); left > 0 {
 			return s
 		}
 	}
@@ -204,7 +204,7 @@
 		f.advance(stepInterval)
 		holding := 0
 		for _, s := range f.instances {
-			if _, left := s.controller.lease.Held(); left > 0 {
+			if _, left := s.controller.lease.TokenAndTTL(); left > 0 {
 				holding++
 			}
 		}
@@ -283,7 +283,7 @@
 			"": func(t *rapid.T) {
 				holding := 0
 				for _, s := range f.instances {
-					if _, left := s.controller.lease.Held(); left > 0 {
+					if _, left := s.controller.lease.TokenAndTTL(); left > 0 {
 						holding++
 					}
 				}
--- a/control/rollout/controller.go
+++ b/control/rollout/controller.go
@@ -132,7 +132,7 @@
 }
 
 func (r *Controller) release() {
-	if _, left := r.lease.Held(); left <= 0 {
+	if _, left := r.lease.TokenAndTTL(); left <= 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
@@ -145,7 +145,7 @@
 // step renews the lease if it is due and starts the actions that are due.
 func (r *Controller) step(ctx context.Context) {
 	r.renew(ctx)
-	_, left := r.lease.Held()
+	_, left := r.lease.TokenAndTTL()
 	if held := left > 0; held != r.holdsLease.Swap(held) {
 		r.planner, r.plannedFleetVersion = NewPlanner(), 0
 		if held {
@@ -181,7 +181,7 @@
 	if r.options.EnginesCheckFence {
 		return
 	}
-	for id, at := range r.lease.Announced() {
+	for id, at := range r.lease.AnnouncedByOthers() {
 		r.planner.DelayOrders(id, at+r.options.HandoverDelay+maxOrderDelay)
 	}
 }
@@ -189,7 +189,7 @@
 // renew acquires or extends the lease in the background, so that orders
 // continue while the control group decides.
 func (r *Controller) renew(ctx context.Context) {
-	_, left := r.lease.Held()
+	_, left := r.lease.TokenAndTTL()
 	due := left < r.options.LeaseDuration*(renewDivisor-1)/renewDivisor
 	if !due || r.renewing || r.options.Now() < r.renewNotBefore || !r.options.IsLeader() {
 		return
@@ -198,13 +198,13 @@
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, renewTimeout)
 		defer cancel()
-		r.renewals <- r.lease.Renew(bounded)
+		r.renewals <- r.lease.AcquireOrRenew(bounded)
 	}()
 }
 
 func (r *Controller) handleRenewal(err error) {
 	r.renewing = false
-	var held *client.LeaseHeld
+	var held *client.LeaseHeldError
 	switch {
 	case errors.As(err, &held):
 		r.renewNotBefore = r.options.Now() + held.RetryAfter
@@ -220,7 +220,7 @@
 		go r.poll(ctx, planner, action)
 		return
 	}
-	fence, _ := r.lease.Held()
+	fence, _ := r.lease.TokenAndTTL()
 	order := Order{
 		Model: action.Model, Version: action.Version, Strategy: r.options.Strategy,
 		Holder: string(r.options.Instance), Fence: fence, Sequence: action.Sequence,
@@ -261,10 +261,10 @@
 	if !r.options.EnginesCheckFence {
 		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
 		defer cancel()
-		if err := r.lease.Announce(bounded, []tables.EndpointID{action.Endpoint.ID}); err != nil {
+		if err := r.lease.AnnounceOrders(bounded, []tables.EndpointID{action.Endpoint.ID}); err != nil {
 			return Rejected, trace.Wrap(err)
 		}
-		if fence, left := r.lease.Held(); left <= 0 || fence != order.Fence {
+		if fence, left := r.lease.TokenAndTTL(); left <= 0 || fence != order.Fence {
 			return Rejected, nil
 		}
 	}
--- a/control/rollout/controller_test.go
+++ b/control/rollout/controller_test.go
@@ -145,8 +145,8 @@
 		Engines: engine, Executor: group, Instance: "c", Boot: 1, LeaseDuration: time.Minute, HandoverDelay: handoverDelay,
 		Now: engine.now, Log: zap.NewNop(), Fleet: fleet.NewTable(1),
 	})
-	assert.NilError(t, r.lease.Renew(t.Context()))
-	fence, _ := r.lease.Held()
+	assert.NilError(t, r.lease.AcquireOrRenew(t.Context()))
+	fence, _ := r.lease.TokenAndTTL()
 	taken, err := r.announceAndSend(t.Context(), Action{Endpoint: fleet.Endpoint{ID: "e"}}, Order{Fence: fence})
 	assert.Equal(t, taken, Rejected)
 	assert.Assert(t, err != nil)
@@ -163,8 +163,8 @@
 		Engines: engine, Executor: group, Instance: "c", Boot: 1, LeaseDuration: time.Second, HandoverDelay: handoverDelay,
 		Now: engine.now, Log: zap.NewNop(), Fleet: fleet.NewTable(1),
 	})
-	assert.NilError(t, r.lease.Renew(t.Context()))
-	fence, _ := r.lease.Held()
+	assert.NilError(t, r.lease.AcquireOrRenew(t.Context()))
+	fence, _ := r.lease.TokenAndTTL()
 	now = 2 * time.Second
 	taken, err := r.announceAndSend(t.Context(), Action{Endpoint: fleet.Endpoint{ID: "e"}}, Order{Fence: fence})
 	assert.Equal(t, taken, Rejected)
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -57,8 +57,8 @@
 			return err
 		}
 	}
-	d.claims = client.NewClaims(client.ClaimsOptions{
-		Executor: client.NewGroup(d.executors()...),
+	d.claims = client.NewClaimClient(client.ClaimClientOptions{
+		Executor: client.NewFailoverExecutor(d.executors()...),
 		Instance: d.options.Process.Instance,
 		Boot:     d.boot,
 		Now:      d.now,
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -79,7 +79,7 @@
 	peerTransport *http.Transport
 	dialer        *transport.Dialer
 	follower      *follower.Follower
-	claims        *client.Claims
+	claims        *client.ClaimClient
 	// members is nil until the instance has joined.
 	members atomic.Pointer[gossip.Gossip]
 	peers   *peers
