--- a/cli/apply.go
+++ b/cli/apply.go
@@ -134,7 +134,7 @@
 	from := configuration.NewContent(inForce.GetItems())
 	return c.print(diffResult{
 		Revision: inForce.GetRevision().GetNumber(),
-		Changes:  differenceLines(configuration.DiffContent(from, configuration.NewContent(items))),
+		Changes:  differenceLines(configuration.DiffContents(from, configuration.NewContent(items))),
 	})
 }
 
--- a/cli/change.go
+++ b/cli/change.go
@@ -65,10 +65,10 @@
 }
 
 func differenceOf(answer *rpc.ChangeAnswer) []string {
-	var changes []configuration.Change
+	var changes []configuration.ItemChange
 	for _, c := range answer.GetDifference() {
-		changes = append(changes, configuration.Change{
-			Name:   configuration.Name{Kind: c.GetKind(), Name: c.GetName()},
+		changes = append(changes, configuration.ItemChange{
+			Key:   configuration.ItemKey{Kind: c.GetKind(), Name: c.GetName()},
 			Before: c.GetBefore(), After: c.GetAfter(),
 		})
 	}
--- a/cli/difference.go
+++ b/cli/difference.go
@@ -16,7 +16,7 @@
 // differenceLines tells changed items in the words of the declarations: a line
 // for each added or removed item, and for a changed one a line for each key
 // that differs.
-func differenceLines(changes []configuration.Change) []string {
+func differenceLines(changes []configuration.ItemChange) []string {
 	lines := []string{}
 	for _, c := range changes {
 		lines = append(lines, changeLines(c)...)
@@ -24,13 +24,13 @@
 	return lines
 }
 
-func changeLines(c configuration.Change) []string {
-	before, errBefore := declaredFields(c.Name.Kind, c.Before)
-	after, errAfter := declaredFields(c.Name.Kind, c.After)
+func changeLines(c configuration.ItemChange) []string {
+	before, errBefore := declaredFields(c.Key.Kind, c.Before)
+	after, errAfter := declaredFields(c.Key.Kind, c.After)
 	if errBefore != nil || errAfter != nil {
 		return []string{c.String()}
 	}
-	title := configuration.KindWord(c.Name.Kind) + " " + c.Name.Name
+	title := configuration.KindName(c.Key.Kind) + " " + c.Key.Name
 	switch {
 	case c.Before == "":
 		return []string{"+ " + title + ": " + joined(after)}
--- a/control/configuration/content.go
+++ b/control/configuration/content.go
@@ -14,20 +14,20 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// Name identifies an item within a configuration.
-type Name struct {
+// ItemKey identifies an item within a configuration.
+type ItemKey struct {
 	Kind rpc.ItemKind
 	Name string
 }
 
-func compareNames(a, b Name) int {
+func compareNames(a, b ItemKey) int {
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
 // Content is all items of one configuration. It is not safe for concurrent
 // use; the bodies of its items are never modified.
 type Content struct {
-	bodies map[Name][]byte
+	bodies map[ItemKey][]byte
 	// declared sums the items that operators declare, lives those that only
 	// leaving and joining change.
 	declared uint64
@@ -36,7 +36,7 @@
 
 // NewContent returns a content with the given items.
 func NewContent(items []*rpc.Item) *Content {
-	c := &Content{bodies: make(map[Name][]byte, len(items))}
+	c := &Content{bodies: make(map[ItemKey][]byte, len(items))}
 	c.Apply(items)
 	return c
 }
@@ -44,11 +44,11 @@
 // Apply puts the items, and removes those that have an empty body.
 func (c *Content) Apply(changes []*rpc.Item) {
 	for _, item := range changes {
-		c.put(Name{Kind: item.GetKind(), Name: item.GetName()}, item.GetBody())
+		c.put(ItemKey{Kind: item.GetKind(), Name: item.GetName()}, item.GetBody())
 	}
 }
 
-func (c *Content) put(name Name, body []byte) {
+func (c *Content) put(name ItemKey, body []byte) {
 	sum := &c.declared
 	if name.Kind == rpc.ItemKind_ITEM_LIFE {
 		sum = &c.lives
@@ -62,7 +62,7 @@
 }
 
 // Body returns the body of an item, nil if there is none.
-func (c *Content) Body(name Name) []byte { return c.bodies[name] }
+func (c *Content) Body(name ItemKey) []byte { return c.bodies[name] }
 
 // Len returns the number of items.
 func (c *Content) Len() int { return len(c.bodies) }
@@ -72,14 +72,14 @@
 // change has lost one, and asks for the whole content.
 func (c *Content) Digest() uint64 { return c.declared + c.lives }
 
-// Declared is the digest of what operators declare, without the lives.
-func (c *Content) Declared() uint64 { return c.declared }
+// DeclaredDigest is the digest of what operators declare, without the lives.
+func (c *Content) DeclaredDigest() uint64 { return c.declared }
 
-// DeclaredAfter is what Declared would be after the changes, each item once.
-func (c *Content) DeclaredAfter(changes []*rpc.Item) uint64 {
+// DeclaredDigestAfter is what Declared would be after the changes, each item once.
+func (c *Content) DeclaredDigestAfter(changes []*rpc.Item) uint64 {
 	sum := c.declared
 	for _, item := range changes {
-		name := Name{item.GetKind(), item.GetName()}
+		name := ItemKey{item.GetKind(), item.GetName()}
 		sum += digestOf(name, item.GetBody()) - digestOf(name, c.bodies[name])
 	}
 	return sum
@@ -97,17 +97,17 @@
 
 // Clone returns a copy that can be changed on its own.
 func (c *Content) Clone() *Content {
-	bodies := make(map[Name][]byte, len(c.bodies))
+	bodies := make(map[ItemKey][]byte, len(c.bodies))
 	for name, body := range c.bodies {
 		bodies[name] = body
 	}
 	return &Content{bodies: bodies, declared: c.declared, lives: c.lives}
 }
 
-// Changes returns the items that turn from into to, removed ones with an empty
+// ChangedItems returns the items that turn from into to, removed ones with an empty
 // body. Lives of endpoints are left out: only EndpointLeave and EndpointJoin
 // change them, so that an apply cannot undo a leave.
-func Changes(from, to *Content) []*rpc.Item {
+func ChangedItems(from, to *Content) []*rpc.Item {
 	var changes []*rpc.Item
 	for name, body := range to.bodies {
 		if name.Kind != rpc.ItemKind_ITEM_LIFE && !bytes.Equal(from.bodies[name], body) {
@@ -127,12 +127,12 @@
 // a log entry must not.
 func sortItems(items []*rpc.Item) {
 	slices.SortFunc(items, func(a, b *rpc.Item) int {
-		return compareNames(Name{a.Kind, a.Name}, Name{b.Kind, b.Name})
+		return compareNames(ItemKey{a.Kind, a.Name}, ItemKey{b.Kind, b.Name})
 	})
 }
 
 // digestOf returns the digest of one item, zero for one that is not there.
-func digestOf(name Name, body []byte) uint64 {
+func digestOf(name ItemKey, body []byte) uint64 {
 	if len(body) == 0 {
 		return 0
 	}
--- a/control/configuration/diff.go
+++ b/control/configuration/diff.go
@@ -9,23 +9,23 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Change is one item that differs between two configurations. Before is empty
+// ItemChange is one item that differs between two configurations. Before is empty
 // for an added item and After for a removed one; both are JSON.
-type Change struct {
-	Name   Name
+type ItemChange struct {
+	Key   ItemKey
 	Before string
 	After  string
 }
 
 // String says in one line what becomes of the item.
-func (c Change) String() string {
+func (c ItemChange) String() string {
 	switch {
 	case c.Before == "":
-		return fmt.Sprintf("+ %s %s %s", KindWord(c.Name.Kind), c.Name.Name, c.After)
+		return fmt.Sprintf("+ %s %s %s", KindName(c.Key.Kind), c.Key.Name, c.After)
 	case c.After == "":
-		return fmt.Sprintf("- %s %s %s", KindWord(c.Name.Kind), c.Name.Name, c.Before)
+		return fmt.Sprintf("- %s %s %s", KindName(c.Key.Kind), c.Key.Name, c.Before)
 	default:
-		return fmt.Sprintf("~ %s %s %s -> %s", KindWord(c.Name.Kind), c.Name.Name, c.Before, c.After)
+		return fmt.Sprintf("~ %s %s %s -> %s", KindName(c.Key.Kind), c.Key.Name, c.Before, c.After)
 	}
 }
 
@@ -38,12 +38,12 @@
 	rpc.ItemKind_ITEM_LIFE:         "life",
 }
 
-// KindWord is the word that operators know a kind of item by.
-func KindWord(kind rpc.ItemKind) string { return kindWords[kind] }
+// KindName is the word that operators know a kind of item by.
+func KindName(kind rpc.ItemKind) string { return kindWords[kind] }
 
 // Diff returns the items that differ between two configurations, ordered by
 // kind and name. Lives of endpoints are not declared and not compared.
-func Diff(from, to tables.Configuration) ([]Change, error) {
+func Diff(from, to tables.Configuration) ([]ItemChange, error) {
 	before, err := Encode(from)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -52,16 +52,16 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return DiffContent(NewContent(before), NewContent(after)), nil
+	return DiffContents(NewContent(before), NewContent(after)), nil
 }
 
-// DiffContent is Diff for contents.
-func DiffContent(from, to *Content) []Change {
-	var changes []Change
-	for _, item := range Changes(from, to) {
-		name := Name{item.Kind, item.Name}
-		changes = append(changes, Change{
-			Name:   name,
+// DiffContents is Diff for contents.
+func DiffContents(from, to *Content) []ItemChange {
+	var changes []ItemChange
+	for _, item := range ChangedItems(from, to) {
+		name := ItemKey{item.Kind, item.Name}
+		changes = append(changes, ItemChange{
+			Key:   name,
 			Before: string(from.Body(name)),
 			After:  string(item.Body),
 		})
--- a/control/configuration/encode.go
+++ b/control/configuration/encode.go
@@ -26,19 +26,19 @@
 	Leaving bool
 }
 
-// Undecodable means that the body of an item cannot be read.
-type Undecodable struct {
-	Name  Name
+// InvalidItemError means that the body of an item cannot be read.
+type InvalidItemError struct {
+	Key  ItemKey
 	Cause error
 }
 
 // Error names the item.
-func (e *Undecodable) Error() string {
-	return fmt.Sprintf("item %s %q cannot be read: %v", e.Name.Kind, e.Name.Name, e.Cause)
+func (e *InvalidItemError) Error() string {
+	return fmt.Sprintf("item %s %q cannot be read: %v", e.Key.Kind, e.Key.Name, e.Cause)
 }
 
 // Unwrap gives the cause.
-func (e *Undecodable) Unwrap() error { return e.Cause }
+func (e *InvalidItemError) Unwrap() error { return e.Cause }
 
 // Encode returns the items of a configuration, without its revision and without
 // the lives of its endpoints, which are not declared.
@@ -70,7 +70,7 @@
 func (e *encoder) add(kind rpc.ItemKind, name string, value any) {
 	body, err := json.Marshal(value)
 	if err != nil && e.err == nil {
-		e.err = &Undecodable{Name: Name{kind, name}, Cause: err}
+		e.err = &InvalidItemError{Key: ItemKey{kind, name}, Cause: err}
 	}
 	e.items = append(e.items, &rpc.Item{Kind: kind, Name: name, Body: body})
 }
@@ -88,26 +88,26 @@
 // LifeOf returns the life of an endpoint that is in force.
 func (c *Content) LifeOf(endpoint tables.EndpointID) (Life, error) {
 	life := Life{Life: firstLife}
-	name := Name{rpc.ItemKind_ITEM_LIFE, string(endpoint)}
+	name := ItemKey{rpc.ItemKind_ITEM_LIFE, string(endpoint)}
 	body := c.bodies[name]
 	if body == nil {
 		return life, nil
 	}
 	if err := json.Unmarshal(body, &life); err != nil {
-		return life, trace.Wrap(&Undecodable{Name: name, Cause: err})
+		return life, trace.Wrap(&InvalidItemError{Key: name, Cause: err})
 	}
 	return life, nil
 }
 
-// Declares says whether the content has an endpoint of that name.
-func (c *Content) Declares(endpoint tables.EndpointID) bool {
-	return c.bodies[Name{rpc.ItemKind_ITEM_ENDPOINT, string(endpoint)}] != nil
+// DeclaresEndpoint says whether the content has an endpoint of that name.
+func (c *Content) DeclaresEndpoint(endpoint tables.EndpointID) bool {
+	return c.bodies[ItemKey{rpc.ItemKind_ITEM_ENDPOINT, string(endpoint)}] != nil
 }
 
-// WeightLoads returns how many weight loads may run at once, at least 1.
-func (c *Content) WeightLoads() int {
+// WeightLoadLimit returns how many weight loads may run at once, at least 1.
+func (c *Content) WeightLoadLimit() int {
 	var s settings
-	_ = json.Unmarshal(c.bodies[Name{rpc.ItemKind_ITEM_SETTINGS, settingsName}], &s)
+	_ = json.Unmarshal(c.bodies[ItemKey{rpc.ItemKind_ITEM_SETTINGS, settingsName}], &s)
 	return max(1, s.WeightLoads)
 }
 
@@ -126,7 +126,7 @@
 func (c *Content) decodeItem(item *rpc.Item, into *tables.Configuration) error {
 	switch item.Kind {
 	case rpc.ItemKind_ITEM_SETTINGS:
-		into.WeightLoads = c.WeightLoads()
+		into.WeightLoads = c.WeightLoadLimit()
 	case rpc.ItemKind_ITEM_PROFILE:
 		return decodeTo(item, &into.Profiles)
 	case rpc.ItemKind_ITEM_ORGANISATION:
@@ -148,7 +148,7 @@
 func decodeTo[T any](item *rpc.Item, list *[]T) error {
 	var value T
 	if err := json.Unmarshal(item.Body, &value); err != nil {
-		return &Undecodable{Name: Name{item.Kind, item.Name}, Cause: err}
+		return &InvalidItemError{Key: ItemKey{item.Kind, item.Name}, Cause: err}
 	}
 	*list = append(*list, value)
 	return nil
@@ -158,24 +158,24 @@
 // item that one instance cannot read would keep the whole revision out of force
 // there, so it is refused before the quorum sees it.
 func Validate(items []*rpc.Item) error {
-	names := make([]Name, 0, len(items))
+	names := make([]ItemKey, 0, len(items))
 	for _, item := range items {
-		names = append(names, Name{item.GetKind(), item.GetName()})
+		names = append(names, ItemKey{item.GetKind(), item.GetName()})
 	}
 	slices.SortFunc(names, compareNames)
 	for i := 1; i < len(names); i++ {
 		if names[i] == names[i-1] {
-			return trace.Wrap(&Duplicate{Name: names[i]})
+			return trace.Wrap(&DuplicateItemError{Name: names[i]})
 		}
 	}
 	_, err := NewContent(items).Decode(0)
 	return trace.Wrap(err)
 }
 
-// Duplicate means that two items of one configuration have the same name.
-type Duplicate struct{ Name Name }
+// DuplicateItemError means that two items of one configuration have the same name.
+type DuplicateItemError struct{ Name ItemKey }
 
 // Error names the item.
-func (e *Duplicate) Error() string {
+func (e *DuplicateItemError) Error() string {
 	return fmt.Sprintf("item %s %q is declared twice", e.Name.Kind, e.Name.Name)
 }
--- a/control/measure_test.go
+++ b/control/measure_test.go
@@ -233,7 +233,7 @@
 	assert.NilError(b, replica.Barrier(ctx))
 	items := declare(b, time.Second)
 	_, err := replica.Execute(ctx, &rpc.Command{Action: &rpc.Command_Apply{Apply: &rpc.ApplyConfiguration{
-		Request: "first", Digest: configuration.NewContent(items).Declared(), Changes: items,
+		Request: "first", Digest: configuration.NewContent(items).DeclaredDigest(), Changes: items,
 	}}})
 	assert.NilError(b, err)
 	var next atomic.Int64
@@ -328,7 +328,7 @@
 	items, err := configuration.Encode(c)
 	assert.NilError(b, err)
 	return &rpc.Command{Action: &rpc.Command_Apply{Apply: &rpc.ApplyConfiguration{
-		Request: "r", Digest: configuration.NewContent(items).Declared(), Changes: items,
+		Request: "r", Digest: configuration.NewContent(items).DeclaredDigest(), Changes: items,
 	}}}
 }
 
--- a/control/operator/operator.go
+++ b/control/operator/operator.go
@@ -65,11 +65,11 @@
 		Operator: request.GetOperator(),
 		Request:  request.GetRequest(),
 		Base:     request.GetBase(),
-		Digest:   wanted.Declared(),
+		Digest:   wanted.DeclaredDigest(),
 	}
 	s.options.Server.View(func(in *state.State) {
 		if uint64(in.Revision()) == request.GetBase() {
-			command.Changes = configuration.Changes(in.Content(), wanted)
+			command.Changes = configuration.ChangedItems(in.Content(), wanted)
 		}
 	})
 	answer, err := s.change(ctx, &rpc.Command{Action: &rpc.Command_Apply{Apply: command}})
@@ -89,10 +89,10 @@
 		return
 	}
 	s.options.Server.View(func(in *state.State) {
-		for _, change := range configuration.DiffContent(in.Content(), wanted) {
+		for _, change := range configuration.DiffContents(in.Content(), wanted) {
 			answer.Difference = append(answer.Difference, &rpc.ItemChange{
-				Kind:   change.Name.Kind,
-				Name:   change.Name.Name,
+				Kind:   change.Key.Kind,
+				Name:   change.Key.Name,
 				Before: change.Before,
 				After:  change.After,
 			})
--- a/control/orders/orders_test.go
+++ b/control/orders/orders_test.go
@@ -90,7 +90,7 @@
 	f.index++
 	result := f.state.Execute(f.index, &rpc.Command{Action: &rpc.Command_Apply{Apply: &rpc.ApplyConfiguration{
 		Request: "r",
-		Digest:  configuration.NewContent(items).Declared(),
+		Digest:  configuration.NewContent(items).DeclaredDigest(),
 		Changes: items,
 	}}})
 	assert.Assert(f.t, result.GetAccepted() != nil)
--- a/control/server/network_test.go
+++ b/control/server/network_test.go
@@ -313,8 +313,8 @@
 		Operator: operator,
 		Request:  request,
 		Base:     base,
-		Digest:   to.Declared(),
-		Changes:  configuration.Changes(s.Content(), to),
+		Digest:   to.DeclaredDigest(),
+		Changes:  configuration.ChangedItems(s.Content(), to),
 	}}}
 }
 
--- a/control/state/configurations.go
+++ b/control/state/configurations.go
@@ -72,15 +72,15 @@
 // force to the content that the request's digest stands for. They do not if
 // they were computed against another revision, or if they try to change lives.
 func (c *configurationStore) changesMatchDigest(request *rpc.ApplyConfiguration) bool {
-	seen := map[configuration.Name]bool{}
+	seen := map[configuration.ItemKey]bool{}
 	for _, item := range request.GetChanges() {
-		name := configuration.Name{Kind: item.GetKind(), Name: item.GetName()}
+		name := configuration.ItemKey{Kind: item.GetKind(), Name: item.GetName()}
 		if seen[name] || item.GetKind() == rpc.ItemKind_ITEM_LIFE {
 			return false
 		}
 		seen[name] = true
 	}
-	return c.content.DeclaredAfter(request.GetChanges()) == request.GetDigest()
+	return c.content.DeclaredDigestAfter(request.GetChanges()) == request.GetDigest()
 }
 
 // changeLife lets an endpoint leave or join. It is not compared with a base
@@ -100,7 +100,7 @@
 	if err != nil {
 		return refused(rpc.RefusalReason_REFUSED_MALFORMED)
 	}
-	if !c.content.Declares(endpoint) {
+	if !c.content.DeclaresEndpoint(endpoint) {
 		return refused(rpc.RefusalReason_REFUSED_UNKNOWN_ENDPOINT)
 	}
 	// A request for an earlier life is late: the endpoint has joined again
--- a/control/state/configurations_test.go
+++ b/control/state/configurations_test.go
@@ -29,8 +29,8 @@
 		Operator: operator,
 		Request:  request,
 		Base:     base,
-		Digest:   to.Declared(),
-		Changes:  configuration.Changes(w.Content(), to),
+		Digest:   to.DeclaredDigest(),
+		Changes:  configuration.ChangedItems(w.Content(), to),
 	}}}
 }
 
@@ -63,7 +63,7 @@
 	assert.Equal(t, conflict.GetWinner().GetOperator(), "ama")
 	assert.Equal(t, conflict.GetWinner().GetNumber(), uint64(1))
 	assert.Equal(t, conflict.GetWinner().GetWall(), int64(7))
-	assert.Equal(t, w.Content().Declared(), contentOf(t, "a").Declared())
+	assert.Equal(t, w.Content().DeclaredDigest(), contentOf(t, "a").DeclaredDigest())
 }
 
 // The answer to an apply is lost, newer revisions follow, and the operator
@@ -78,7 +78,7 @@
 	assert.Assert(t, again.GetResent())
 	assert.Equal(t, again.GetRevision().GetNumber(), uint64(1))
 	assert.Equal(t, w.Revision(), tables.Revision(2))
-	assert.Equal(t, w.Content().Declared(), contentOf(t, "b").Declared())
+	assert.Equal(t, w.Content().DeclaredDigest(), contentOf(t, "b").DeclaredDigest())
 	other := w.applyCommand("ama", "r1", 2, contentOf(t, "c"))
 	assert.Equal(t, refusalReason(w.run(other)), rpc.RefusalReason_REFUSED_REQUEST_REUSED)
 }
--- a/control/state/state.go
+++ b/control/state/state.go
@@ -103,7 +103,7 @@
 	case *rpc.Command_ReleaseLease:
 		return s.leases.release(action.ReleaseLease)
 	case *rpc.Command_StartLoad:
-		return s.leases.startLoad(s.now, s.configuration.content.WeightLoads(), action.StartLoad)
+		return s.leases.startLoad(s.now, s.configuration.content.WeightLoadLimit(), action.StartLoad)
 	case *rpc.Command_EndLoad:
 		return s.leases.endLoad(s.now, action.EndLoad)
 	case *rpc.Command_AnnounceOrders:
