--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -118,7 +118,7 @@
 	}
 	in.follower = c.startFollower(i)
 	if i >= c.controls {
-		mux.Handle(rpc.ControlPathPrefix, transport.NewHandler(follower.Peer{Follower: in.follower}))
+		mux.Handle(rpc.ControlPathPrefix, transport.NewHandler(follower.Relay{Follower: in.follower}))
 	}
 	var executors []client.Executor
 	for j := range c.controls {
@@ -165,7 +165,7 @@
 	in := c.instances[i]
 	return follower.Start(follower.Options{
 		Instance: in.name,
-		Disk:     in.folder,
+		Files:     in.folder,
 		Sources: func() []follower.Source {
 			var sources []follower.Source
 			for j := range c.controls {
@@ -173,7 +173,7 @@
 			}
 			return append(sources, in.dialer.Control(c.instances[(i+1)%len(c.instances)].address))
 		},
-		Configure: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
+		OnConfiguration: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
 	})
 }
 
@@ -234,7 +234,7 @@
 		}
 	}
 	// The follower hands a revision out just before it takes note of it.
-	for noted := tables.Revision(0); noted < want; noted, _ = c.instances[i].follower.InForce() {
+	for noted := tables.Revision(0); noted < want; noted, _ = c.instances[i].follower.RevisionInForce() {
 		if ctx.Err() != nil {
 			c.t.Fatalf("instance %d does not take note of revision %d", i, want)
 		}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -81,16 +81,16 @@
 	in := c.instances[0]
 	in.follower.Close()
 	in.follower = follower.Start(follower.Options{
-		Disk:      in.folder,
+		Files:      in.folder,
 		Sources:   func() []follower.Source { return nil },
-		Configure: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
+		OnConfiguration: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
 	})
 	<-in.follower.Ready()
-	revision, _ := in.follower.InForce()
+	revision, _ := in.follower.RevisionInForce()
 	assert.Equal(t, revision, tables.Revision(2))
 	behind := staleSource{&rpc.WatchAnswer{Revision: 1, Full: true, Items: declare(t, time.Second)}}
 	assert.NilError(t, in.follower.Fetch(c.long(), behind, 0))
-	revision, _ = in.follower.InForce()
+	revision, _ = in.follower.RevisionInForce()
 	assert.Equal(t, revision, tables.Revision(2))
 }
 
@@ -109,7 +109,7 @@
 	lossy := &lossySource{items: declare(t, time.Hour)}
 	assert.NilError(t, c.instances[0].follower.Fetch(c.long(), lossy, 0))
 	assert.Equal(t, lossy.asked, 2)
-	revision, _ := c.instances[0].follower.InForce()
+	revision, _ := c.instances[0].follower.RevisionInForce()
 	assert.Equal(t, revision, tables.Revision(5))
 }
 
@@ -263,7 +263,7 @@
 	answer := &rpc.WatchAnswer{Revision: 3, Full: true, Items: items, Digest: configuration.NewContent(items).Digest()}
 	f := follower.Start(follower.Options{
 		Sources:   func() []follower.Source { return []follower.Source{silent, staleSource{answer}} },
-		Configure: func(*tables.Configuration) {},
+		OnConfiguration: func(*tables.Configuration) {},
 	})
 	defer f.Close()
 	defer close(silent)
--- a/control/fanout_test.go
+++ b/control/fanout_test.go
@@ -85,7 +85,7 @@
 		one := follower.Start(follower.Options{
 			Instance:  tables.InstanceID(fmt.Sprintf("instance-%03d", i)),
 			Sources:   func() []follower.Source { return []follower.Source{dialer.Control(f.instances[i%3].address)} },
-			Configure: func(configuration *tables.Configuration) { f.inForce <- configuration.Revision },
+			OnConfiguration: func(configuration *tables.Configuration) { f.inForce <- configuration.Revision },
 		})
 		b.Cleanup(one.Close)
 	}
--- a/control/follower/follower.go
+++ b/control/follower/follower.go
@@ -49,8 +49,8 @@
 	Watch(ctx context.Context, request *rpc.WatchRequest) (*rpc.WatchAnswer, error)
 }
 
-// Disk keeps small files durably; *store.Folder is one.
-type Disk interface {
+// FileStore keeps small files durably; *store.Folder is one.
+type FileStore interface {
 	ReadAtomic(name string) ([]byte, error)
 	WriteAtomic(name string, data []byte) error
 }
@@ -62,13 +62,13 @@
 	// Sources returns whom to ask, the preferred first: control instances of the
 	// own zone, those of the others, then some other instances.
 	Sources func() []Source
-	// Disk keeps the last accepted copy; nil keeps none.
-	Disk Disk
-	// Configure puts a configuration in force. It is called by one goroutine at
+	// Files keeps the last accepted copy; nil keeps none.
+	Files FileStore
+	// OnConfiguration puts a configuration in force. It is called by one goroutine at
 	// a time, with revisions that only grow.
-	Configure func(*tables.Configuration)
-	// Wall is the clock that people read; nil means time.Now.
-	Wall func() time.Time
+	OnConfiguration func(*tables.Configuration)
+	// WallClock is the clock that people read; nil means time.Now.
+	WallClock func() time.Time
 	Log  *zap.Logger
 }
 
@@ -98,15 +98,15 @@
 	items    []*rpc.Item
 }
 
-// WrongDigest means that a copy does not have the digest of its revision: a
+// DigestMismatchError means that a copy does not have the digest of its revision: a
 // change was lost on the way.
-type WrongDigest struct {
+type DigestMismatchError struct {
 	Revision  uint64
 	Want, Got uint64
 }
 
 // Error gives both digests.
-func (e *WrongDigest) Error() string {
+func (e *DigestMismatchError) Error() string {
 	return fmt.Sprintf("revision %d has digest %x, want %x", e.Revision, e.Got, e.Want)
 }
 
@@ -115,8 +115,8 @@
 	if options.Log == nil {
 		options.Log = zap.NewNop()
 	}
-	if options.Wall == nil {
-		options.Wall = time.Now
+	if options.WallClock == nil {
+		options.WallClock = time.Now
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Follower{
@@ -140,8 +140,8 @@
 // Ready is closed once a configuration is in force.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// InForce returns the revision in force and since when, zero for none.
-func (f *Follower) InForce() (tables.Revision, time.Time) {
+// RevisionInForce returns the revision in force and since when, zero for none.
+func (f *Follower) RevisionInForce() (tables.Revision, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return tables.Revision(f.revision), f.since
@@ -149,10 +149,10 @@
 
 // loadSaved puts the copy of the former process in force.
 func (f *Follower) loadSaved() {
-	if f.options.Disk == nil {
+	if f.options.Files == nil {
 		return
 	}
-	data, err := f.options.Disk.ReadAtomic(savedFile)
+	data, err := f.options.Files.ReadAtomic(savedFile)
 	if err != nil {
 		if !isMissing(err) {
 			events.FollowerCopyUnusable.Log(f.options.Log, zap.Error(err))
@@ -201,7 +201,7 @@
 			wait = min(2*wait, maxNextSource)
 		}
 		timer.Stop()
-		if revision, _ := f.InForce(); revision > 0 || ctx.Err() != nil {
+		if revision, _ := f.RevisionInForce(); revision > 0 || ctx.Err() != nil {
 			return
 		}
 	}
@@ -236,7 +236,7 @@
 // yet: many instances tell of a revision at once, and each answer could be the
 // whole content.
 func (f *Follower) FetchNewer(ctx context.Context, source Source) error {
-	if revision, _ := f.InForce(); revision == 0 || !f.fetching.CompareAndSwap(false, true) {
+	if revision, _ := f.RevisionInForce(); revision == 0 || !f.fetching.CompareAndSwap(false, true) {
 		return nil
 	}
 	defer f.fetching.Store(false)
@@ -246,7 +246,7 @@
 // Fetch asks one source, which may wait for something new, and takes what it
 // has.
 func (f *Follower) Fetch(ctx context.Context, source Source, wait time.Duration) error {
-	have, _ := f.InForce()
+	have, _ := f.RevisionInForce()
 	answer, err := f.ask(ctx, source, uint64(have), wait)
 	if err != nil {
 		return trace.Wrap(err)
@@ -300,7 +300,7 @@
 		content.Apply(answer.GetItems())
 	}
 	if content.Digest() != answer.GetDigest() {
-		return trace.Wrap(&WrongDigest{Revision: answer.GetRevision(), Want: answer.GetDigest(), Got: content.Digest()})
+		return trace.Wrap(&DigestMismatchError{Revision: answer.GetRevision(), Want: answer.GetDigest(), Got: content.Digest()})
 	}
 	decoded, err := content.Decode(tables.Revision(answer.GetRevision()))
 	if err != nil {
@@ -309,7 +309,7 @@
 	if save {
 		f.save(answer.GetRevision(), content)
 	}
-	f.options.Configure(&decoded)
+	f.options.OnConfiguration(&decoded)
 	f.put(answer, current, content)
 	return nil
 }
@@ -321,7 +321,7 @@
 		close(f.ready)
 	}
 	f.revision = answer.GetRevision()
-	f.since = f.options.Wall()
+	f.since = f.options.WallClock()
 	f.content = content
 	if answer.GetFull() {
 		f.changes = nil
@@ -338,7 +338,7 @@
 // save keeps the copy for the next process. A failure does not keep the
 // revision out of force: callers are better served by it than by an older one.
 func (f *Follower) save(revision uint64, content *configuration.Content) {
-	if f.options.Disk == nil {
+	if f.options.Files == nil {
 		return
 	}
 	data, err := proto.Marshal(&rpc.InstanceSaved{
@@ -347,7 +347,7 @@
 		Items:    content.Items(),
 	})
 	if err == nil {
-		err = f.options.Disk.WriteAtomic(savedFile, data)
+		err = f.options.Files.WriteAtomic(savedFile, data)
 	}
 	if err != nil {
 		events.FollowerNotSaved.Log(f.options.Log, zap.Error(err))
--- a/control/follower/watch.go
+++ b/control/follower/relay.go
@@ -54,24 +54,24 @@
 	return answer, f.changed
 }
 
-// Peer serves the control interface of an instance without the control role: it
+// Relay serves the control interface of an instance without the control role: it
 // passes configurations on and declines the rest.
-type Peer struct {
+type Relay struct {
 	*Follower
 }
 
-var _ rpc.Control = Peer{}
+var _ rpc.Control = Relay{}
 
 // Execute declines.
-func (Peer) Execute(context.Context, *rpc.Command) (*rpc.Result, error) { return nil, declined() }
+func (Relay) Execute(context.Context, *rpc.Command) (*rpc.Result, error) { return nil, declined() }
 
 // Deliver declines.
-func (Peer) Deliver(context.Context, *rpc.DeliverRequest) (*rpc.DeliverAnswer, error) {
+func (Relay) Deliver(context.Context, *rpc.DeliverRequest) (*rpc.DeliverAnswer, error) {
 	return nil, declined()
 }
 
 // Join declines.
-func (Peer) Join(context.Context, *rpc.JoinRequest) (*rpc.JoinAnswer, error) { return nil, declined() }
+func (Relay) Join(context.Context, *rpc.JoinRequest) (*rpc.JoinAnswer, error) { return nil, declined() }
 
 func declined() error {
 	return twirp.NewError(twirp.Unimplemented, "this instance does not have the control role")
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -104,8 +104,8 @@
 		Instance:  d.options.Process.Instance,
 		Zone:      d.options.Process.Zone,
 		Sources:   d.sources,
-		Disk:      d.folder,
-		Configure: d.configure,
+		Files:      d.folder,
+		OnConfiguration: d.configure,
 		Log:       d.options.Log,
 	})
 }
@@ -163,7 +163,7 @@
 	if d.replica != nil {
 		return transport.NewHandler(d.replica)
 	}
-	return transport.NewHandler(follower.Peer{Follower: d.follower})
+	return transport.NewHandler(follower.Relay{Follower: d.follower})
 }
 
 // bootstrap applies the first declarations of a deployment, once: it does
