--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -156,7 +156,7 @@
 	var err error
 	in.server, err = server.Start(options)
 	assert.NilError(c.t, err)
-	in.service = operator.New(operator.Options{Server: in.server, Instance: in.name})
+	in.service = operator.NewService(operator.Options{Server: in.server, Instance: in.name})
 }
 
 // startFollower lets an instance ask the control instances, and then the next
--- a/control/operator/operator.go
+++ b/control/operator/operator.go
@@ -19,8 +19,8 @@
 	Server   *server.Server
 	Instance tables.InstanceID
 	Zone     tables.Zone
-	// Instances returns what this instance knows of all instances.
-	Instances func() []*rpc.InstanceStatus
+	// InstanceStatuses returns what this instance knows of all instances.
+	InstanceStatuses func() []*rpc.InstanceStatus
 }
 
 // Service implements rpc.Operator. The keys of operators are checked by the
@@ -29,8 +29,8 @@
 	options Options
 }
 
-// New returns the service.
-func New(options Options) *Service { return &Service{options: options} }
+// NewService returns the service.
+func NewService(options Options) *Service { return &Service{options: options} }
 
 // Status says what this instance is doing and what it knows of the others.
 func (s *Service) Status(context.Context, *rpc.StatusRequest) (*rpc.StatusAnswer, error) {
@@ -40,8 +40,8 @@
 		Revision: uint64(s.options.Server.Revision()),
 		Leader:   s.options.Server.Status().LeaderAddress,
 	}
-	if s.options.Instances != nil {
-		answer.Instances = s.options.Instances()
+	if s.options.InstanceStatuses != nil {
+		answer.Instances = s.options.InstanceStatuses()
 	}
 	return answer, nil
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -92,8 +92,8 @@
 		return trace.Wrap(err)
 	}
 	d.replica = replica
-	d.operators = operator.New(operator.Options{
-		Server: replica, Instance: p.Instance, Zone: p.Zone, Instances: d.instanceStatuses,
+	d.operators = operator.NewService(operator.Options{
+		Server: replica, Instance: p.Instance, Zone: p.Zone, InstanceStatuses: d.instanceStatuses,
 	})
 	return nil
 }
