--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -45,16 +45,16 @@
 	// Dial opens connections to other instances and to endpoints; nil means
 	// TCP. Tests cut availability zones off here.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Reaches says whether membership's datagrams to an address arrive; nil
+	// IsReachable says whether membership's datagrams to an address arrive; nil
 	// means that all do. Like Dial it is for tests that cut zones off.
-	Reaches func(to netip.AddrPort) bool
+	IsReachable func(to netip.AddrPort) bool
 	// Listen opens the instance's TCP listeners; nil means TCP. Tests hand in
 	// listeners that they hold already, so that no other process takes the
 	// port.
 	Listen func(at netip.AddrPort) (net.Listener, error)
-	// FeedPeriod is the time between two load reports of an endpoint; 0 means
+	// LoadReportInterval is the time between two load reports of an endpoint; 0 means
 	// the default.
-	FeedPeriod time.Duration
+	LoadReportInterval time.Duration
 }
 
 // Daemon is one running instance. Its methods are safe for concurrent use.
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -42,7 +42,7 @@
 	d.feeds = feed.NewGroup(feed.Options{
 		Reporter: d.client,
 		Deliver:  server.Observe,
-		Period:   d.options.FeedPeriod,
+		Period:   d.options.LoadReportInterval,
 		Log:      d.options.Log,
 	})
 	return nil
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -38,7 +38,7 @@
 		OnMembersChanged: d.membersChanged,
 		OnNewerRevision:  d.fetchFrom,
 		OnPlacement:      d.placedElsewhere,
-		IsReachable:      d.options.Reaches,
+		IsReachable:      d.options.IsReachable,
 	})
 	if err != nil {
 		return trace.Wrap(err)
