--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -41,7 +41,7 @@
 	server   *server.Server
 	service  *operator.Service
 	follower *follower.Follower
-	claims   *client.Claims
+	claims   *client.ClaimClient
 	inForce  chan tables.Revision
 }
 
@@ -118,15 +118,15 @@
 	}
 	in.follower = c.startFollower(i)
 	if i >= c.controls {
-		mux.Handle(rpc.ControlPathPrefix, transport.NewHandler(follower.Peer{Follower: in.follower}))
+		mux.Handle(rpc.ControlPathPrefix, transport.NewHandler(follower.Relay{Follower: in.follower}))
 	}
 	var executors []client.Executor
 	for j := range c.controls {
 		executors = append(executors, in.dialer.Control(c.instances[(i+j)%c.controls].address))
 	}
 	started := time.Now()
-	in.claims = client.NewClaims(client.ClaimsOptions{
-		Executor: client.NewGroup(executors...),
+	in.claims = client.NewClaimClient(client.ClaimClientOptions{
+		Executor: client.NewFailoverExecutor(executors...),
 		Instance: in.name,
 		Boot:     c.boot.Add(1),
 		Now:      func() tables.Instant { return time.Since(started) },
@@ -156,7 +156,7 @@
 	var err error
 	in.server, err = server.Start(options)
 	assert.NilError(c.t, err)
-	in.service = operator.New(operator.Options{Server: in.server, Instance: in.name})
+	in.service = operator.NewService(operator.Options{Server: in.server, Instance: in.name})
 }
 
 // startFollower lets an instance ask the control instances, and then the next
@@ -165,7 +165,7 @@
 	in := c.instances[i]
 	return follower.Start(follower.Options{
 		Instance: in.name,
-		Disk:     in.folder,
+		Files:     in.folder,
 		Sources: func() []follower.Source {
 			var sources []follower.Source
 			for j := range c.controls {
@@ -173,7 +173,7 @@
 			}
 			return append(sources, in.dialer.Control(c.instances[(i+1)%len(c.instances)].address))
 		},
-		Configure: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
+		OnConfiguration: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
 	})
 }
 
@@ -234,7 +234,7 @@
 		}
 	}
 	// The follower hands a revision out just before it takes note of it.
-	for noted := tables.Revision(0); noted < want; noted, _ = c.instances[i].follower.InForce() {
+	for noted := tables.Revision(0); noted < want; noted, _ = c.instances[i].follower.RevisionInForce() {
 		if ctx.Err() != nil {
 			c.t.Fatalf("instance %d does not take note of revision %d", i, want)
 		}
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -57,8 +57,8 @@
 			return err
 		}
 	}
-	d.claims = client.NewClaims(client.ClaimsOptions{
-		Executor: client.NewGroup(d.executors()...),
+	d.claims = client.NewClaimClient(client.ClaimClientOptions{
+		Executor: client.NewFailoverExecutor(d.executors()...),
 		Instance: d.options.Process.Instance,
 		Boot:     d.boot,
 		Now:      d.now,
@@ -92,8 +92,8 @@
 		return trace.Wrap(err)
 	}
 	d.replica = replica
-	d.operators = operator.New(operator.Options{
-		Server: replica, Instance: p.Instance, Zone: p.Zone, Instances: d.instanceStatuses,
+	d.operators = operator.NewService(operator.Options{
+		Server: replica, Instance: p.Instance, Zone: p.Zone, InstanceStatuses: d.instanceStatuses,
 	})
 	return nil
 }
@@ -104,8 +104,8 @@
 		Instance:  d.options.Process.Instance,
 		Zone:      d.options.Process.Zone,
 		Sources:   d.sources,
-		Disk:      d.folder,
-		Configure: d.configure,
+		Files:      d.folder,
+		OnConfiguration: d.configure,
 		Log:       d.options.Log,
 	})
 }
@@ -163,7 +163,7 @@
 	if d.replica != nil {
 		return transport.NewHandler(d.replica)
 	}
-	return transport.NewHandler(follower.Peer{Follower: d.follower})
+	return transport.NewHandler(follower.Relay{Follower: d.follower})
 }
 
 // bootstrap applies the first declarations of a deployment, once: it does
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -42,7 +42,7 @@
 	d.feeds = feed.NewPollerGroup(feed.Options{
 		Reporter:     d.client,
 		Deliver:      server.Observe,
-		LoadInterval: d.options.FeedPeriod,
+		LoadInterval: d.options.LoadReportInterval,
 		Log:          d.options.Log,
 	})
 	return nil
