--- a/control/server/backup.go
+++ b/control/server/backup.go
@@ -58,7 +58,7 @@
 	index := saved.Snapshot.Index
 	for _, entry := range saved.Entries {
 		index = entry.Index
-		if entry.Kind == replog.EntryData {
+		if entry.Kind == replog.EntryCommand {
 			replayed.Apply(entry.Index, entry.Data)
 		}
 	}
@@ -100,7 +100,7 @@
 		return trace.Wrap(err)
 	}
 	member := replog.Member{Replica: replica, Address: options.Self.Address}
-	saved := replog.Bootstrap(member, backup.GetIndex()+recoveredIndexStep, recovered)
+	saved := replog.BootstrapState(member, backup.GetIndex()+recoveredIndexStep, recovered)
 	log, err := disk.Create(group, replica, saved)
 	if err != nil {
 		return trace.Wrap(err)
--- a/control/server/bootstrap.go
+++ b/control/server/bootstrap.go
@@ -112,7 +112,7 @@
 			return s.create(answer.GetGroup(), answer.GetFounders())
 		}
 	}
-	log, err := s.options.LogStore.Create(answer.GetGroup(), s.replica, replog.Saved{})
+	log, err := s.options.LogStore.Create(answer.GetGroup(), s.replica, replog.PersistentState{})
 	return log, trace.Wrap(err)
 }
 
@@ -140,7 +140,7 @@
 			Address: founder.GetAddress(),
 		})
 	}
-	saved := replog.BootstrapGroup(members, foundingIndex, data)
+	saved := replog.BootstrapGroupState(members, foundingIndex, data)
 	log, err := s.options.LogStore.Create(group, s.replica, saved)
 	return log, trace.Wrap(err)
 }
@@ -210,7 +210,7 @@
 		s.repairGroup(status)
 		return
 	}
-	if !status.Members.IsVoter(status.ID) || !s.soft.Current {
+	if !status.Members.IsVoter(status.ID) || !s.soft.UpToDate {
 		self := s.founder()
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout*time.Duration(len(s.options.Peers)+1))
 		s.running.Go(func() {
@@ -267,7 +267,7 @@
 	ticks := int(s.options.VoterTimeout / s.options.TickInterval)
 	for _, voter := range status.Members.Voters() {
 		progress, known := status.Progress[voter]
-		if known && voter != status.ID && progress.IdleTicks > ticks {
+		if known && voter != status.ID && progress.TicksSinceResponse > ticks {
 			return voter, true
 		}
 	}
--- a/control/server/disk_full_test.go
+++ b/control/server/disk_full_test.go
@@ -26,7 +26,7 @@
 	return fullLog{Log: log, full: d.full}, nil
 }
 
-func (d fullDisk) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
+func (d fullDisk) Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (Log, error) {
 	log, err := d.memoryDisk.Create(group, replica, saved)
 	if err != nil {
 		return nil, err
--- a/control/server/event_loop.go
+++ b/control/server/event_loop.go
@@ -83,12 +83,12 @@
 	best := replog.None
 	for _, voter := range status.Members.Voters() {
 		progress, known := status.Progress[voter]
-		answers := known && voter != status.ID && progress.IdleTicks <= s.options.ElectionTicks
+		answers := known && voter != status.ID && progress.TicksSinceResponse <= s.options.ElectionTicks
 		if answers && (best == replog.None || progress.Match > status.Progress[best].Match) {
 			best = voter
 		}
 	}
-	if best == replog.None || s.node.TransferLeader(best) != nil {
+	if best == replog.None || s.node.TransferLeadership(best) != nil {
 		s.noteHandedOver()
 	}
 }
@@ -119,7 +119,7 @@
 }
 
 func (s *Server) stepFailed(err error) {
-	if _, broken := err.(*replog.Inconsistent); broken {
+	if _, broken := err.(*replog.CommittedConflictError); broken {
 		s.broken(err)
 		return
 	}
@@ -213,7 +213,7 @@
 	s.view.leads = status.Role == replog.Leader
 	s.view.leader = status.Leader
 	s.view.leaderAddress = leader.Address
-	s.view.current = s.soft.Current
+	s.view.current = s.soft.UpToDate
 	s.view.members = status.Members
 	s.view.voter = self.Replica == status.ID && !self.Learner
 	s.view.group, s.view.founders = s.state.Group()
@@ -238,7 +238,7 @@
 	results := make([]*rpc.Result, len(ready.Committed))
 	s.mu.Lock()
 	for i, entry := range ready.Committed {
-		if entry.Kind == replog.EntryData {
+		if entry.Kind == replog.EntryCommand {
 			_, results[i] = s.state.Apply(entry.Index, entry.Data)
 			results[i].Index = entry.Index
 		}
--- a/control/server/freshness.go
+++ b/control/server/freshness.go
@@ -28,7 +28,7 @@
 	if soft.Leader != before.Leader || soft.Role != before.Role {
 		s.takeRole(soft)
 	}
-	if soft.Current != before.Current {
+	if soft.UpToDate != before.UpToDate {
 		s.noteCurrent(soft)
 	}
 	s.publish(nil)
@@ -39,7 +39,7 @@
 // write down what it hears.
 func (s *Server) noteCurrent(soft replog.SoftState) {
 	event := events.ControlLags
-	if soft.Current {
+	if soft.UpToDate {
 		event = events.ControlCurrent
 	}
 	status := s.node.Status()
@@ -51,10 +51,10 @@
 // noteFresh keeps as of when the state is known to be the group's newest.
 func (s *Server) noteFresh() {
 	status := s.node.Status()
-	if !status.Fresh {
+	if !status.StalenessKnown {
 		return
 	}
-	at := s.options.Clock.Now() - time.Duration(status.FreshTicks)*s.options.TickInterval
+	at := s.options.Clock.Now() - time.Duration(status.StalenessTicks)*s.options.TickInterval
 	s.mu.Lock()
 	s.freshAt = max(0, at)
 	s.mu.Unlock()
--- a/control/server/log_store.go
+++ b/control/server/log_store.go
@@ -32,7 +32,7 @@
 }
 
 // Create creates and opens the log of the folder.
-func (d FolderLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
+func (d FolderLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (Log, error) {
 	if err := d.Folder.CreateLog(store.Identity{Group: group, Replica: replica}, saved); err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/control/server/messages.go
+++ b/control/server/messages.go
@@ -19,10 +19,10 @@
 		RejectIndex: m.RejectIndex,
 		HintIndex:   m.HintIndex,
 		HintTerm:    m.HintTerm,
-		Round:       m.Round,
-		Force:       m.Force,
+		Round:       m.ReadRound,
+		Force:       m.LeadershipTransfer,
 		ToLearner:   m.ToLearner,
-		Fresh:       m.Fresh,
+		Fresh:       m.LostState,
 	}
 	for _, e := range m.Entries {
 		out.Entries = append(out.Entries, &rpc.LogEntry{
@@ -43,22 +43,22 @@
 // decodeMessage fails with *replog.BadEncoding.
 func decodeMessage(in *rpc.LogMessage) (replog.Message, error) {
 	m := replog.Message{
-		Type:        replog.MessageType(in.GetType()),
-		Group:       in.GetGroup(),
-		From:        replog.ReplicaID(in.GetFrom()),
-		To:          replog.ReplicaID(in.GetTo()),
-		Term:        in.GetTerm(),
-		Index:       in.GetIndex(),
-		LogTerm:     in.GetLogTerm(),
-		Commit:      in.GetCommit(),
-		Reject:      in.GetReject(),
-		RejectIndex: in.GetRejectIndex(),
-		HintIndex:   in.GetHintIndex(),
-		HintTerm:    in.GetHintTerm(),
-		Round:       in.GetRound(),
-		Force:       in.GetForce(),
-		ToLearner:   in.GetToLearner(),
-		Fresh:       in.GetFresh(),
+		Type:               replog.MessageType(in.GetType()),
+		Group:              in.GetGroup(),
+		From:               replog.ReplicaID(in.GetFrom()),
+		To:                 replog.ReplicaID(in.GetTo()),
+		Term:               in.GetTerm(),
+		Index:              in.GetIndex(),
+		LogTerm:            in.GetLogTerm(),
+		Commit:             in.GetCommit(),
+		Reject:             in.GetReject(),
+		RejectIndex:        in.GetRejectIndex(),
+		HintIndex:          in.GetHintIndex(),
+		HintTerm:           in.GetHintTerm(),
+		ReadRound:          in.GetRound(),
+		LeadershipTransfer: in.GetForce(),
+		ToLearner:          in.GetToLearner(),
+		LostState:          in.GetFresh(),
 	}
 	for _, e := range in.GetEntries() {
 		m.Entries = append(m.Entries, replog.Entry{
--- a/control/server/nemesis_test.go
+++ b/control/server/nemesis_test.go
@@ -36,7 +36,7 @@
 	read chan struct{}
 }
 
-func (l slowLog) Load() (replog.Saved, error) {
+func (l slowLog) Load() (replog.PersistentState, error) {
 	<-l.read
 	return l.Log.Load()
 }
--- a/control/server/network_test.go
+++ b/control/server/network_test.go
@@ -147,7 +147,7 @@
 	return memoryLog{d.storage, d}, nil
 }
 
-func (d *memoryDisk) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
+func (d *memoryDisk) Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (Log, error) {
 	d.group, d.replica, d.storage = group, replica, replog.NewMemoryStorage(saved)
 	return memoryLog{d.storage, d}, nil
 }
--- a/control/server/options.go
+++ b/control/server/options.go
@@ -30,7 +30,7 @@
 	Open() (Log, error)
 	// Create makes the log of a replica that was never used before, and returns
 	// once it is durable.
-	Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error)
+	Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (Log, error)
 	// NewReplicaID returns an identity for a replica whose log is not created
 	// yet; the same one until then where it can be kept.
 	NewReplicaID() (replog.ReplicaID, error)
--- a/control/stale_source_test.go
+++ b/control/stale_source_test.go
@@ -197,7 +197,7 @@
 	return hangingLog{Log: log, disk: d}, nil
 }
 
-func (d *hangingDisk) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (server.Log, error) {
+func (d *hangingDisk) Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (server.Log, error) {
 	log, err := d.LogStore.Create(group, replica, saved)
 	if err != nil {
 		return nil, err
--- a/replog/config.go
+++ b/replog/config.go
@@ -14,12 +14,12 @@
 	ElectionTicks int
 	// HeartbeatTicks is the time between two heartbeats. Default 1.
 	HeartbeatTicks int
-	// StallTicks is the time that one write of the leader may take before it steps
+	// WriteTimeoutTicks is the time that one write of the leader may take before it steps
 	// down. Default 2 times ElectionTicks.
-	StallTicks int
-	// SnapshotTicks is the time without an answer after which a snapshot is sent
+	WriteTimeoutTicks int
+	// SnapshotTimeoutTicks is the time without an answer after which a snapshot is sent
 	// again. Default 20 times ElectionTicks.
-	SnapshotTicks int
+	SnapshotTimeoutTicks int
 	// MaxBatchBytes bounds the entries in one message; one entry may exceed it.
 	// Default 256 KiB.
 	MaxBatchBytes int
@@ -28,9 +28,9 @@
 	// MaxUncommittedBytes bounds what is proposed and not committed. Default
 	// 32 MiB.
 	MaxUncommittedBytes int
-	// MaxInflight bounds the messages with entries that are sent to a replica
+	// MaxInflightMessages bounds the messages with entries that are sent to a replica
 	// and not acknowledged. Default 64.
-	MaxInflight int
+	MaxInflightMessages int
 	// TrailingEntries and TrailingBytes bound the entries that are kept in memory
 	// before a snapshot, for replicas that are only a little behind. Defaults
 	// 1000 and 4 MiB.
@@ -57,12 +57,12 @@
 func (c *Config) setDefaults() {
 	setDefault(&c.ElectionTicks, defaultElectionTicks)
 	setDefault(&c.HeartbeatTicks, defaultHeartbeatTicks)
-	setDefault(&c.StallTicks, defaultStallFactor*c.ElectionTicks)
-	setDefault(&c.SnapshotTicks, defaultSnapshotFactor*c.ElectionTicks)
+	setDefault(&c.WriteTimeoutTicks, defaultStallFactor*c.ElectionTicks)
+	setDefault(&c.SnapshotTimeoutTicks, defaultSnapshotFactor*c.ElectionTicks)
 	setDefault(&c.MaxBatchBytes, defaultMaxBatchBytes)
 	setDefault(&c.MaxEntryBytes, defaultMaxEntryBytes)
 	setDefault(&c.MaxUncommittedBytes, defaultMaxUncommittedBytes)
-	setDefault(&c.MaxInflight, defaultMaxInflight)
+	setDefault(&c.MaxInflightMessages, defaultMaxInflight)
 	setDefault(&c.TrailingBytes, defaultTrailingBytes)
 	if c.TrailingEntries == 0 {
 		c.TrailingEntries = defaultTrailingEntries
@@ -78,13 +78,13 @@
 func (c *Config) check() error {
 	switch {
 	case c.ID == None:
-		return &BadConfig{Field: "ID", Reason: "is zero"}
+		return &InvalidConfigError{Field: "ID", Reason: "is zero"}
 	case c.HeartbeatTicks < 1:
-		return &BadConfig{Field: "HeartbeatTicks", Reason: "is less than 1"}
+		return &InvalidConfigError{Field: "HeartbeatTicks", Reason: "is less than 1"}
 	case c.ElectionTicks <= c.HeartbeatTicks:
-		return &BadConfig{Field: "ElectionTicks", Reason: "is not more than HeartbeatTicks"}
-	case c.MaxInflight < 1:
-		return &BadConfig{Field: "MaxInflight", Reason: "is less than 1"}
+		return &InvalidConfigError{Field: "ElectionTicks", Reason: "is not more than HeartbeatTicks"}
+	case c.MaxInflightMessages < 1:
+		return &InvalidConfigError{Field: "MaxInflight", Reason: "is less than 1"}
 	}
 	return nil
 }
--- a/replog/election.go
+++ b/replog/election.go
@@ -47,7 +47,7 @@
 	}
 	n.enterTerm(n.term + 1)
 	n.vote = n.cfg.ID
-	n.requestVotes(Message{Type: MessageVote, Term: n.term, Force: force})
+	n.requestVotes(Message{Type: MessageVote, Term: n.term, LeadershipTransfer: force})
 	// The own vote counts once it is durable.
 	n.send(Message{Type: MessageVoteResponse, To: n.cfg.ID, Term: n.term})
 }
@@ -90,7 +90,7 @@
 	n.reads = readQueue{}
 	n.progress = make(map[ReplicaID]*Progress)
 	n.updateProgress(n.log.lastIndex() + 1)
-	n.termStart = n.appendOwn(EntryEmpty, nil).Index
+	n.termStart = n.appendOwn(EntryNoOp, nil).Index
 }
 
 // underLease reports whether a leader was heard of so recently that an election
--- a/replog/faults_test.go
+++ b/replog/faults_test.go
@@ -190,7 +190,7 @@
 	c.lost[id] = true
 	c.replicas[id].up = false
 	c.replicas[id].pending = nil
-	c.add(c.nextID, Saved{})
+	c.add(c.nextID, PersistentState{})
 	c.nextID++
 }
 
@@ -249,6 +249,6 @@
 
 func (c *chaos) transfer() {
 	if id := c.pickLeader(); id != None {
-		_ = c.replicas[id].node.TransferLeader(c.pick())
+		_ = c.replicas[id].node.TransferLeadership(c.pick())
 	}
 }
--- a/replog/follower.go
+++ b/replog/follower.go
@@ -3,7 +3,7 @@
 func (n *Node) handleFromLeader(m Message) error {
 	if n.role == Leader {
 		// Two leaders in one term.
-		return &Inconsistent{Index: m.Index, Commit: n.log.commit, From: m.From}
+		return &CommittedConflictError{Index: m.Index, Commit: n.log.commit, From: m.From}
 	}
 	if n.role != Follower {
 		n.becomeFollower(n.term, m.From)
@@ -16,7 +16,7 @@
 		if m.Index != 0 {
 			n.freshness.newest(m.Index, 0, n.log.applied)
 		}
-		n.send(Message{Type: MessageHeartbeatResponse, To: m.From, Round: m.Round})
+		n.send(Message{Type: MessageHeartbeatResponse, To: m.From, ReadRound: m.ReadRound})
 		return nil
 	case MessageAppend:
 		return n.handleAppend(m)
@@ -34,7 +34,7 @@
 	}
 	n.send(Message{
 		Type: MessageAppendResponse, To: m.From,
-		Reject: true, RejectIndex: m.Index, Fresh: true,
+		Reject: true, RejectIndex: m.Index, LostState: true,
 	})
 	return true
 }
@@ -81,7 +81,7 @@
 	}
 	first := es[0].Index
 	if first <= n.log.commit {
-		return &Inconsistent{Index: first, Commit: n.log.commit, From: m.From}
+		return &CommittedConflictError{Index: first, Commit: n.log.commit, From: m.From}
 	}
 	memberships, err := decodeMemberships(es)
 	if err != nil {
@@ -99,7 +99,7 @@
 func decodeMemberships(es []Entry) (memberHistory, error) {
 	var h memberHistory
 	for i := range es {
-		if es[i].Kind != EntryMembers {
+		if es[i].Kind != EntryMembership {
 			continue
 		}
 		ms, err := DecodeMembers(es[i].Data)
--- a/replog/group_test.go
+++ b/replog/group_test.go
@@ -35,7 +35,7 @@
 }
 
 func testConfig(id ReplicaID, seed uint64) Config {
-	return Config{ID: id, Seed: seed, TrailingEntries: 3, MaxBatchBytes: 200, MaxInflight: 4}
+	return Config{ID: id, Seed: seed, TrailingEntries: 3, MaxBatchBytes: 200, MaxInflightMessages: 4}
 }
 
 func newGroup(t assert.TestingT, seed uint64, ids ...ReplicaID) *group {
@@ -49,13 +49,13 @@
 		ms = append(ms, Member{Replica: id})
 	}
 	for _, id := range ids {
-		g.add(id, BootstrapGroup(ms, 1, nil))
+		g.add(id, BootstrapGroupState(ms, 1, nil))
 	}
 	return g
 }
 
 // add starts a replica from saved state.
-func (g *group) add(id ReplicaID, s Saved) {
+func (g *group) add(id ReplicaID, s PersistentState) {
 	g.replicas[id] = &replica{store: NewMemoryStorage(s)}
 	g.order = append(g.order, id)
 	g.restart(id)
@@ -184,7 +184,7 @@
 func (r *replica) data() []string {
 	var out []string
 	for _, e := range r.applied {
-		if e.Kind == EntryData {
+		if e.Kind == EntryCommand {
 			out = append(out, string(e.Data))
 		}
 	}
@@ -204,7 +204,7 @@
 		assert.DeepEqual(t, g.replicas[id].data(), []string{"a", "b", "c"})
 	}
 	assert.Equal(t, len(l.reads), 1)
-	assert.Equal(t, l.reads[0].Context, uint64(7))
+	assert.Equal(t, l.reads[0].RequestID, uint64(7))
 }
 
 // The leader's zone is cut off silently: nothing tells it that its messages are
@@ -219,7 +219,7 @@
 	assert.NilError(t, old.node.ReadIndex(2))
 	g.tick(3 * defaultElectionTicks)
 	assert.Equal(t, old.node.Status().Role == Leader, false)
-	assert.Equal(t, old.reads[len(old.reads)-1], ReadState{Context: 2, Aborted: true})
+	assert.Equal(t, old.reads[len(old.reads)-1], ReadState{RequestID: 2, Aborted: true})
 	assert.Assert(t, g.leader() != None)
 	g.isolate(old.node.cfg.ID, false)
 	g.tick(2)
--- a/replog/invariants_test.go
+++ b/replog/invariants_test.go
@@ -116,7 +116,7 @@
 }
 
 // checkPromise checks that what a message promises is on the sender's disk.
-func (c *singleCopy) checkPromise(m Message, disk Saved) {
+func (c *singleCopy) checkPromise(m Message, disk PersistentState) {
 	last := disk.Snapshot.Index + uint64(len(disk.Entries))
 	switch {
 	case m.Type == MessageAppendResponse && !m.Reject:
@@ -133,10 +133,10 @@
 // checkRead checks that a read sees all that was committed when it was asked
 // for.
 func (c *singleCopy) checkRead(r ReadState) {
-	floor, ok := c.floors[r.Context]
-	assert.Assert(c.t, ok, "answer to read %d, which nobody asked for", r.Context)
-	delete(c.floors, r.Context)
-	assert.Assert(c.t, r.Aborted || r.Index >= floor, "read %d sees %d and not %d", r.Context, r.Index, floor)
+	floor, ok := c.floors[r.RequestID]
+	assert.Assert(c.t, ok, "answer to read %d, which nobody asked for", r.RequestID)
+	delete(c.floors, r.RequestID)
+	assert.Assert(c.t, r.Aborted || r.Index >= floor, "read %d sees %d and not %d", r.RequestID, r.Index, floor)
 }
 
 // checkOutcome checks that each confirmed proposal is in the log once, and that
@@ -144,7 +144,7 @@
 func (c *singleCopy) checkOutcome() {
 	count := map[string]int{}
 	for _, e := range c.entries {
-		if e.Kind == EntryData {
+		if e.Kind == EntryCommand {
 			count[string(e.Data)]++
 		}
 	}
--- a/replog/leader.go
+++ b/replog/leader.go
@@ -52,10 +52,10 @@
 
 func (n *Node) replicate(id ReplicaID) {
 	p := n.progress[id]
-	for p.Next <= n.log.lastIndex() && !p.paused(n.cfg.MaxInflight) {
+	for p.Next <= n.log.lastIndex() && !p.paused(n.cfg.MaxInflightMessages) {
 		n.sendAppend(id, p)
 	}
-	if p.State == ProgressReplicate && p.sentCommit < n.log.commit && !p.paused(n.cfg.MaxInflight) {
+	if p.State == ProgressReplicate && p.sentCommit < n.log.commit && !p.paused(n.cfg.MaxInflightMessages) {
 		n.sendAppend(id, p)
 	}
 }
@@ -93,7 +93,7 @@
 			continue
 		}
 		p.snapshotTicks++
-		if p.snapshotTicks >= n.cfg.SnapshotTicks {
+		if p.snapshotTicks >= n.cfg.SnapshotTimeoutTicks {
 			p.becomeProbe()
 		}
 	}
@@ -104,7 +104,7 @@
 	for _, id := range n.peers() {
 		n.send(Message{
 			Type: MessageHeartbeat, To: id,
-			Commit: min(n.log.commit, n.progress[id].Match), Round: n.reads.round,
+			Commit: min(n.log.commit, n.progress[id].Match), ReadRound: n.reads.round,
 			Index: n.confirmedCommit(),
 		})
 	}
@@ -115,8 +115,8 @@
 	if p == nil {
 		return
 	}
-	p.IdleTicks = 0
-	p.round = max(p.round, m.Round)
+	p.TicksSinceResponse = 0
+	p.round = max(p.round, m.ReadRound)
 	n.confirmReads()
 	n.resumeAfterLoss(m.From, p)
 }
@@ -126,7 +126,7 @@
 // tells that it still lacks entries.
 func (n *Node) resumeAfterLoss(id ReplicaID, p *Progress) {
 	p.probeSent = false
-	if len(p.inflight) >= n.cfg.MaxInflight {
+	if len(p.inflight) >= n.cfg.MaxInflightMessages {
 		p.inflight = p.inflight[1:]
 	}
 	if p.State == ProgressReplicate && p.Match < n.log.lastIndex() && p.Next > n.log.lastIndex() {
@@ -139,10 +139,10 @@
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.IdleTicks = 0
-	p.Fresh = m.Fresh
+	p.TicksSinceResponse = 0
+	p.LostState = m.LostState
 	switch {
-	case m.Fresh:
+	case m.LostState:
 	case m.Reject:
 		p.rejected(m.RejectIndex, n.nextAfterHint(m))
 	case m.Index <= n.log.lastIndex():
--- a/replog/log.go
+++ b/replog/log.go
@@ -24,7 +24,7 @@
 	applied uint64
 }
 
-func newEntryLog(s Saved) entryLog {
+func newEntryLog(s PersistentState) entryLog {
 	l := entryLog{snapshot: s.Snapshot, entries: s.Entries}
 	l.base = Position{Term: s.Snapshot.Term, Index: s.Snapshot.Index}
 	l.handed = l.lastIndex()
--- a/replog/members.go
+++ b/replog/members.go
@@ -111,7 +111,7 @@
 		ms = append(ms, r.member())
 	}
 	if r.failed || len(r.rest) != 0 {
-		return nil, &BadEncoding{What: "members", Offset: r.size - len(r.rest)}
+		return nil, &DecodeError{What: "members", Offset: r.size - len(r.rest)}
 	}
 	return ms, nil
 }
--- a/replog/change.go
+++ b/replog/membership_change.go
@@ -31,13 +31,13 @@
 // refused while one is not committed.
 func (n *Node) ProposeChange(c Change) (Position, error) {
 	if n.role != Leader {
-		return Position{}, &NotLeader{Leader: n.leader}
+		return Position{}, &NotLeaderError{Leader: n.leader}
 	}
 	if reason := n.refusal(c); reason != "" {
-		return Position{}, &ChangeRefused{Change: c, Reason: reason}
+		return Position{}, &ChangeRejectedError{Change: c, Reason: reason}
 	}
 	ms := n.changed(c)
-	at := n.appendOwn(EntryMembers, EncodeMembers(ms))
+	at := n.appendOwn(EntryMembership, EncodeMembers(ms))
 	n.members.add(at.Index, ms)
 	n.updateProgress(at.Index)
 	n.maybeCommit()
@@ -61,30 +61,30 @@
 }
 
 // refusal returns why a change is not possible now, or "".
-func (n *Node) refusal(c Change) ChangeReason {
+func (n *Node) refusal(c Change) ChangeRejectReason {
 	switch {
 	case c.Replica == None:
-		return ChangeBadID
+		return ChangeInvalidID
 	case n.transferee != None:
-		return ChangeTransferring
+		return ChangeDuringTransfer
 	case n.members.lastIndex() > n.log.commit:
 		// Two changes at once could leave two quorums without a common voter.
 		return ChangePending
 	case !n.committedInTerm():
 		// A change of an earlier leader could still be in force elsewhere; once
 		// an entry of this term is committed, it can't be committed any more.
-		return ChangeTermTooNew
+		return ChangeNoCommitInTerm
 	}
 	return n.refusalByKind(c)
 }
 
-func (n *Node) refusalByKind(c Change) ChangeReason {
+func (n *Node) refusalByKind(c Change) ChangeRejectReason {
 	member, found := n.members.current().Find(c.Replica)
 	switch {
 	case c.Kind < AddLearner || c.Kind > SetAddress:
 		return ChangeUnknownKind
 	case c.Kind == AddLearner && found:
-		return ChangeMember
+		return ChangeAlreadyMember
 	case c.Kind == AddLearner:
 		return ""
 	case !found:
@@ -97,7 +97,7 @@
 	return ""
 }
 
-func (n *Node) refusalOfPromotion(m Member) ChangeReason {
+func (n *Node) refusalOfPromotion(m Member) ChangeRejectReason {
 	p := n.progress[m.Replica]
 	switch {
 	case !m.Learner:
@@ -114,9 +114,9 @@
 	return id == n.cfg.ID || n.active(id) && n.progress[id].Match >= n.termStart
 }
 
-func (n *Node) refusalOfRemoval(m Member) ChangeReason {
+func (n *Node) refusalOfRemoval(m Member) ChangeRejectReason {
 	if m.Replica == n.cfg.ID {
-		return ChangeLeader
+		return ChangeRemovesLeader
 	}
 	if m.Learner {
 		return ""
--- a/replog/message.go
+++ b/replog/message.go
@@ -72,15 +72,15 @@
 	HintIndex uint64
 	HintTerm  uint64
 
-	// Round numbers the leader's heartbeats for reads.
-	Round uint64
-	// Force is set on votes that may depose a live leader.
-	Force bool
+	// ReadRound numbers the leader's heartbeats for reads.
+	ReadRound uint64
+	// LeadershipTransfer is set on votes that may depose a live leader.
+	LeadershipTransfer bool
 	// ToLearner says that the receiver is a learner in the leader's membership.
 	ToLearner bool
-	// Fresh is set on rejections by a replica without any state that was
+	// LostState is set on rejections by a replica without any state that was
 	// addressed as a voter: it has lost its disk.
-	Fresh bool
+	LostState bool
 
 	Snapshot *Snapshot
 }
--- a/replog/node.go
+++ b/replog/node.go
@@ -62,7 +62,7 @@
 // NewNode returns a replica that goes on from what was saved. Its owner's state
 // has to be the one in s.Snapshot.Data; entries after it that are known to be
 // committed come in the first Ready.
-func NewNode(cfg Config, s Saved) (*Node, error) {
+func NewNode(cfg Config, s PersistentState) (*Node, error) {
 	cfg.setDefaults()
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -87,13 +87,13 @@
 
 // membersOf collects the memberships in a saved log and checks that it has no
 // gap.
-func membersOf(s Saved) (memberHistory, error) {
+func membersOf(s PersistentState) (memberHistory, error) {
 	h := memberHistory{{index: s.Snapshot.Index, members: s.Snapshot.Members}}
 	for i, e := range s.Entries {
 		if e.Index != s.Snapshot.Index+1+uint64(i) {
-			return nil, &BadConfig{Field: "Entries", Reason: "have a gap"}
+			return nil, &InvalidConfigError{Field: "Entries", Reason: "have a gap"}
 		}
-		if e.Kind != EntryMembers {
+		if e.Kind != EntryMembership {
 			continue
 		}
 		ms, err := DecodeMembers(e.Data)
@@ -139,7 +139,7 @@
 	n.heartbeatElapsed++
 	n.tickSnapshots()
 	for _, p := range n.progress {
-		p.IdleTicks++
+		p.TicksSinceResponse++
 	}
 	if !n.members.current().hasQuorum(n.active) {
 		// A leader that is cut off notices it here, while the others may already
@@ -165,7 +165,7 @@
 // the leader, while it applies nothing and callers wait. It doesn't ask for
 // elections either: it would only raise the term, since its requests for votes
 // wait for the write.
-func (n *Node) stalled() bool { return n.writing && n.writeElapsed >= n.cfg.StallTicks }
+func (n *Node) stalled() bool { return n.writing && n.writeElapsed >= n.cfg.WriteTimeoutTicks }
 
 // active reports whether a replica answered within the election timeout.
 func (n *Node) active(id ReplicaID) bool {
@@ -173,7 +173,7 @@
 		return true
 	}
 	p := n.progress[id]
-	return p != nil && p.IdleTicks <= n.cfg.ElectionTicks
+	return p != nil && p.TicksSinceResponse <= n.cfg.ElectionTicks
 }
 
 // Propose appends data to the log. It returns where the entry will be, and
@@ -182,26 +182,26 @@
 // lost, or be committed though the leader was lost.
 func (n *Node) Propose(data []byte) (Position, error) {
 	if n.role != Leader {
-		return Position{}, &NotLeader{Leader: n.leader}
+		return Position{}, &NotLeaderError{Leader: n.leader}
 	}
 	if len(data) > n.cfg.MaxEntryBytes {
-		return Position{}, &TooLarge{Bytes: len(data), Limit: n.cfg.MaxEntryBytes}
+		return Position{}, &EntryTooLargeError{Bytes: len(data), Limit: n.cfg.MaxEntryBytes}
 	}
 	if n.transferee != None || n.uncommitted > n.cfg.MaxUncommittedBytes {
-		return Position{}, &Busy{Uncommitted: n.uncommitted, Transferring: n.transferee}
+		return Position{}, &ProposalDroppedError{Uncommitted: n.uncommitted, Transferee: n.transferee}
 	}
-	return n.appendOwn(EntryData, data), nil
+	return n.appendOwn(EntryCommand, data), nil
 }
 
-// TransferLeader hands leadership to another voter as soon as that has all
+// TransferLeadership hands leadership to another voter as soon as that has all
 // entries. It fails with *NotLeader or *BadTransfer. Until it has happened, or
 // ElectionTicks have passed, proposals are refused with *Busy.
-func (n *Node) TransferLeader(to ReplicaID) error {
+func (n *Node) TransferLeadership(to ReplicaID) error {
 	if n.role != Leader {
-		return &NotLeader{Leader: n.leader}
+		return &NotLeaderError{Leader: n.leader}
 	}
 	if to == n.cfg.ID || !n.members.current().IsVoter(to) {
-		return &BadTransfer{To: to}
+		return &InvalidTransferError{To: to}
 	}
 	n.transferee = to
 	n.electionElapsed = 0
@@ -232,7 +232,7 @@
 // fails with *BadCompaction.
 func (n *Node) Compact(index uint64, data []byte) (Snapshot, error) {
 	if index <= n.log.snapshot.Index || index > n.log.applied {
-		return Snapshot{}, &BadCompaction{Index: index, Snapshot: n.log.snapshot.Index, Applied: n.log.applied}
+		return Snapshot{}, &InvalidCompactionError{Index: index, Snapshot: n.log.snapshot.Index, Applied: n.log.applied}
 	}
 	term, _ := n.log.term(index)
 	s := Snapshot{Index: index, Term: term, Members: n.members.at(index), Data: data}
@@ -260,10 +260,10 @@
 	MembersIndex uint64
 	// Transferee is set while leadership is being transferred.
 	Transferee ReplicaID
-	// Fresh is set once the applied state was known to be the newest that the group
+	// StalenessKnown is set once the applied state was known to be the newest that the group
 	// had committed, and FreshTicks is the time since.
-	Fresh      bool
-	FreshTicks int
+	StalenessKnown bool
+	StalenessTicks int
 	// Progress has an entry per member on the leader and is empty elsewhere.
 	Progress map[ReplicaID]Progress
 }
@@ -274,12 +274,12 @@
 		ID: n.cfg.ID, Term: n.term, Role: n.role, Leader: n.leader,
 		Commit: n.log.commit, Applied: n.log.applied,
 		LastIndex: n.log.lastIndex(), StableIndex: n.log.stable,
-		SnapshotIndex: n.log.snapshot.Index,
-		Members:       slices.Clone(n.members.current()),
-		MembersIndex:  n.members.lastIndex(),
-		Transferee:    n.transferee,
-		Fresh:         n.freshness.known,
-		FreshTicks:    n.freshness.age,
+		SnapshotIndex:  n.log.snapshot.Index,
+		Members:        slices.Clone(n.members.current()),
+		MembersIndex:   n.members.lastIndex(),
+		Transferee:     n.transferee,
+		StalenessKnown: n.freshness.known,
+		StalenessTicks: n.freshness.age,
 	}
 	if n.role != Leader {
 		return s
--- a/replog/node_test.go
+++ b/replog/node_test.go
@@ -10,9 +10,9 @@
 // single returns replica 1 of a group of three, with entries of term 1 after
 // the bootstrap.
 func single(t *testing.T, terms ...uint64) *Node {
-	s := BootstrapGroup(Members{{Replica: 1}, {Replica: 2}, {Replica: 3}}, 1, nil)
+	s := BootstrapGroupState(Members{{Replica: 1}, {Replica: 2}, {Replica: 3}}, 1, nil)
 	for i, term := range terms {
-		s.Entries = append(s.Entries, Entry{Term: term, Index: uint64(i + 2), Kind: EntryData, Data: []byte("x")})
+		s.Entries = append(s.Entries, Entry{Term: term, Index: uint64(i + 2), Kind: EntryCommand, Data: []byte("x")})
 		s.HardState.Term = term
 	}
 	n, err := NewNode(testConfig(1, 1), s)
@@ -44,7 +44,7 @@
 func appendFrom(leader ReplicaID, term, prev, prevTerm, commit uint64, terms ...uint64) Message {
 	m := Message{Type: MessageAppend, From: leader, To: 1, Term: term, Index: prev, LogTerm: prevTerm, Commit: commit}
 	for i, t := range terms {
-		m.Entries = append(m.Entries, Entry{Term: t, Index: prev + 1 + uint64(i), Kind: EntryData, Data: []byte{byte(t)}})
+		m.Entries = append(m.Entries, Entry{Term: t, Index: prev + 1 + uint64(i), Kind: EntryCommand, Data: []byte{byte(t)}})
 	}
 	return m
 }
@@ -139,7 +139,7 @@
 func TestReplacedChangeIsUndone(t *testing.T) {
 	n := single(t)
 	m := appendFrom(2, 2, 1, 1, 1, 2)
-	m.Entries[0].Kind = EntryMembers
+	m.Entries[0].Kind = EntryMembership
 	m.Entries[0].Data = EncodeMembers(Members{{Replica: 1}})
 	assert.NilError(t, n.Step(m))
 	assert.Equal(t, len(n.Status().Members), 1)
@@ -153,20 +153,20 @@
 	n := single(t, 2)
 	makeLeader(t, n)
 	saveAll(n)
-	refused := func(c Change, reason ChangeReason) {
+	refused := func(c Change, reason ChangeRejectReason) {
 		t.Helper()
 		_, err := n.ProposeChange(c)
-		var r *ChangeRefused
+		var r *ChangeRejectedError
 		assert.Assert(t, errors.As(err, &r))
 		assert.Equal(t, r.Reason, reason)
 	}
-	refused(Change{Kind: AddLearner, Replica: 4}, ChangeTermTooNew)
+	refused(Change{Kind: AddLearner, Replica: 4}, ChangeNoCommitInTerm)
 	assert.NilError(t, n.Step(Message{Type: MessageAppendResponse, From: 2, To: 1, Term: n.term, Index: 3}))
-	refused(Change{Kind: AddLearner}, ChangeBadID)
-	refused(Change{Kind: AddLearner, Replica: 2}, ChangeMember)
+	refused(Change{Kind: AddLearner}, ChangeInvalidID)
+	refused(Change{Kind: AddLearner, Replica: 2}, ChangeAlreadyMember)
 	refused(Change{Kind: Promote, Replica: 2}, ChangeNotLearner)
 	refused(Change{Kind: Remove, Replica: 9}, ChangeNotMember)
-	refused(Change{Kind: Remove, Replica: 1}, ChangeLeader)
+	refused(Change{Kind: Remove, Replica: 1}, ChangeRemovesLeader)
 	refused(Change{Kind: Remove, Replica: 2}, ChangeLosesQuorum)
 	refused(Change{Kind: 99, Replica: 2}, ChangeUnknownKind)
 	_, err := n.ProposeChange(Change{Kind: AddLearner, Replica: 4})
@@ -196,17 +196,17 @@
 func TestProposalsAreBounded(t *testing.T) {
 	n := single(t)
 	_, err := n.Propose(nil)
-	var notLeader *NotLeader
+	var notLeader *NotLeaderError
 	assert.Assert(t, errors.As(err, &notLeader))
 	makeLeader(t, n)
 	_, err = n.Propose(make([]byte, n.cfg.MaxEntryBytes+1))
-	var tooLarge *TooLarge
+	var tooLarge *EntryTooLargeError
 	assert.Assert(t, errors.As(err, &tooLarge))
 	n.cfg.MaxUncommittedBytes = 100
 	_, err = n.Propose(make([]byte, 101))
 	assert.NilError(t, err)
 	_, err = n.Propose(nil)
-	var busy *Busy
+	var busy *ProposalDroppedError
 	assert.Assert(t, errors.As(err, &busy))
 }
 
@@ -220,7 +220,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, n.Status().Commit, uint64(3))
 	err = n.Step(Message{Type: MessageAppend, From: 2, To: 1, Term: n.term, Index: 3, LogTerm: 2})
-	var inconsistent *Inconsistent
+	var inconsistent *CommittedConflictError
 	assert.NilError(t, err)
 	makeLeader(t, n)
 	err = n.Step(appendFrom(2, n.term, 3, 2, 3))
@@ -232,7 +232,7 @@
 // replica could never start again from what it saved.
 func TestForeignMessagesAreRefused(t *testing.T) {
 	n := single(t)
-	var bad *BadMessage
+	var bad *InvalidMessageError
 	for _, m := range []Message{
 		{Type: MessageVote, From: 2, To: 2, Term: 9},
 		{Type: MessageVote, From: 2, To: 1, Term: 9, Group: 5},
@@ -287,7 +287,7 @@
 		Type: MessageType(b[0] % 12), From: ReplicaID(b[1] % 5), To: 1, Term: uint64(b[2] % 8),
 		Index: uint64(b[3] % 10), LogTerm: uint64(b[4] % 8), Commit: uint64(b[5] % 10),
 		RejectIndex: uint64(b[3] % 10), HintIndex: uint64(b[5] % 10), HintTerm: uint64(b[6] % 8),
-		Round: uint64(b[5]), Reject: b[7]&1 != 0, Force: b[7]&2 != 0, ToLearner: b[7]&4 != 0, Fresh: b[7]&8 != 0,
+		ReadRound: uint64(b[5]), Reject: b[7]&1 != 0, LeadershipTransfer: b[7]&2 != 0, ToLearner: b[7]&4 != 0, LostState: b[7]&8 != 0,
 	}
 	for i := range uint64(b[6] % 4) {
 		kind := EntryKind(b[7] >> 4 % 3)
--- a/replog/progress.go
+++ b/replog/progress.go
@@ -31,13 +31,13 @@
 	// Next is the next entry to send.
 	Next  uint64
 	State ProgressState
-	// IdleTicks is the time since the replica's last answer, or since this
+	// TicksSinceResponse is the time since the replica's last answer, or since this
 	// replica became leader.
-	IdleTicks int
-	// Fresh is set if the replica's last answer said that it has no state though
+	TicksSinceResponse int
+	// LostState is set if the replica's last answer said that it has no state though
 	// it is a voter: its disk is lost, and it has to be removed and to join
 	// again under a new ReplicaID.
-	Fresh bool
+	LostState bool
 
 	// probeSent is set while a probe is on its way.
 	probeSent bool
--- a/replog/read.go
+++ b/replog/read_index.go
@@ -25,7 +25,7 @@
 // leader steps down, it comes with Aborted.
 func (n *Node) ReadIndex(context uint64) error {
 	if n.role != Leader {
-		return &NotLeader{Leader: n.leader}
+		return &NotLeaderError{Leader: n.leader}
 	}
 	n.reads.waiting = append(n.reads.waiting, pendingRead{context: context, index: n.log.commit})
 	return nil
@@ -66,7 +66,7 @@
 	for len(q.asked) > 0 && n.roundConfirmed(q.asked[0].round) {
 		r := q.asked[0]
 		q.asked = q.asked[1:]
-		n.readStates = append(n.readStates, ReadState{Context: r.context, Index: r.index})
+		n.readStates = append(n.readStates, ReadState{RequestID: r.context, Index: r.index})
 	}
 }
 
@@ -79,7 +79,7 @@
 // abortReads answers all reads when leadership ends.
 func (n *Node) abortReads() {
 	for _, r := range append(n.reads.asked, n.reads.waiting...) {
-		n.readStates = append(n.readStates, ReadState{Context: r.context, Aborted: true})
+		n.readStates = append(n.readStates, ReadState{RequestID: r.context, Aborted: true})
 	}
 	n.reads = readQueue{}
 }
--- a/replog/ready.go
+++ b/replog/ready.go
@@ -7,7 +7,7 @@
 }
 
 func (n *Node) softState() SoftState {
-	return SoftState{Leader: n.leader, Role: n.role, Current: n.freshness.current(n.cfg.ElectionTicks)}
+	return SoftState{Leader: n.leader, Role: n.role, UpToDate: n.freshness.current(n.cfg.ElectionTicks)}
 }
 
 // HasReady reports whether Ready would return something to do.
--- a/replog/script_test.go
+++ b/replog/script_test.go
@@ -101,7 +101,7 @@
 }
 
 var commands = map[string]command{
-	"add":      {1, func(s *script, a []string) string { s.group.add(id(s.t, a[0]), Saved{}); return "" }},
+	"add":      {1, func(s *script, a []string) string { s.group.add(id(s.t, a[0]), PersistentState{}); return "" }},
 	"elect":    {1, (*script).elect},
 	"tick":     {1, func(s *script, a []string) string { s.group.tick(number(s.t, a[0])); return "" }},
 	"propose":  {2, (*script).propose},
@@ -209,7 +209,7 @@
 }
 
 func (s *script) transfer(args []string) string {
-	return result(s.of(args[0]).node.TransferLeader(id(s.t, args[1])))
+	return result(s.of(args[0]).node.TransferLeadership(id(s.t, args[1])))
 }
 
 func (s *script) deaf(args []string) string {
@@ -227,7 +227,7 @@
 }
 
 func (s *script) forget(args []string) string {
-	s.of(args[0]).store = NewMemoryStorage(Saved{})
+	s.of(args[0]).store = NewMemoryStorage(PersistentState{})
 	s.restart(id(s.t, args[0]))
 	return ""
 }
--- a/replog/freshness.go
+++ b/replog/staleness.go
@@ -71,7 +71,7 @@
 func (n *Node) quorumIdle() int {
 	for ticks := 0; ; ticks++ {
 		answered := func(id ReplicaID) bool {
-			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].IdleTicks <= ticks
+			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].TicksSinceResponse <= ticks
 		}
 		if n.members.current().hasQuorum(answered) || ticks > n.cfg.ElectionTicks {
 			return ticks
--- a/replog/freshness_test.go
+++ b/replog/staleness_test.go
@@ -10,7 +10,7 @@
 func (g *group) current() []ReplicaID {
 	var ids []ReplicaID
 	for _, id := range g.order {
-		if g.replicas[id].up && g.replicas[id].soft.Current {
+		if g.replicas[id].up && g.replicas[id].soft.UpToDate {
 			ids = append(ids, id)
 		}
 	}
@@ -30,7 +30,7 @@
 	}
 	g.isolate(cut, true)
 	g.tick(2 * defaultElectionTicks)
-	assert.Assert(t, !g.replicas[cut].soft.Current)
+	assert.Assert(t, !g.replicas[cut].soft.UpToDate)
 	assert.Equal(t, len(g.current()), 2)
 	g.isolate(cut, false)
 	g.tick(2)
@@ -52,9 +52,9 @@
 	assert.NilError(t, err)
 	g.deliver()
 	g.tick(defaultElectionTicks)
-	assert.Assert(t, g.replicas[hung].soft.Current)
+	assert.Assert(t, g.replicas[hung].soft.UpToDate)
 	g.tick(2)
-	assert.Assert(t, !g.replicas[hung].soft.Current)
+	assert.Assert(t, !g.replicas[hung].soft.UpToDate)
 	assert.Equal(t, g.replicas[hung].node.Status().Leader, leader.node.cfg.ID)
 	g.replicas[hung].hangs = false
 	g.save(hung)
--- a/replog/step.go
+++ b/replog/step.go
@@ -5,7 +5,7 @@
 // this replica must be stopped.
 func (n *Node) Step(m Message) error {
 	if !n.addressed(m) || !m.wellFormed() {
-		return &BadMessage{Type: m.Type, From: m.From, To: m.To, Group: m.Group}
+		return &InvalidMessageError{Type: m.Type, From: m.From, To: m.To, Group: m.Group}
 	}
 	if n.ignores(m) {
 		return nil
@@ -29,7 +29,7 @@
 func (n *Node) ignores(m Message) bool {
 	switch m.Type {
 	case MessagePreVote, MessageVote:
-		return m.Term > n.term && !m.Force && n.underLease()
+		return m.Term > n.term && !m.LeadershipTransfer && n.underLease()
 	case MessageAppendResponse, MessageHeartbeatResponse:
 		// A removed replica may have a newer term; it can't depose the leader.
 		return n.role == Leader && n.progress[m.From] == nil
--- a/replog/storage.go
+++ b/replog/storage.go
@@ -1,16 +1,16 @@
 package replog
 
-// Saved is what a replica finds on its disk at start. The zero value is a
+// PersistentState is what a replica finds on its disk at start. The zero value is a
 // replica without any state that waits to be added to a group as a learner.
-type Saved struct {
+type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	// Entries follow the snapshot without a gap.
 	Entries []Entry
 }
 
-// Empty reports whether the replica has no state at all.
-func (s *Saved) Empty() bool {
+// IsEmpty reports whether the replica has no state at all.
+func (s *PersistentState) IsEmpty() bool {
 	return s.HardState == HardState{} && s.Snapshot.Index == 0 && len(s.Entries) == 0
 }
 
@@ -18,7 +18,7 @@
 // goroutine at a time.
 type Storage interface {
 	// Load returns what was saved.
-	Load() (Saved, error)
+	Load() (PersistentState, error)
 	// Save writes the HardState, Entries and Snapshot of a Ready, and returns
 	// once they are durable.
 	Save(Ready) error
@@ -27,43 +27,43 @@
 	Compact(Snapshot) error
 }
 
-// Bootstrap returns the state that the first replica of a new group starts
+// BootstrapState returns the state that the first replica of a new group starts
 // from: it is the only voter, and the others join as learners. data is the
 // owner's state, for example from a backup, and index the log index that it
-// stands for, at least 1. Bootstrap of one group is done once, on one replica;
+// stands for, at least 1. BootstrapState of one group is done once, on one replica;
 // every further one makes another group.
-func Bootstrap(first Member, index uint64, data []byte) Saved {
+func BootstrapState(first Member, index uint64, data []byte) PersistentState {
 	first.Learner = false
 	index = max(index, 1)
-	return Saved{
+	return PersistentState{
 		HardState: HardState{Term: 1, Commit: index},
 		Snapshot:  Snapshot{Index: index, Term: 1, Members: Members{first}, Data: data},
 	}
 }
 
-// BootstrapGroup is like Bootstrap for a group that starts with several voters.
+// BootstrapGroupState is like Bootstrap for a group that starts with several voters.
 // Each of them has to be given the same members, index and data, before any of
 // them is started. Only a ReplicaID that was never used before may be among
 // them.
-func BootstrapGroup(members Members, index uint64, data []byte) Saved {
-	s := Bootstrap(Member{}, index, data)
+func BootstrapGroupState(members Members, index uint64, data []byte) PersistentState {
+	s := BootstrapState(Member{}, index, data)
 	s.Snapshot.Members = members
 	return s
 }
 
 // MemoryStorage is a Storage in memory, for tests.
 type MemoryStorage struct {
-	saved Saved
+	saved PersistentState
 }
 
 // NewMemoryStorage returns a storage that holds s.
-func NewMemoryStorage(s Saved) *MemoryStorage {
+func NewMemoryStorage(s PersistentState) *MemoryStorage {
 	s.Entries = append([]Entry(nil), s.Entries...)
 	return &MemoryStorage{saved: s}
 }
 
 // Load returns what was saved.
-func (m *MemoryStorage) Load() (Saved, error) {
+func (m *MemoryStorage) Load() (PersistentState, error) {
 	s := m.saved
 	s.Entries = append([]Entry(nil), s.Entries...)
 	return s, nil
--- a/replog/types.go
+++ b/replog/types.go
@@ -12,13 +12,13 @@
 
 // The kinds of entries.
 const (
-	// EntryEmpty has no data. A new leader appends one to learn what is
+	// EntryNoOp has no data. A new leader appends one to learn what is
 	// committed.
-	EntryEmpty EntryKind = iota
-	// EntryData carries what was given to Propose.
-	EntryData
-	// EntryMembers carries the encoded Members that hold from this entry on.
-	EntryMembers
+	EntryNoOp EntryKind = iota
+	// EntryCommand carries what was given to Propose.
+	EntryCommand
+	// EntryMembership carries the encoded Members that hold from this entry on.
+	EntryMembership
 )
 
 // Entry is one place in the log.
@@ -87,16 +87,16 @@
 type SoftState struct {
 	Leader ReplicaID
 	Role   Role
-	// Current is set while the applied state was the newest that the group had
+	// UpToDate is set while the applied state was the newest that the group had
 	// committed within the last ElectionTicks. Unlike a known leader it says that
 	// others may rely on this replica's state.
-	Current bool
+	UpToDate bool
 }
 
 // ReadState answers one ReadIndex call.
 type ReadState struct {
-	// Context is the number given to ReadIndex.
-	Context uint64
+	// RequestID is the number given to ReadIndex.
+	RequestID uint64
 	// Index is the entry that has to be applied before the read may be served.
 	Index uint64
 	// Aborted means that this replica stopped being leader before a quorum
--- a/store/frame.go
+++ b/store/frame.go
@@ -172,7 +172,7 @@
 	term := d.uvarint()
 	kind := d.uvarint()
 	data := d.bytes()
-	if kind > uint64(replog.EntryMembers) {
+	if kind > uint64(replog.EntryMembership) {
 		d.failed = true
 	}
 	if len(data) == 0 {
--- a/store/group_bench_test.go
+++ b/store/group_bench_test.go
@@ -101,7 +101,7 @@
 	f, err := OpenFolder(b.TempDir())
 	assert.NilError(b, err)
 	b.Cleanup(func() { assert.NilError(b, f.Close()) })
-	assert.NilError(b, f.CreateLog(Identity{Replica: id}, replog.BootstrapGroup(ms, 1, nil)))
+	assert.NilError(b, f.CreateLog(Identity{Replica: id}, replog.BootstrapGroupState(ms, 1, nil)))
 	log, err := f.OpenLog(Identity{})
 	assert.NilError(b, err)
 	saved, err := log.Load()
--- a/store/log.go
+++ b/store/log.go
@@ -33,7 +33,7 @@
 	hard replog.HardState
 	// seq is the sequence number of the next frame.
 	seq    uint64
-	loaded *replog.Saved
+	loaded *replog.PersistentState
 	// snapshotIndex is the index of the snapshot on the disk.
 	snapshotIndex uint64
 	buf           []byte
@@ -105,9 +105,9 @@
 
 // Load returns what the replica goes on from. It is called before the first
 // Save.
-func (l *Log) Load() (replog.Saved, error) {
+func (l *Log) Load() (replog.PersistentState, error) {
 	if l.loaded == nil {
-		return replog.Saved{}, trace.Wrap(&AlreadyLoaded{Dir: l.dir})
+		return replog.PersistentState{}, trace.Wrap(&AlreadyLoaded{Dir: l.dir})
 	}
 	s := *l.loaded
 	l.loaded = nil
@@ -115,23 +115,23 @@
 }
 
 // replay reads the snapshot and all segments.
-func (l *Log) replay() (replog.Saved, error) {
+func (l *Log) replay() (replog.PersistentState, error) {
 	snapshot, err := l.readSnapshot()
 	if err != nil {
-		return replog.Saved{}, err
+		return replog.PersistentState{}, err
 	}
 	l.segments, err = listSegments(l.dir)
 	if err != nil {
-		return replog.Saved{}, err
+		return replog.PersistentState{}, err
 	}
 	if len(l.segments) == 0 {
-		return replog.Saved{}, &Damaged{File: l.dir, Reason: DamageMissing}
+		return replog.PersistentState{}, &Damaged{File: l.dir, Reason: DamageMissing}
 	}
 	p := &replay{snapshot: snapshot}
 	l.seq = l.segments[0].first
 	for i := 0; i < len(l.segments); i++ {
 		if err := l.replaySegment(i, p); err != nil {
-			return replog.Saved{}, err
+			return replog.PersistentState{}, err
 		}
 	}
 	saved, ok := p.result()
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -15,14 +15,14 @@
 
 var testIdentity = Identity{Group: 7, Replica: 3}
 
-func bootstrapped() replog.Saved {
-	return replog.BootstrapGroup(replog.Members{{Replica: 3, Address: "a"}}, 1, []byte("start"))
+func bootstrapped() replog.PersistentState {
+	return replog.BootstrapGroupState(replog.Members{{Replica: 3, Address: "a"}}, 1, []byte("start"))
 }
 
 // entry has enough data for frames to reach over a sector.
 func entry(term, index uint64) replog.Entry {
 	data := fmt.Sprintf("%0200d", index*1000+term)
-	return replog.Entry{Term: term, Index: index, Kind: replog.EntryData, Data: []byte(data)}
+	return replog.Entry{Term: term, Index: index, Kind: replog.EntryCommand, Data: []byte(data)}
 }
 
 func write(hard replog.HardState, es ...replog.Entry) replog.Ready {
@@ -43,7 +43,7 @@
 }
 
 // loadAt returns what a replica that starts now would go on from.
-func loadAt(t assert.TestingT, dir string) replog.Saved {
+func loadAt(t assert.TestingT, dir string) replog.PersistentState {
 	l := openAt(t, osFiles{}, dir)
 	defer l.Close()
 	s, err := l.Load()
@@ -100,13 +100,13 @@
 // mixed allows the one state between: a received snapshot is there and what
 // goes with it is not. Nothing of it was acknowledged, and nothing that was
 // acknowledged before is missing from the snapshot.
-func mixed(got, before, after replog.Saved) bool {
+func mixed(got, before, after replog.PersistentState) bool {
 	return got.Snapshot.Index == after.Snapshot.Index && after.Snapshot.Index > before.Snapshot.Index &&
 		len(got.Entries) == 0 && got.HardState.Term >= before.HardState.Term
 }
 
 // outline leaves the data out.
-func outline(s replog.Saved) string {
+func outline(s replog.PersistentState) string {
 	out := fmt.Sprintf("%+v snapshot %d/%d entries", s.HardState, s.Snapshot.Index, s.Snapshot.Term)
 	for _, e := range s.Entries {
 		out += fmt.Sprintf(" %d/%d", e.Index, e.Term)
@@ -114,7 +114,7 @@
 	return out
 }
 
-func sameSaved(a, b replog.Saved) bool {
+func sameSaved(a, b replog.PersistentState) bool {
 	return fmt.Sprintf("%+v", a) == fmt.Sprintf("%+v", b)
 }
 
@@ -146,7 +146,7 @@
 	hard   replog.HardState
 }
 
-func (m *logModel) saved() replog.Saved {
+func (m *logModel) saved() replog.PersistentState {
 	s, _ := m.memory.Load()
 	return s
 }
@@ -321,9 +321,9 @@
 	id, err := MintIdentity(testIdentity.Group)
 	assert.NilError(t, err)
 	assert.Assert(t, id.Group == testIdentity.Group && id.Replica != replog.None)
-	assert.NilError(t, f.CreateLog(id, replog.Saved{}))
+	assert.NilError(t, f.CreateLog(id, replog.PersistentState{}))
 	var already *AlreadyInitialised
-	assert.Assert(t, errors.As(f.CreateLog(id, replog.Saved{}), &already))
+	assert.Assert(t, errors.As(f.CreateLog(id, replog.PersistentState{}), &already))
 
 	_, err = f.OpenLog(Identity{Replica: id.Replica + 1})
 	var wrong *WrongIdentity
@@ -333,7 +333,7 @@
 	assert.Equal(t, l.Identity(), id)
 	s, err := l.Load()
 	assert.NilError(t, err)
-	assert.Assert(t, s.Empty())
+	assert.Assert(t, s.IsEmpty())
 }
 
 // An operator starts the daemon twice on one folder. Both would append to the
--- a/store/segment.go
+++ b/store/segment.go
@@ -211,8 +211,8 @@
 
 // result returns what the replica goes on from, and whether no entry is missing
 // between the snapshot and the rest.
-func (p *replay) result() (replog.Saved, bool) {
-	s := replog.Saved{HardState: p.hard, Snapshot: p.snapshot}
+func (p *replay) result() (replog.PersistentState, bool) {
+	s := replog.PersistentState{HardState: p.hard, Snapshot: p.snapshot}
 	if s.HardState.Term < p.snapshot.Term {
 		// The crash came between the snapshot and the record that goes with it.
 		s.HardState = replog.HardState{Term: p.snapshot.Term, Commit: p.snapshot.Index}
--- a/store/snapshot.go
+++ b/store/snapshot.go
@@ -25,7 +25,7 @@
 	s := replog.Snapshot{Index: d.uvarint(), Term: d.uvarint()}
 	encoded := d.bytes()
 	if d.failed {
-		return replog.Snapshot{}, &replog.BadEncoding{What: "snapshot", Offset: len(b) - len(d.rest)}
+		return replog.Snapshot{}, &replog.DecodeError{What: "snapshot", Offset: len(b) - len(d.rest)}
 	}
 	members, err := replog.DecodeMembers(encoded)
 	if err != nil {
--- a/store/write.go
+++ b/store/write.go
@@ -15,11 +15,11 @@
 // replog.Saved is a replica that waits to be added to its group. It fails with
 // *AlreadyInitialised or *IOFailed. After a crash either the whole log is there
 // or none.
-func (f *Folder) CreateLog(id Identity, s replog.Saved) error {
+func (f *Folder) CreateLog(id Identity, s replog.PersistentState) error {
 	return trace.Wrap(createLog(f.fs, filepath.Join(f.dir, logDirName), id, s))
 }
 
-func createLog(fs files, dir string, id Identity, s replog.Saved) error {
+func createLog(fs files, dir string, id Identity, s replog.PersistentState) error {
 	if _, err := os.Stat(dir); err == nil {
 		return &AlreadyInitialised{Dir: dir}
 	}
@@ -39,7 +39,7 @@
 	return fs.syncDir(filepath.Dir(dir))
 }
 
-func fillLog(fs files, dir string, id Identity, s replog.Saved) error {
+func fillLog(fs files, dir string, id Identity, s replog.PersistentState) error {
 	err := replaceFile(fs, filepath.Join(dir, identityName), encodeAtomic(encodeIdentity(id)))
 	if err != nil {
 		return err
