--- a/control/server/backup.go
+++ b/control/server/backup.go
@@ -59,7 +59,7 @@
 	index := saved.Snapshot.Index
 	for _, entry := range saved.Entries {
 		index = entry.Index
-		if entry.Kind == replog.EntryData {
+		if entry.Kind == replog.EntryCommand {
 			recovered.Apply(entry.Index, entry.Data)
 		}
 	}
@@ -103,7 +103,7 @@
 		return trace.Wrap(err)
 	}
 	member := replog.Member{Replica: replica, Address: options.Self.Address}
-	saved := replog.Bootstrap(member, backup.GetIndex()+restoredIndexOffset, recovered)
+	saved := replog.BootstrapState(member, backup.GetIndex()+restoredIndexOffset, recovered)
 	log, err := logStore.Create(group, replica, saved)
 	if err != nil {
 		return trace.Wrap(err)
--- a/control/server/bootstrap.go
+++ b/control/server/bootstrap.go
@@ -118,7 +118,7 @@
 			return s.createFounderLog(answer.GetGroup(), answer.GetFounders())
 		}
 	}
-	log, err := s.options.LogStore.Create(answer.GetGroup(), s.replicaID, replog.Saved{})
+	log, err := s.options.LogStore.Create(answer.GetGroup(), s.replicaID, replog.PersistentState{})
 	return log, trace.Wrap(err)
 }
 
@@ -148,7 +148,7 @@
 			Address: founder.GetAddress(),
 		})
 	}
-	saved := replog.BootstrapGroup(members, bootstrapIndex, data)
+	saved := replog.BootstrapGroupState(members, bootstrapIndex, data)
 	log, err := s.options.LogStore.Create(group, s.replicaID, saved)
 	return log, trace.Wrap(err)
 }
@@ -224,7 +224,7 @@
 		s.reconcileAsLeader(status)
 		return
 	}
-	if !status.Members.IsVoter(status.ID) || !s.softState.Current {
+	if !status.Members.IsVoter(status.ID) || !s.softState.UpToDate {
 		self := s.selfAsFounder()
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout*time.Duration(len(s.options.Peers)+1))
 		s.goroutines.Go(func() {
@@ -282,7 +282,7 @@
 	ticks := int(s.options.VoterTimeout / s.options.TickInterval)
 	for _, voter := range status.Members.Voters() {
 		progress, known := status.Progress[voter]
-		if known && voter != status.ID && progress.IdleTicks > ticks {
+		if known && voter != status.ID && progress.TicksSinceResponse > ticks {
 			return voter, true
 		}
 	}
--- a/control/server/disk_full_test.go
+++ b/control/server/disk_full_test.go
@@ -27,7 +27,7 @@
 	return limitedLog{Log: log, full: d.full}, nil
 }
 
-func (d limitedLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error) {
+func (d limitedLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (Log, error) {
 	log, err := d.memoryLogStore.Create(group, replica, saved)
 	if err != nil {
 		return nil, err
--- a/control/server/event_loop.go
+++ b/control/server/event_loop.go
@@ -86,12 +86,12 @@
 	best := replog.None
 	for _, voter := range status.Members.Voters() {
 		progress, known := status.Progress[voter]
-		responds := known && voter != status.ID && progress.IdleTicks <= s.options.ElectionTicks
+		responds := known && voter != status.ID && progress.TicksSinceResponse <= s.options.ElectionTicks
 		if responds && (best == replog.None || progress.Match > status.Progress[best].Match) {
 			best = voter
 		}
 	}
-	if best == replog.None || s.node.TransferLeader(best) != nil {
+	if best == replog.None || s.node.TransferLeadership(best) != nil {
 		s.finishTransfer()
 	}
 }
@@ -125,7 +125,7 @@
 // handleStepError stops the replica if the leader's log contradicts a committed
 // entry. After any other error only the message is dropped.
 func (s *Server) handleStepError(err error) {
-	if _, inconsistent := err.(*replog.Inconsistent); inconsistent {
+	if _, inconsistent := err.(*replog.CommittedConflictError); inconsistent {
 		s.abortRun(err)
 		return
 	}
@@ -224,7 +224,7 @@
 	s.view.isLeader = status.Role == replog.Leader
 	s.view.leaderID = status.Leader
 	s.view.leaderAddress = leader.Address
-	s.view.isCurrent = s.softState.Current
+	s.view.isCurrent = s.softState.UpToDate
 	s.view.members = status.Members
 	s.view.isVoter = self.Replica == status.ID && !self.Learner
 	s.view.groupID, s.view.founders = s.state.Group()
@@ -250,7 +250,7 @@
 	results := make([]*rpc.Result, len(ready.Committed))
 	s.mu.Lock()
 	for i, entry := range ready.Committed {
-		if entry.Kind == replog.EntryData {
+		if entry.Kind == replog.EntryCommand {
 			_, results[i] = s.state.Apply(entry.Index, entry.Data)
 			results[i].Index = entry.Index
 		}
--- a/control/server/freshness.go
+++ b/control/server/freshness.go
@@ -29,7 +29,7 @@
 	if soft.Leader != previous.Leader || soft.Role != previous.Role {
 		s.handleRoleChange(soft)
 	}
-	if soft.Current != previous.Current {
+	if soft.UpToDate != previous.UpToDate {
 		s.logCurrentChange(soft)
 	}
 	s.publishView(nil)
@@ -40,7 +40,7 @@
 // cannot persist what it receives.
 func (s *Server) logCurrentChange(soft replog.SoftState) {
 	event := events.ControlLags
-	if soft.Current {
+	if soft.UpToDate {
 		event = events.ControlCurrent
 	}
 	status := s.node.Status()
@@ -53,10 +53,10 @@
 // group's newest.
 func (s *Server) recordUpToDate() {
 	status := s.node.Status()
-	if !status.Fresh {
+	if !status.StalenessKnown {
 		return
 	}
-	at := s.options.Clock.Now() - time.Duration(status.FreshTicks)*s.options.TickInterval
+	at := s.options.Clock.Now() - time.Duration(status.StalenessTicks)*s.options.TickInterval
 	s.mu.Lock()
 	s.upToDateAt = max(0, at)
 	s.mu.Unlock()
--- a/control/server/options.go
+++ b/control/server/options.go
@@ -31,7 +31,7 @@
 	Open() (Log, error)
 	// Create creates the log of a replica that was never used before, and returns
 	// once it is durable.
-	Create(group uint64, replica replog.ReplicaID, saved replog.Saved) (Log, error)
+	Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (Log, error)
 	// NewReplicaID returns an ID for a replica that has no log yet. It returns the
 	// same ID until the log is created, if the store can keep it.
 	NewReplicaID() (replog.ReplicaID, error)
