--- a/cli/change.go
+++ b/cli/change.go
@@ -68,7 +68,7 @@
 	var changes []configuration.ItemChange
 	for _, c := range answer.GetDifference() {
 		changes = append(changes, configuration.ItemChange{
-			Key:   configuration.ItemKey{Kind: c.GetKind(), Name: c.GetName()},
+			Key:    configuration.ItemKey{Kind: c.GetKind(), Name: c.GetName()},
 			Before: c.GetBefore(), After: c.GetAfter(),
 		})
 	}
--- a/control/client/claim_client.go
+++ b/control/client/claim_client.go
@@ -98,8 +98,8 @@
 // UnexpectedResultError means that the control state answered what does not fit the
 // question.
 type UnexpectedResultError struct {
-	Operation  string
-	Reason rpc.RefusalReason
+	Operation string
+	Reason    rpc.RefusalReason
 }
 
 // Error gives the answer.
--- a/control/client/executor.go
+++ b/control/client/executor.go
@@ -34,7 +34,9 @@
 
 // NewFailoverExecutor returns a Group over control instances in order of preference, those
 // of the own zone first.
-func NewFailoverExecutor(controls ...Executor) *FailoverExecutor { return &FailoverExecutor{controls: controls} }
+func NewFailoverExecutor(controls ...Executor) *FailoverExecutor {
+	return &FailoverExecutor{controls: controls}
+}
 
 // Execute asks one control instance after the other until one answers or the
 // context ends. Sending a command twice is harmless: each says whose it is.
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -165,7 +165,7 @@
 	in := c.instances[i]
 	return follower.Start(follower.Options{
 		Instance: in.name,
-		Files:     in.folder,
+		Files:    in.folder,
 		Sources: func() []follower.Source {
 			var sources []follower.Source
 			for j := range c.controls {
--- a/control/configuration/diff.go
+++ b/control/configuration/diff.go
@@ -12,7 +12,7 @@
 // ItemChange is one item that differs between two configurations. Before is empty
 // for an added item and After for a removed one; both are JSON.
 type ItemChange struct {
-	Key   ItemKey
+	Key    ItemKey
 	Before string
 	After  string
 }
@@ -61,7 +61,7 @@
 	for _, item := range ChangedItems(from, to) {
 		name := ItemKey{item.Kind, item.Name}
 		changes = append(changes, ItemChange{
-			Key:   name,
+			Key:    name,
 			Before: string(from.Body(name)),
 			After:  string(item.Body),
 		})
--- a/control/configuration/encode.go
+++ b/control/configuration/encode.go
@@ -28,7 +28,7 @@
 
 // InvalidItemError means that the body of an item cannot be read.
 type InvalidItemError struct {
-	Key  ItemKey
+	Key   ItemKey
 	Cause error
 }
 
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -81,8 +81,8 @@
 	in := c.instances[0]
 	in.follower.Close()
 	in.follower = follower.Start(follower.Options{
-		Files:      in.folder,
-		Sources:   func() []follower.Source { return nil },
+		Files:           in.folder,
+		Sources:         func() []follower.Source { return nil },
 		OnConfiguration: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
 	})
 	<-in.follower.Ready()
@@ -262,7 +262,7 @@
 	items := declare(t, time.Second)
 	answer := &rpc.WatchAnswer{Revision: 3, Full: true, Items: items, Digest: configuration.NewContent(items).Digest()}
 	f := follower.Start(follower.Options{
-		Sources:   func() []follower.Source { return []follower.Source{silent, staleSource{answer}} },
+		Sources:         func() []follower.Source { return []follower.Source{silent, staleSource{answer}} },
 		OnConfiguration: func(*tables.Configuration) {},
 	})
 	defer f.Close()
--- a/control/fanout_test.go
+++ b/control/fanout_test.go
@@ -83,8 +83,8 @@
 	dialer := transport.NewDialer(client)
 	for i := range f.followers {
 		one := follower.Start(follower.Options{
-			Instance:  tables.InstanceID(fmt.Sprintf("instance-%03d", i)),
-			Sources:   func() []follower.Source { return []follower.Source{dialer.Control(f.instances[i%3].address)} },
+			Instance:        tables.InstanceID(fmt.Sprintf("instance-%03d", i)),
+			Sources:         func() []follower.Source { return []follower.Source{dialer.Control(f.instances[i%3].address)} },
 			OnConfiguration: func(configuration *tables.Configuration) { f.inForce <- configuration.Revision },
 		})
 		b.Cleanup(one.Close)
--- a/control/follower/follower.go
+++ b/control/follower/follower.go
@@ -69,7 +69,7 @@
 	OnConfiguration func(*tables.Configuration)
 	// WallClock is the clock that people read; nil means time.Now.
 	WallClock func() time.Time
-	Log  *zap.Logger
+	Log       *zap.Logger
 }
 
 // Follower follows the configuration. It is safe for concurrent use.
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -101,12 +101,12 @@
 // startFollower puts the last accepted configuration in force, and follows.
 func (d *Daemon) startFollower() {
 	d.follower = follower.Start(follower.Options{
-		Instance:  d.options.Process.Instance,
-		Zone:      d.options.Process.Zone,
-		Sources:   d.sources,
-		Files:      d.folder,
+		Instance:        d.options.Process.Instance,
+		Zone:            d.options.Process.Zone,
+		Sources:         d.sources,
+		Files:           d.folder,
 		OnConfiguration: d.configure,
-		Log:       d.options.Log,
+		Log:             d.options.Log,
 	})
 }
 
--- a/demo/instance.go
+++ b/demo/instance.go
@@ -133,7 +133,7 @@
 		Declarations: w.configuration,
 		Log:          w.options.Log.With(zap.String("instance", string(i.process.Instance))),
 		Dial:         w.network.Dialer(i.process.Zone),
-		IsReachable:      w.network.Reaches(i.process.Zone),
+		IsReachable:  w.network.Reaches(i.process.Zone),
 		Listen:       i.ports.Listen,
 	})
 	if err != nil {
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -210,7 +210,7 @@
 		},
 		Declarations: c,
 		Dial:         i.pause.dial,
-		IsReachable:      w.network.Reaches(zone),
+		IsReachable:  w.network.Reaches(zone),
 		Listen:       i.ports.Listen,
 	}
 	return i, nil
