--- a/entry/gate/gate.go
+++ b/entry/gate/gate.go
@@ -98,5 +98,5 @@
 func (g *Gate) wait(now tables.Instant) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.machine.NextTransition(now)
+	return g.machine.UntilDraining(now)
 }
--- a/systems/drain/drain.go
+++ b/systems/drain/drain.go
@@ -1,8 +1,9 @@
-// Package drain takes an instance out of service in steps, so that no request
-// is cut and none is refused: first the balancer is told, then new requests are
-// still served until it must have noticed, then open ones end.
+// Package drain implements graceful shutdown of an instance with a lame-duck
+// period, so that no request is cut off and none is refused. The instance first
+// fails its readiness check, then serves new requests until the load balancer
+// must have noticed, and finally waits for open requests to end.
 //
-// It is a pure state machine without clock, goroutine or socket.
+// The package is a pure state machine without clock, goroutine or socket.
 package drain
 
 import (
@@ -11,52 +12,54 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// State is how far an instance has gone out of service.
+// State is a phase of the shutdown.
 type State uint8
 
-// The states, in the order in which they are passed through.
+// The phases, in the order in which they occur.
 const (
-	// Serving: ready, and every request is served.
+	// Serving means that the instance is ready and accepts requests.
 	Serving State = iota
-	// LameDuck: not ready, but new requests are still served. The balancer's
-	// checks and its open connections lag behind; without this step requests
-	// already on their way would be refused.
+	// LameDuck means that the readiness check fails while new requests are still
+	// accepted. The load balancer's health checks and open connections lag
+	// behind; without this phase, requests already in transit would be refused.
 	LameDuck
-	// Draining: new requests are refused, open ones go on.
+	// Draining means that new requests are refused while open requests continue.
 	Draining
-	// Stopped: the process may exit.
+	// Stopped means that the process may exit.
 	Stopped
 )
 
-// Machine is the state of one instance. The zero value with Serve set is ready
-// to use.
+// Machine is the shutdown state machine of one instance. The zero value with
+// LameDuckPeriod set is ready to use and in the phase Serving.
 type Machine struct {
-	// LameDuckPeriod is how long the instance stays Announced.
+	// LameDuckPeriod is how long the instance stays in LameDuck.
 	LameDuckPeriod time.Duration
 
-	state     State
-	announced tables.Instant
+	state         State
+	lameDuckSince tables.Instant
 }
 
-// Begin starts the drain; later calls change nothing.
+// Begin starts the shutdown. Later calls have no effect.
 func (m *Machine) Begin(now tables.Instant) {
 	if m.state == Serving {
 		m.state = LameDuck
-		m.announced = now
+		m.lameDuckSince = now
 	}
 }
 
-// Abort ends the drain at once: the operator has signalled a second time or
-// the platform's patience is over. Open requests are cut.
+// Abort ends the shutdown immediately and cuts off open requests. It is called
+// when the operator sends a second signal or the platform's grace period ends.
+// It has no effect before Begin.
 func (m *Machine) Abort() {
 	if m.state != Serving {
 		m.state = Stopped
 	}
 }
 
-// Tick takes the number of open requests and gives the state.
+// Tick advances the machine to the instant now, with the given number of open
+// requests, and returns the new state.
 func (m *Machine) Tick(now tables.Instant, open int) State {
-	if m.state == LameDuck && now-m.announced >= m.LameDuckPeriod {
+	if m.state == LameDuck && now-m.lameDuckSince >= m.LameDuckPeriod {
 		m.state = Draining
 	}
 	if m.state == Draining && open == 0 {
@@ -65,20 +68,21 @@
 	return m.state
 }
 
-// State gives the state as of the last Tick.
+// State returns the current state. It does not advance the machine.
 func (m *Machine) State() State { return m.state }
 
-// NextTransition is how long nothing changes unless a request ends; it is zero when there
-// is nothing to wait for but that.
-func (m *Machine) NextTransition(now tables.Instant) time.Duration {
+// UntilDraining returns the remaining time of the phase LameDuck. It returns 0 in
+// all other phases, which do not end by time.
+func (m *Machine) UntilDraining(now tables.Instant) time.Duration {
 	if m.state != LameDuck {
 		return 0
 	}
-	return max(m.LameDuckPeriod-(now-m.announced), 0)
+	return max(m.LameDuckPeriod-(now-m.lameDuckSince), 0)
 }
 
-// Ready says whether the balancer should send callers here.
+// Ready reports whether the load balancer should route requests to the
+// instance.
 func (s State) Ready() bool { return s == Serving }
 
-// AcceptsRequests says whether a new request is served.
+// AcceptsRequests reports whether new requests are accepted.
 func (s State) AcceptsRequests() bool { return s <= LameDuck }
--- a/systems/drain/drain_test.go
+++ b/systems/drain/drain_test.go
@@ -7,7 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDrainPassesThroughItsStates(t *testing.T) {
+// New requests must be accepted throughout the lame-duck period, which a second
+// call of Begin must not extend, and open requests must end before the instance
+// stops.
+func TestShutdownStateSequence(t *testing.T) {
 	m := Machine{LameDuckPeriod: 5 * time.Second}
 	assert.Equal(t, m.Tick(time.Second, 0), Serving)
 	assert.Assert(t, m.State().Ready())
@@ -17,7 +20,7 @@
 	assert.Assert(t, !m.State().Ready())
 	assert.Assert(t, m.State().AcceptsRequests())
 	m.Begin(14 * time.Second)
-	assert.Equal(t, m.NextTransition(14*time.Second), time.Second)
+	assert.Equal(t, m.UntilDraining(14*time.Second), time.Second)
 
 	assert.Equal(t, m.Tick(15*time.Second, 2), Draining)
 	assert.Assert(t, !m.State().AcceptsRequests())
@@ -25,7 +28,9 @@
 	assert.Equal(t, m.Tick(time.Hour, 0), Stopped)
 }
 
-func TestSecondSignalEndsTheDrain(t *testing.T) {
+// A second signal must end a shutdown despite open requests, but must not stop
+// an instance that is still serving.
+func TestAbortStopsImmediately(t *testing.T) {
 	m := Machine{LameDuckPeriod: 5 * time.Second}
 	m.Abort()
 	assert.Equal(t, m.Tick(0, 0), Serving)
