--- a/systems/admission/admission.go
+++ b/systems/admission/admission.go
@@ -1,8 +1,8 @@
-// Package admission decides which requests are refused because there is too
-// much work. A request is refused as soon as it is clear that it cannot start
-// in time, while its caller can still ask elsewhere or later, and never once it
-// may have run. The less urgent are held back first, so they are the first to
-// run out of time and be refused.
+// Package admission implements admission control for queued requests. A
+// request is refused as soon as its predicted queueing time exceeds its maximum
+// wait, while its caller can still retry elsewhere or later. A request that may
+// have run is never refused. Overload delays requests of lower priority first,
+// so they are the first to exceed their maximum wait and to be refused.
 package admission
 
 import (
@@ -12,35 +12,39 @@
 )
 
 const (
-	// patiencePart is the part of its timeout for which a request whose profile
-	// names no wait may be held, within the bounds below.
-	patiencePart = 12
-	minPatience  = time.Second
-	maxPatience  = 5 * time.Second
-	// drainWindow is the least time over which the rate of starts is averaged;
-	// for requests that can wait long their wait divided by windowPart. That
-	// must be longer than the router lets such requests gather on purpose, when
-	// hardly any start: else gathering is taken for overload.
-	drainWindow = 5 * time.Second
-	windowPart  = 2
-	// minRetryAfter and maxRetryAfter bound the time to try again.
+	// defaultWaitDivisor sets the maximum wait of a request whose profile has
+	// none: its timeout divided by 12, between minDefaultWait and
+	// maxDefaultWait.
+	defaultWaitDivisor = 12
+	minDefaultWait     = time.Second
+	maxDefaultWait     = 5 * time.Second
+	// minRateWindow is the shortest time over which the start rate is averaged.
+	// Requests with a long maximum wait use that wait divided by
+	// rateWindowDivisor. The quotient must exceed the time for which the router
+	// deliberately batches such requests. Hardly any of them start during
+	// batching, and a shorter window would mistake that for overload.
+	minRateWindow     = 5 * time.Second
+	rateWindowDivisor = 2
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refusal.
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Minute
-	// MaxQueued bounds the requests held of one organisation in one class, for
-	// memory's sake.
+	// MaxQueued is the maximum number of queued requests per organisation and
+	// priority class. It bounds memory.
 	MaxQueued = 5000
-	// minWaiting is the queue length below which no prediction is made: a short
-	// queue says nothing of the rate at which it empties.
-	minWaiting = 8
+	// minPredictionLength is the queue length below which no wait is predicted:
+	// the start rate of a short queue says nothing about how fast it can drain.
+	minPredictionLength = 8
 )
 
-// DefaultMaxWait is how long a request may be held whose profile names no wait.
+// DefaultMaxWait returns the maximum queueing time of a request whose profile
+// sets none.
 func DefaultMaxWait(p *tables.Profile) time.Duration {
-	return max(minPatience, min(maxPatience, p.Timeout/patiencePart))
+	return max(minDefaultWait, min(maxDefaultWait, p.Timeout/defaultWaitDivisor))
 }
 
-// StartBy is when a request must have started: within the wait its profile
-// allows, and early enough to be answered by its deadline.
+// StartBy returns the latest time at which a request may start: within the
+// maximum wait of its profile, and early enough to complete before its deadline
+// if it runs for the given service time.
 func StartBy(row *tables.RequestRow, service time.Duration) tables.Instant {
 	wait := row.Profile.MaxWait
 	if wait <= 0 {
@@ -53,73 +57,81 @@
 	return by
 }
 
-// Backlog watches the queue of one organisation in one class. It is not safe
-// for concurrent use.
+// Backlog predicts the queueing time of one organisation's queue in one
+// priority class by Little's law: the queue length divided by the rate at which
+// requests start. The zero value is an empty queue. A Backlog is not safe for
+// concurrent use.
 type Backlog struct {
-	// window is the time over which started decays.
-	window time.Duration
-	// waiting counts requests that began to wait and have not left the queue.
-	waiting int
-	// started is a count of starts that decays over window.
-	started   float64
-	startedAt tables.Instant
-	// since is when the queue last became non-empty.
-	since tables.Instant
+	// rateWindow is the time over which startCount decays to zero.
+	rateWindow time.Duration
+	// length is the number of queued requests.
+	length int
+	// startCount is a decaying count of dispatched requests, as of lastStartAt.
+	// At a steady rate it converges to the number of starts per rateWindow.
+	startCount  float64
+	lastStartAt tables.Instant
+	// nonEmptySince is the time at which the queue last became non-empty.
+	nonEmptySince tables.Instant
 }
 
-// Enqueued counts a request that begins to wait, for at most the given time.
+// Enqueued records that a request with the given maximum wait joined the queue.
 func (b *Backlog) Enqueued(now tables.Instant, wait time.Duration) {
-	if b.waiting == 0 {
-		b.since = now
+	if b.length == 0 {
+		b.nonEmptySince = now
 	}
-	b.window = max(drainWindow, wait/windowPart)
-	b.waiting++
+	b.rateWindow = max(minRateWindow, wait/rateWindowDivisor)
+	b.length++
 }
 
-// Dequeued counts a request that no longer waits.
-func (b *Backlog) Dequeued() { b.waiting-- }
+// Dequeued records that a request left the queue, for whatever reason.
+func (b *Backlog) Dequeued() { b.length-- }
 
-// Started counts a request that was dispatched.
+// Started records that a request was dispatched.
 func (b *Backlog) Started(now tables.Instant) {
-	b.started = b.startedNow(now) + 1
-	b.startedAt = now
+	b.startCount = b.decayedStarts(now) + 1
+	b.lastStartAt = now
 }
 
-func (b *Backlog) startedNow(now tables.Instant) float64 {
-	if b.window == 0 {
-		b.window = drainWindow
+// decayedStarts returns startCount after linear decay over rateWindow.
+func (b *Backlog) decayedStarts(now tables.Instant) float64 {
+	if b.rateWindow == 0 {
+		b.rateWindow = minRateWindow
 	}
-	passed := float64(now-b.startedAt) / float64(b.window)
-	return b.started * max(0, 1-passed)
+	elapsed := float64(now-b.lastStartAt) / float64(b.rateWindow)
+	return b.startCount * max(0, 1-elapsed)
 }
 
-// Length is the number of requests held.
-func (b *Backlog) Length() int { return b.waiting }
+// Length returns the number of queued requests.
+func (b *Backlog) Length() int { return b.length }
 
-// PredictedWait predicts how long a request that comes now would be held: the queue
-// over the rate at which its requests have lately started.
+// PredictedWait returns the expected queueing time of a request that arrives
+// now: the queue length divided by the recent start rate. It returns 0 for
+// queues shorter than minPredictionLength.
 func (b *Backlog) PredictedWait(now tables.Instant) time.Duration {
-	if b.waiting < minWaiting {
+	if b.length < minPredictionLength {
 		return 0
 	}
-	rate := max(b.startedNow(now), 0.5) / b.window.Seconds()
-	return time.Duration(float64(b.waiting) / rate * float64(time.Second))
+	rate := max(b.decayedStarts(now), 0.5) / b.rateWindow.Seconds()
+	return time.Duration(float64(b.length) / rate * float64(time.Second))
 }
 
-// Admit says whether a new request can be expected to start within wait. If
-// not it returns when to try again.
+// Admit reports whether a new request can be expected to start within its
+// maximum wait, and otherwise returns the refusal with its retry delay. While
+// the queue has been non-empty for less than rateWindow, its start rate is not
+// measured yet, and requests are refused only when it holds MaxQueued.
 func (b *Backlog) Admit(now tables.Instant, wait time.Duration) (tables.Refusal, bool) {
 	predicted := b.PredictedWait(now)
-	full := b.waiting >= MaxQueued
-	settled := now-b.since >= b.window
-	if !full && (predicted <= wait || !settled) {
+	full := b.length >= MaxQueued
+	measured := now-b.nonEmptySince >= b.rateWindow
+	if !full && (predicted <= wait || !measured) {
 		return tables.Refusal{}, true
 	}
 	return tables.Refusal{Code: tables.CodeOverloaded, RetryAfter: b.RetryAfter(now, wait)}, false
 }
 
-// RetryAfter is when a request that can wait so long has a chance again: when
-// the queue that is there now will have gone down to what it can wait for.
+// RetryAfter returns the time after which a request with the given maximum wait
+// is likely to be admitted: the time in which the present queue drains to a
+// length that fits that wait.
 func (b *Backlog) RetryAfter(now tables.Instant, wait time.Duration) time.Duration {
 	return min(maxRetryAfter, max(minRetryAfter, b.PredictedWait(now)-wait))
 }
--- a/systems/admission/admission_test.go
+++ b/systems/admission/admission_test.go
@@ -10,9 +10,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Requests come ten times as fast as they are started. A caller who would wait
-// in vain must be told at once, with a time at which the queue will be short.
-func TestBacklogRefusesEarlyAndHonestly(t *testing.T) {
+// Requests arrive ten times as fast as they start. A caller whose request cannot
+// start in time must be refused immediately, with a retry delay that matches the
+// time in which the queue drains.
+func TestBacklogRefusesWithAccurateRetryAfter(t *testing.T) {
 	var b admission.Backlog
 	now := time.Second
 	const wait = 2 * time.Second
@@ -31,10 +32,11 @@
 	assert.Equal(t, refusal.Code, tables.CodeOverloaded)
 	drains := time.Duration(b.Length()) * 100 * time.Millisecond
 	off := (refusal.RetryAfter + wait - drains).Abs()
-	assert.Assert(t, off < drains/3, "retry after %v and waited %v, drains in %v", refusal.RetryAfter, wait, drains)
+	assert.Assert(t, off < drains/3, "retry after %v plus maximum wait %v, but the queue drains in %v", refusal.RetryAfter, wait, drains)
 }
 
-func TestAShortQueueRefusesNobody(t *testing.T) {
+// A queue that is too short to predict a wait must not cause refusals.
+func TestShortQueueAdmitsRequests(t *testing.T) {
 	var b admission.Backlog
 	for range 5 {
 		b.Enqueued(time.Second, time.Second)
@@ -43,7 +45,9 @@
 	assert.Assert(t, ok)
 }
 
-func TestStartByKeepsTheDeadline(t *testing.T) {
+// A request with a deadline must start early enough to complete before it, even
+// if its profile permits a longer wait.
+func TestStartByLeavesServiceTimeBeforeDeadline(t *testing.T) {
 	row := &tables.RequestRow{
 		Request:     &tables.Request{Deadline: 10 * time.Second},
 		Profile:     &tables.Profile{MaxWait: time.Hour},
