--- a/systems/fairness/fairness.go
+++ b/systems/fairness/fairness.go
@@ -1,35 +1,38 @@
-// Package fairness shares the endpoints between the organisations of a class.
-// Each organisation with waiting requests is served in the order of its virtual
-// time, which advances by the cost of what was dispatched over its weight
-// (start-time fair queueing). An organisation that was idle comes back at the
-// present virtual time, so that it gains nothing from having been idle, and a
-// burst of one organisation delays its own requests, not those of others.
+// Package fairness schedules the organisations of a priority class by weighted
+// fair queueing and enforces their limits. The scheduler is start-time fair
+// queueing: it serves organisations with queued requests in the order of their
+// start tags. A start tag is a virtual time that advances by the cost of each
+// dispatched request divided by the weight. An organisation that was idle
+// resumes at the current virtual time, so it gains no credit from idling. A
+// burst of one organisation delays only that organisation's requests.
 package fairness
 
 import "github.com/carawaystile/carawaystile/tables"
 
-// Flow is the number of an organisation within one Scheduler.
+// Flow is the index of an organisation within a Scheduler.
 type Flow = tables.FlowIndex
 
-// flow is the state of one organisation in one class.
+// flow is the scheduling state of one organisation in one priority class.
 type flow struct {
 	weight float64
-	// start is the virtual time at which its next request is served.
-	start   float64
-	waiting int
+	// startTag is the virtual time at which the flow's next request is served.
+	startTag float64
+	queued   int
 }
 
-// Scheduler orders the organisations of one class. It is not safe for
-// concurrent use.
+// Scheduler is a start-time fair queueing scheduler for the organisations of
+// one priority class. It stores counts, not the requests themselves. The zero
+// value has no flows. A Scheduler is not safe for concurrent use.
 type Scheduler struct {
-	flows   []flow
-	virtual float64
-	waiting int
-	// active lists the flows with waiting requests, in no order.
+	flows       []flow
+	virtualTime float64
+	queued      int
+	// active lists the flows with queued requests, in no particular order.
 	active []Flow
 }
 
-// SetWeight declares a flow and its weight, which is above 0.
+// SetWeight sets the weight of a flow, which must be above 0, and declares the
+// flow if it is new.
 func (s *Scheduler) SetWeight(f Flow, weight float64) {
 	for int(f) >= len(s.flows) {
 		s.flows = append(s.flows, flow{weight: 1})
@@ -37,23 +40,24 @@
 	s.flows[f].weight = max(weight, 1e-6)
 }
 
-// Enqueue counts a request that begins to wait.
+// Enqueue records that a request of the flow was queued.
 func (s *Scheduler) Enqueue(f Flow) {
-	w := &s.flows[f]
-	w.waiting++
-	s.waiting++
-	if w.waiting == 1 {
-		w.start = max(w.start, s.virtual)
+	state := &s.flows[f]
+	state.queued++
+	s.queued++
+	if state.queued == 1 {
+		state.startTag = max(state.startTag, s.virtualTime)
 		s.active = append(s.active, f)
 	}
 }
 
-// Dequeue counts a request that no longer waits, for whatever reason.
+// Dequeue records that a request of the flow left the queue, for whatever
+// reason.
 func (s *Scheduler) Dequeue(f Flow) {
-	w := &s.flows[f]
-	w.waiting--
-	s.waiting--
-	if w.waiting > 0 {
+	state := &s.flows[f]
+	state.queued--
+	s.queued--
+	if state.queued > 0 {
 		return
 	}
 	for i, other := range s.active {
@@ -65,50 +69,51 @@
 	}
 }
 
-// Charge advances a flow by the cost of a dispatched request. The unit of cost
-// is free, but must be one within a scheduler.
+// Charge advances the start tag of a flow by the cost of a dispatched request.
+// Costs may have any unit, as long as all costs of one scheduler share it.
 func (s *Scheduler) Charge(f Flow, cost float64) {
-	w := &s.flows[f]
-	start := max(w.start, s.virtual)
-	s.virtual = max(s.virtual, min(start, s.least(start)))
-	w.start = start + cost/w.weight
+	state := &s.flows[f]
+	start := max(state.startTag, s.virtualTime)
+	s.virtualTime = max(s.virtualTime, min(start, s.minStartTag(start)))
+	state.startTag = start + cost/state.weight
 }
 
-// least is the smallest start of the waiting flows, or otherwise if none waits.
-func (s *Scheduler) least(otherwise float64) float64 {
-	least := otherwise
+// minStartTag returns the smallest start tag of the active flows, or upperBound
+// if that is smaller or no flow is active.
+func (s *Scheduler) minStartTag(upperBound float64) float64 {
+	least := upperBound
 	for _, f := range s.active {
-		least = min(least, s.flows[f].start)
+		least = min(least, s.flows[f].startTag)
 	}
 	return least
 }
 
-// Next returns the waiting flow whose turn it is, passing over those for which
-// skip holds.
+// Next returns the active flow that is served next and whether there is one. It
+// ignores flows for which skip returns true.
 func (s *Scheduler) Next(skip func(Flow) bool) (Flow, bool) {
 	best, found := Flow(0), false
 	for _, f := range s.active {
 		if skip(f) {
 			continue
 		}
-		if !found || s.before(f, best) {
+		if !found || s.servedBefore(f, best) {
 			best, found = f, true
 		}
 	}
 	return best, found
 }
 
-// before orders flows by start, and equal ones by number, so that the order
-// does not depend on how the list came about.
-func (s *Scheduler) before(a, b Flow) bool {
-	if s.flows[a].start != s.flows[b].start {
-		return s.flows[a].start < s.flows[b].start
+// servedBefore reports whether flow a precedes flow b: by start tag, with ties
+// broken by index, so that the result does not depend on the order of active.
+func (s *Scheduler) servedBefore(a, b Flow) bool {
+	if s.flows[a].startTag != s.flows[b].startTag {
+		return s.flows[a].startTag < s.flows[b].startTag
 	}
 	return a < b
 }
 
-// QueueLength is the number of waiting requests.
-func (s *Scheduler) QueueLength() int { return s.waiting }
+// QueueLength returns the number of queued requests of all flows.
+func (s *Scheduler) QueueLength() int { return s.queued }
 
-// ActiveFlows is the number of flows with waiting requests.
+// ActiveFlows returns the number of flows with queued requests.
 func (s *Scheduler) ActiveFlows() int { return len(s.active) }
--- a/systems/fairness/fairness_test.go
+++ b/systems/fairness/fairness_test.go
@@ -12,63 +12,64 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// The seed is fixed, so that a change is judged the same way every time.
+// The fixed seed makes property tests reproducible.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// naive is start-time fair queueing written down as it is defined: each request
-// has a start tag, and the waiting one with the least is served.
-type naive struct {
-	weights []float64
-	finish  []float64
-	waiting []int
-	start   []float64
-	virtual float64
+// referenceScheduler implements start-time fair queueing by its definition: each
+// request has a start tag, and the queued request with the lowest one is served.
+type referenceScheduler struct {
+	weights     []float64
+	finishTag   []float64
+	queued      []int
+	startTag    []float64
+	virtualTime float64
 }
 
-func (n *naive) add(f int) {
-	n.waiting[f]++
-	if n.waiting[f] == 1 {
-		n.start[f] = max(n.finish[f], n.virtual)
+func (ref *referenceScheduler) add(f int) {
+	ref.queued[f]++
+	if ref.queued[f] == 1 {
+		ref.startTag[f] = max(ref.finishTag[f], ref.virtualTime)
 	}
 }
 
-func (n *naive) next() int {
+func (ref *referenceScheduler) next() int {
 	best := -1
-	for f := range n.weights {
-		if n.waiting[f] > 0 && (best < 0 || n.start[f] < n.start[best]) {
+	for f := range ref.weights {
+		if ref.queued[f] > 0 && (best < 0 || ref.startTag[f] < ref.startTag[best]) {
 			best = f
 		}
 	}
 	return best
 }
 
-func (n *naive) serve(f int, cost float64) {
-	n.virtual = max(n.virtual, n.start[f])
-	n.finish[f] = n.start[f] + cost/n.weights[f]
-	n.start[f] = n.finish[f]
-	n.waiting[f]--
+func (ref *referenceScheduler) serve(f int, cost float64) {
+	ref.virtualTime = max(ref.virtualTime, ref.startTag[f])
+	ref.finishTag[f] = ref.startTag[f] + cost/ref.weights[f]
+	ref.startTag[f] = ref.finishTag[f]
+	ref.queued[f]--
 }
 
-func TestSchedulerIsStartTimeFairQueueing(t *testing.T) {
+// The scheduler must serve flows in the same order as the reference.
+func TestSchedulerMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const flows = 5
 		s := &fairness.Scheduler{}
-		n := &naive{
-			weights: make([]float64, flows), finish: make([]float64, flows),
-			waiting: make([]int, flows), start: make([]float64, flows),
+		ref := &referenceScheduler{
+			weights: make([]float64, flows), finishTag: make([]float64, flows),
+			queued: make([]int, flows), startTag: make([]float64, flows),
 		}
 		for f := range flows {
-			n.weights[f] = float64(rapid.IntRange(1, 4).Draw(t, "weight"))
-			s.SetWeight(fairness.Flow(f), n.weights[f])
+			ref.weights[f] = float64(rapid.IntRange(1, 4).Draw(t, "weight"))
+			s.SetWeight(fairness.Flow(f), ref.weights[f])
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "arrives") {
 				f := rapid.IntRange(0, flows-1).Draw(t, "flow")
-				n.add(f)
+				ref.add(f)
 				s.Enqueue(fairness.Flow(f))
 				continue
 			}
-			want := n.next()
+			want := ref.next()
 			got, ok := s.Next(func(fairness.Flow) bool { return false })
 			assert.Equal(t, ok, want >= 0)
 			if !ok {
@@ -78,14 +79,14 @@
 			cost := float64(rapid.IntRange(1, 1000).Draw(t, "cost"))
 			s.Charge(got, cost)
 			s.Dequeue(got)
-			n.serve(want, cost)
+			ref.serve(want, cost)
 		}
 	})
 }
 
-// A large organisation sends a burst of a thousand requests at once. A small
-// one that sends one request afterwards must not wait behind the burst.
-func TestBurstOfOneDoesNotDelayAnother(t *testing.T) {
+// One organisation sends a burst of a thousand requests. Another one that sends
+// a single request afterwards must not wait behind the burst.
+func TestBurstDoesNotDelayOtherFlows(t *testing.T) {
 	s := &fairness.Scheduler{}
 	s.SetWeight(0, 1)
 	s.SetWeight(1, 1)
@@ -104,10 +105,12 @@
 	}
 	s.Enqueue(1)
 	first, second := serve(), serve()
-	assert.Assert(t, first == 1 || second == 1, "%d %d", first, second)
+	assert.Assert(t, first == 1 || second == 1, "flows %d and %d were served, want flow 1 among them", first, second)
 }
 
-func TestLimiterHoldsTheRateOverAllInstances(t *testing.T) {
+// Instances that each enforce their share of a rate limit must together admit
+// the limit, except for the initial burst and rounding.
+func TestLimiterEnforcesRateAcrossInstances(t *testing.T) {
 	const instances = 6
 	limiters := make([]fairness.Limiter, instances)
 	for i := range limiters {
@@ -122,10 +125,11 @@
 		}
 	}
 	burst := 30 * 2
-	assert.Assert(t, admitted >= 30*seconds-instances && admitted <= 30*seconds+burst+instances, "%d", admitted)
+	assert.Assert(t, admitted >= 30*seconds-instances && admitted <= 30*seconds+burst+instances, "admitted %d requests", admitted)
 }
 
-func TestLimiterBoundsConcurrency(t *testing.T) {
+// An instance must enforce its share of a concurrency limit, rounded up.
+func TestLimiterEnforcesConcurrency(t *testing.T) {
 	var l fairness.Limiter
 	l.Configure(0, 10)
 	running := 0
