--- a/systems/health/health_test.go
+++ b/systems/health/health_test.go
@@ -10,9 +10,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// An endpoint fails again each time it is tried. It must be tried ever more
-// rarely, and be trusted again once it has answered a few times.
-func TestEjectionsLengthenUntilItAnswers(t *testing.T) {
+// An endpoint fails again each time it is tried. Each ejection must last longer
+// than the one before, until the endpoint has recovered with a few successes.
+func TestEjectionTimeGrowsUntilRecovery(t *testing.T) {
 	var h tables.Health
 	now := time.Second
 	last := time.Duration(0)
@@ -33,7 +33,9 @@
 	assert.Equal(t, h.EjectedUntil-now, time.Second)
 }
 
-func TestOneFailureEjectsOnProbationOnly(t *testing.T) {
+// A healthy endpoint must survive failures that are not consecutive. An endpoint
+// on probation must be ejected by the first failure.
+func TestSingleFailureEjectsOnlyOnProbation(t *testing.T) {
 	h := tables.Health{State: tables.Probation}
 	health.RecordFailure(time.Second, &h)
 	assert.Equal(t, h.State, tables.Ejected)
@@ -47,9 +49,9 @@
 	assert.Equal(t, h.State, tables.Ejected)
 }
 
-// A request waits long for its first token because more urgent ones are served
-// before it. The endpoint does not hang, and must not be taken out.
-func TestProgressForOthersIsNotHanging(t *testing.T) {
+// A request waits long for its first token because the endpoint serves more
+// urgent ones first. The endpoint does not hang and must not be ejected.
+func TestAttemptIsNotHungWhileEndpointMakesProgress(t *testing.T) {
 	a := &tables.AttemptRow{DispatchedAt: time.Second, ExpectedTTFT: time.Second}
 	assert.Assert(t, !health.IsHung(9*time.Second, 0, a))
 	assert.Assert(t, health.IsHung(15*time.Second, 0, a))
