--- a/systems/hotness/hotness.go
+++ b/systems/hotness/hotness.go
@@ -1,7 +1,8 @@
-// Package hotness measures how often blocks of prompts are asked for. Its
-// memory is fixed: counters are shared between blocks by hashing, and the least
-// of a block's counters is taken, which can only be too high. All counts decay,
-// so that a prefix that is no longer asked for is soon no longer hot.
+// Package hotness estimates how often prompt blocks are requested, with a
+// count-min sketch that decays exponentially. Memory is constant: blocks share
+// counters by hashing, and the estimate of a block is the minimum of its
+// counters, which can be too high but never too low. Decay lets a prefix that
+// is no longer requested cool down quickly.
 package hotness
 
 import (
@@ -12,64 +13,68 @@
 )
 
 const (
-	// depth is how many counters each block has.
+	// depth is the number of counter rows, and thus of counters per block.
 	depth = 3
-	// width is the number of counters of each depth: 16 Ki, 192 KB in all.
+	// width is the number of counters per row: 16 Ki, which makes 192 KB in all.
 	width = 1 << 14
-	// TimeConstant is the time constant of the decay.
+	// TimeConstant is the time constant of the exponential decay.
 	TimeConstant = 20 * time.Second
-	// steps is how often within Window all counters are lowered.
-	steps = 8
+	// decaySteps is the number of decay steps per TimeConstant.
+	decaySteps = 8
 )
 
-// keep is the part of a counter that one step leaves: e^(-1/steps).
-const keep = 0.8824969
+// decayFactor is the factor that one decay step applies: e^(-1/decaySteps).
+const decayFactor = 0.8824969
 
-// Sketch counts blocks. It is not safe for concurrent use.
+// Sketch is a count-min sketch of block requests with exponential decay. The
+// zero value is empty. A Sketch is not safe for concurrent use.
 type Sketch struct {
-	counts  [depth][width]float32
-	decayed tables.Instant
+	counts    [depth][width]float32
+	decayedAt tables.Instant
 }
 
-// Add counts one request for each block.
-func (c *Sketch) Add(now tables.Instant, blocks []tables.BlockHash) {
-	c.decay(now)
+// Add counts one request for each of the blocks.
+func (s *Sketch) Add(now tables.Instant, blocks []tables.BlockHash) {
+	s.decay(now)
 	for _, hash := range blocks {
 		for d := range depth {
-			c.counts[d][slot(hash, d)]++
+			s.counts[d][counterIndex(hash, d)]++
 		}
 	}
 }
 
-// Count is the decayed number of requests for a block; a steady rate of r a
-// second gives r times Window.
-func (c *Sketch) Count(hash tables.BlockHash) float64 {
-	least := c.counts[0][slot(hash, 0)]
+// Count returns the decayed number of requests for a block. At a steady rate of
+// r requests per second it converges to r times TimeConstant in seconds.
+func (s *Sketch) Count(hash tables.BlockHash) float64 {
+	least := s.counts[0][counterIndex(hash, 0)]
 	for d := 1; d < depth; d++ {
-		least = min(least, c.counts[d][slot(hash, d)])
+		least = min(least, s.counts[d][counterIndex(hash, d)])
 	}
 	return float64(least)
 }
 
-// Rate is the requests per second for a block.
-func (c *Sketch) Rate(hash tables.BlockHash) float64 { return c.Count(hash) / TimeConstant.Seconds() }
+// Rate returns the estimated request rate of a block in requests per second.
+func (s *Sketch) Rate(hash tables.BlockHash) float64 { return s.Count(hash) / TimeConstant.Seconds() }
 
-func slot(hash tables.BlockHash, d int) uint64 {
+// counterIndex returns the column of the block's counter in row d.
+func counterIndex(hash tables.BlockHash, d int) uint64 {
 	return placement.Mix64(uint64(hash)+uint64(d)*0x9e3779b97f4a7c15) & (width - 1)
 }
 
-func (c *Sketch) decay(now tables.Instant) {
-	const step = TimeConstant / steps
-	for c.decayed+step <= now {
-		if now-c.decayed > 8*TimeConstant {
-			c.counts = [depth][width]float32{}
-			c.decayed = now
+// decay applies the decay steps that are due. After a gap of more than 8 time
+// constants it clears all counters instead.
+func (s *Sketch) decay(now tables.Instant) {
+	const step = TimeConstant / decaySteps
+	for s.decayedAt+step <= now {
+		if now-s.decayedAt > 8*TimeConstant {
+			s.counts = [depth][width]float32{}
+			s.decayedAt = now
 			return
 		}
-		c.decayed += step
-		for d := range c.counts {
-			for i := range c.counts[d] {
-				c.counts[d][i] *= keep
+		s.decayedAt += step
+		for d := range s.counts {
+			for i := range s.counts[d] {
+				s.counts[d][i] *= decayFactor
 			}
 		}
 	}
