--- a/systems/placement/explain.go
+++ b/systems/placement/explain.go
@@ -2,45 +2,46 @@
 
 import "github.com/carawaystile/carawaystile/tables"
 
-// CostTerm is one scorer's weighted share of a candidate's cost.
+// CostTerm is the weighted cost that one scorer contributes for a candidate.
 type CostTerm struct {
 	Name        string  `json:"name"`
 	CostSeconds float64 `json:"seconds"`
 }
 
-// CandidateReport describes one candidate for people.
+// CandidateReport explains the evaluation of one candidate to operators.
 type CandidateReport struct {
 	Endpoint tables.EndpointID `json:"endpoint"`
-	// RejectedBy names the filter that dropped the candidate, if one did.
+	// RejectedBy is the name of the filter that rejected the candidate, or empty.
 	RejectedBy   string     `json:"dropped,omitempty"`
 	CachedTokens int        `json:"cached_tokens"`
 	CostSeconds  float64    `json:"seconds"`
 	CostTerms    []CostTerm `json:"parts,omitempty"`
 }
 
-// MaxReports is how many candidates Explain describes: those of the lowest
-// cost, and then dropped ones.
+// MaxReports is the maximum number of candidates that Explain reports: the
+// accepted ones of the lowest cost first, then rejected ones.
 const MaxReports = 8
 
-// Explain appends reports on candidates that Pick has been over to dst, whose
-// memory is reused.
+// Explain appends reports on candidates that Pick has evaluated to dst, reusing
+// the memory of dst.
 func (p *Picker) Explain(dst []CandidateReport, q *Query, candidates []Candidate) []CandidateReport {
 	var best [MaxReports]*Candidate
 	n := 0
 	for i := range candidates {
-		n = enter(&best, n, &candidates[i])
+		n = insertRanked(&best, n, &candidates[i])
 	}
 	for _, c := range best[:n] {
-		dst = grow(dst)
+		dst = appendReport(dst)
 		p.describe(&dst[len(dst)-1], q, c)
 	}
 	return dst
 }
 
-// enter puts a candidate into its place among the n best.
-func enter(best *[MaxReports]*Candidate, n int, c *Candidate) int {
+// insertRanked inserts a candidate into the ranked array of the n best and
+// returns the new number of entries.
+func insertRanked(best *[MaxReports]*Candidate, n int, c *Candidate) int {
 	at := n
-	for at > 0 && better(c, best[at-1]) {
+	for at > 0 && ranksBefore(c, best[at-1]) {
 		at--
 	}
 	if at == MaxReports {
@@ -52,25 +53,30 @@
 	return n
 }
 
-func better(a, b *Candidate) bool {
-	if (a.dropped == 0) != (b.dropped == 0) {
-		return a.dropped == 0
+// ranksBefore reports whether a is reported before b: accepted candidates
+// precede rejected ones, and are ordered by cost.
+func ranksBefore(a, b *Candidate) bool {
+	if (a.rejectedBy == 0) != (b.rejectedBy == 0) {
+		return a.rejectedBy == 0
 	}
-	return a.dropped == 0 && a.Cost < b.Cost
+	return a.rejectedBy == 0 && a.Cost < b.Cost
 }
 
-// grow lengthens dst by one report, keeping the memory of its parts.
-func grow(dst []CandidateReport) []CandidateReport {
+// appendReport lengthens dst by one report, keeping the memory of its cost
+// terms.
+func appendReport(dst []CandidateReport) []CandidateReport {
 	if len(dst) < cap(dst) {
 		return dst[:len(dst)+1]
 	}
 	return append(dst, CandidateReport{})
 }
 
+// describe fills a report. It runs the filters and scorers again, because Pick
+// skips most of them.
 func (p *Picker) describe(r *CandidateReport, q *Query, c *Candidate) {
 	*r = CandidateReport{Endpoint: c.Row.Endpoint.ID, CachedTokens: int(c.CachedTokens), CostTerms: r.CostTerms[:0]}
-	if c.dropped = p.drop(q, c); c.dropped != 0 {
-		r.RejectedBy = p.Filters[c.dropped-1].Name()
+	if c.rejectedBy = p.firstRejection(q, c); c.rejectedBy != 0 {
+		r.RejectedBy = p.Filters[c.rejectedBy-1].Name()
 		return
 	}
 	for i := range p.Scorers {
--- a/systems/placement/filter/capacity/capacity.go
+++ b/systems/placement/filter/capacity/capacity.go
@@ -1,4 +1,4 @@
-// Package capacity drops endpoints that have as much work as they should get.
+// Package capacity limits the concurrent attempts at an endpoint.
 package capacity
 
 import (
@@ -6,28 +6,30 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// MaxAttemptsPerSlot are the most attempts at an endpoint, as multiples of its slots, for
-// requests of each priority. Urgent work may queue at the endpoint, which
-// honours priorities; work that can wait waits here, where it can still be
-// placed elsewhere.
+// MaxAttemptsPerSlot is the maximum number of attempts at an endpoint per slot,
+// by the priority of the request. Urgent work may queue at the endpoint, which
+// schedules by priority. Work that can wait stays queued in the instance, where
+// it can still be placed elsewhere.
 var MaxAttemptsPerSlot = [tables.PriorityCount]float64{
 	tables.Urgent:     2,
 	tables.Normal:     1.25,
 	tables.Background: 0.75,
 }
 
-// Filter keeps endpoints with room.
+// Filter accepts endpoints that are below the limit.
 type Filter struct{}
 
-// Name is the reason given for a dropped candidate.
+// Name is the reason reported for a rejected candidate.
 func (Filter) Name() string { return "capacity" }
 
-// Keep compares the estimated attempts with the limit of the priority.
+// Keep compares the estimated number of attempts with the limit of the
+// priority. Promoted requests get the limit of urgent ones, and every endpoint
+// may have at least one attempt.
 func (Filter) Keep(q *placement.Query, c *placement.Candidate) bool {
-	part := MaxAttemptsPerSlot[q.Request.Priority]
+	perSlot := MaxAttemptsPerSlot[q.Request.Priority]
 	if q.Promoted {
-		part = MaxAttemptsPerSlot[tables.Urgent]
+		perSlot = MaxAttemptsPerSlot[tables.Urgent]
 	}
-	limit := part * float64(c.Row.Slots())
+	limit := perSlot * float64(c.Row.Slots())
 	return float64(c.Row.Load.TotalAttempts()) < max(1, limit)
 }
--- a/systems/placement/filter/health/health.go
+++ b/systems/placement/filter/health/health.go
@@ -1,4 +1,4 @@
-// Package health drops endpoints that traffic has shown to be broken.
+// Package health rejects endpoints that passive health checking has ejected.
 package health
 
 import (
@@ -6,18 +6,20 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// MaxProbationAttempts is how many own attempts an endpoint on probation may have
-// at once. A crashed endpoint looks idle when it returns; without the limit
-// all waiting work would go to it in one moment, before it has proved itself.
+// MaxProbationAttempts is the maximum number of concurrent attempts of this
+// instance at an endpoint on probation. A crashed endpoint looks idle when it
+// returns; without the limit, all queued work would be sent to it at once before
+// it has proved that it works.
 const MaxProbationAttempts = 2
 
-// Filter keeps healthy endpoints, and those on probation up to a limit.
+// Filter accepts healthy endpoints, and endpoints on probation up to
+// MaxProbationAttempts.
 type Filter struct{}
 
-// Name is the reason given for a dropped candidate.
+// Name is the reason reported for a rejected candidate.
 func (Filter) Name() string { return "health" }
 
-// Keep drops ejected endpoints until their time is over.
+// Keep rejects ejected endpoints, and endpoints on probation at the limit.
 func (Filter) Keep(q *placement.Query, c *placement.Candidate) bool {
 	switch c.Row.Health.State {
 	case tables.Ejected:
--- a/systems/placement/filter/idle/idle.go
+++ b/systems/placement/filter/idle/idle.go
@@ -1,30 +1,31 @@
-// Package idle keeps only endpoints with time to spare, for requests that have
-// waited almost as long as they may.
+// Package idle restricts requests that are close to their maximum wait to idle
+// endpoints.
 package idle
 
 import "github.com/carawaystile/carawaystile/systems/placement"
 
 const (
-	// maxBusy is the part of its time, and maxQueue the queue in seconds, that
-	// an endpoint with time to spare has work for.
-	maxBusy  = 0.8
-	maxQueue = 0.5
+	// An endpoint counts as idle below maxBusyFraction and below a prefill queue
+	// of maxQueueSeconds.
+	maxBusyFraction = 0.8
+	maxQueueSeconds = 0.5
 )
 
-// Filter keeps all endpoints, and for a query in its last chance only those
-// that are idle. A request that could wait no longer at the endpoints that hold
-// its prefix would be refused beside idle ones; but were it sent to busy ones,
-// overload would turn into recomputation, and recomputation into more overload.
+// Filter accepts all endpoints, or only idle ones if the query is a last chance.
+// Without the last chance, a request that waits for the endpoints that hold its
+// prefix would be refused while others are idle. Busy endpoints stay excluded:
+// sending requests there would turn overload into recomputation, and
+// recomputation into more overload.
 type Filter struct{}
 
-// Name is the reason given for a dropped candidate.
+// Name is the reason reported for a rejected candidate.
 func (Filter) Name() string { return "idle" }
 
-// Keep looks at the use of the endpoint in the last seconds and at its queue.
+// Keep checks the endpoint's recent busy fraction and its prefill queue.
 func (Filter) Keep(q *placement.Query, c *placement.Candidate) bool {
 	if !q.LastChance {
 		return true
 	}
 	load := &c.Row.Load
-	return load.BusyFraction < maxBusy && float64(load.PrefillBacklog()) < maxQueue*c.PrefillRate()
+	return load.BusyFraction < maxBusyFraction && float64(load.PrefillBacklog()) < maxQueueSeconds*c.PrefillRate()
 }
--- a/systems/placement/filter/serves/serves.go
+++ b/systems/placement/filter/serves/serves.go
@@ -1,5 +1,5 @@
-// Package serves drops endpoints that cannot answer the request: another kind,
-// model, service or weights version.
+// Package serves rejects endpoints that cannot run the request because their
+// kind, service, model or weights version differs.
 package serves
 
 import (
@@ -7,13 +7,13 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Filter keeps endpoints that serve what the profile asks for.
+// Filter accepts endpoints that serve what the request's profile requires.
 type Filter struct{}
 
-// Name is the reason given for a dropped candidate.
+// Name is the reason reported for a rejected candidate.
 func (Filter) Name() string { return "serves" }
 
-// Keep compares kind, and then service, or model and weights.
+// Keep compares the kind, and then the service, or the model and the weights.
 func (Filter) Keep(q *placement.Query, c *placement.Candidate) bool {
 	profile := q.Request.Profile
 	if c.Row.Endpoint.Kind != profile.Kind {
--- a/systems/placement/filter/tried/tried.go
+++ b/systems/placement/filter/tried/tried.go
@@ -1,16 +1,16 @@
-// Package tried drops endpoints at which the request has failed already or is
-// running now.
+// Package tried rejects endpoints where an attempt of the request has failed or
+// is running.
 package tried
 
 import "github.com/carawaystile/carawaystile/systems/placement"
 
-// Filter keeps endpoints that the request has not been to.
+// Filter accepts endpoints without a failed or running attempt of the request.
 type Filter struct{}
 
-// Name is the reason given for a dropped candidate.
+// Name is the reason reported for a rejected candidate.
 func (Filter) Name() string { return "tried" }
 
-// Keep drops endpoints of failed and of running attempts.
+// Keep rejects the endpoints of failed and of running attempts.
 func (Filter) Keep(q *placement.Query, c *placement.Candidate) bool {
 	if q.Request.HasFailedAt(c.Row.Index) {
 		return false
--- a/systems/placement/homes/homes.go
+++ b/systems/placement/homes/homes.go
@@ -1,8 +1,9 @@
-// Package homes assigns every prefix to endpoints by hashing, so that
-// instances agree where a prefix belongs without having heard of each other's
-// placements, and a restarted instance agrees at once. The table is filled by
-// weighted rendezvous hashing: of the members, each slot takes the one with
-// the highest draw, so that a member that joins or leaves moves only its part.
+// Package homes assigns a home endpoint to every prefix by weighted rendezvous
+// hashing. Instances thus agree on the home of a prefix without knowledge of
+// each other's placements, and a restarted instance agrees immediately. The
+// hash is evaluated once per slot of a lookup table: each slot belongs to the
+// member with the highest score, so that a member that joins or leaves moves
+// only its own slots.
 package homes
 
 import (
@@ -17,26 +18,29 @@
 const (
 	minSlots = 1024
 	maxSlots = 4096
-	// slotsPerMember keeps the parts of members even.
+	// slotsPerMember is large enough for the numbers of slots to be nearly
+	// proportional to the weights.
 	slotsPerMember = 32
 )
 
-// Member is an endpoint that prefixes can belong to.
+// Member is an endpoint that can be the home of prefixes.
 type Member struct {
 	ID    tables.EndpointID
 	Index tables.EndpointIndex
-	// Weight is the member's part against others, above 0. All instances must
-	// use the same, so it comes from the configuration, not from measurement.
+	// Weight is the relative number of slots of the member, above 0. All
+	// instances must use the same weight, so it comes from the configuration and
+	// not from measurements.
 	Weight float64
 }
 
-// Table maps prefixes to members.
+// Table is a rendezvous hashing lookup table from prefixes to members. It is
+// immutable.
 type Table struct {
 	slots   []tables.EndpointIndex
 	members []Member
 }
 
-// New fills a table for the members. It costs slots times members.
+// New builds a table. The cost is proportional to slots times members.
 func New(members []Member) *Table {
 	size := minSlots
 	for size < maxSlots && size < len(members)*slotsPerMember {
@@ -49,39 +53,42 @@
 		best[i] = math.Inf(-1)
 	}
 	for _, m := range members {
-		t.enter(m, best)
+		t.claimSlots(m, best)
 	}
 	return t
 }
 
-// enter gives the member the slots at which its draw is the highest so far.
-func (t *Table) enter(m Member, best []float64) {
+// claimSlots assigns to the member all slots where its score is the highest so
+// far.
+func (t *Table) claimSlots(m Member, best []float64) {
 	seed := xxhash.Sum64String(string(m.ID))
 	for slot := range t.slots {
-		draw := draw(placement.Mix64(seed+uint64(slot)*0x9e3779b97f4a7c15), m.Weight)
-		if draw > best[slot] {
-			best[slot] = draw
+		score := rendezvousScore(placement.Mix64(seed+uint64(slot)*0x9e3779b97f4a7c15), m.Weight)
+		if score > best[slot] {
+			best[slot] = score
 			t.slots[slot] = m.Index
 		}
 	}
 }
 
-// draw is a weighted rendezvous score: the logarithm of a uniform number over
-// the weight. A member's chance to have the highest is its part of all weights.
-func draw(hash uint64, weight float64) float64 {
+// rendezvousScore returns a weighted rendezvous hashing score: the logarithm of
+// a uniform number divided by the weight. The probability that a member has the
+// highest score is its fraction of the sum of all weights.
+func rendezvousScore(hash uint64, weight float64) float64 {
 	uniform := (float64(hash>>11) + 0.5) / (1 << 53)
 	return math.Log(uniform) / weight
 }
 
-// Home is the member of the given rank for a prefix: rank 0 is where it
-// belongs first, rank 1 where it overflows to, and so on. Ranks may repeat a
-// member. It returns tables.NoEndpoint while there are no members.
+// Home returns the member of the given rank for a prefix. Rank 0 is the home of
+// the prefix, rank 1 the first overflow target, and so on. Two ranks may give
+// the same member. Home returns tables.NoEndpoint if the table has no members.
 func (t *Table) Home(hash tables.BlockHash, rank int) tables.EndpointIndex {
 	mixed := placement.Mix64(uint64(hash) + uint64(rank)*0xd1342543de82ef95)
 	return t.slots[mixed&uint64(len(t.slots)-1)]
 }
 
-// HasMembers says whether the table was filled for exactly these members.
+// HasMembers reports whether the table was built from exactly these members, in
+// this order.
 func (t *Table) HasMembers(members []Member) bool {
 	if len(members) != len(t.members) {
 		return false
--- a/systems/placement/homes/homes_test.go
+++ b/systems/placement/homes/homes_test.go
@@ -18,9 +18,9 @@
 	return list
 }
 
-// An endpoint leaves. If prefixes of other endpoints moved with it, the whole
-// fleet would compute its prefixes anew.
-func TestOnlyPrefixesOfALeaverMove(t *testing.T) {
+// When an endpoint leaves, only its prefixes may move. If prefixes of others
+// moved too, the whole fleet would recompute its prefixes.
+func TestRemovingMemberMovesOnlyItsPrefixes(t *testing.T) {
 	before := homes.New(members(10))
 	after := homes.New(members(10)[:9])
 	for hash := range tables.BlockHash(20000) {
@@ -30,7 +30,8 @@
 	}
 }
 
-func TestPrefixesFollowWeights(t *testing.T) {
+// The number of prefixes of a member must be proportional to its weight.
+func TestPrefixesAreDistributedByWeight(t *testing.T) {
 	table := homes.New(members(10))
 	counts := make([]int, 10)
 	const prefixes = 150000
@@ -43,7 +44,7 @@
 	}
 }
 
-func TestNoMembersNoHome(t *testing.T) {
+func TestEmptyTableAndHasMembers(t *testing.T) {
 	assert.Equal(t, homes.New(nil).Home(1, 0), tables.NoEndpoint)
 	assert.Assert(t, homes.New(members(3)).HasMembers(members(3)))
 	assert.Assert(t, !homes.New(members(3)).HasMembers(members(4)))
--- a/systems/placement/placement.go
+++ b/systems/placement/placement.go
@@ -1,7 +1,8 @@
-// Package placement chooses the endpoint for an attempt: filters drop the
-// endpoints that must not be chosen, scorers give each remaining one a cost in
-// seconds, and the cheapest is picked. Each filter and scorer is a package of
-// its own below this one. Nothing is allocated per candidate.
+// Package placement selects the endpoint for an attempt in two phases. Filters
+// reject endpoints that must not be chosen, scorers give each remaining one a
+// cost in seconds, and the endpoint with the lowest total cost is picked. Each
+// filter and scorer is a package below this one. Placement allocates no memory
+// per candidate.
 package placement
 
 import (
@@ -10,68 +11,77 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Query is what a choice is made for.
+// Query describes the attempt to be placed.
 type Query struct {
 	Now     tables.Instant
 	Request *tables.RequestRow
-	// Weights is the version that must serve the request; empty for services.
+	// Weights is the version that must serve the request; empty for plain
+	// services.
 	Weights tables.WeightsVersion
-	// Zone is where this instance stands.
+	// Zone is the availability zone of this instance.
 	Zone tables.Zone
-	// TieBreakSeed is the seed of the choice between equals. It differs between
-	// instances, so that they do not all take the first of the list.
+	// TieBreakSeed is the seed of the choice between candidates of nearly equal
+	// cost. It differs between instances, so that they do not all pick the first
+	// endpoint of the list.
 	TieBreakSeed uint64
-	// TrafficShare is this instance's part of all traffic, above 0 and at most 1.
+	// TrafficShare is this instance's fraction of all traffic, above 0 and at
+	// most 1.
 	TrafficShare float64
-	// PriorityMix is the part of each priority in the prefill work of this instance.
+	// PriorityMix is the fraction of each priority in this instance's prefill
+	// work.
 	PriorityMix [tables.PriorityCount]float64
-	// WaitWeight is how much a second of waiting counts: 1 for work that cannot
+	// WaitWeight is the weight of a second of waiting: 1 for work that cannot
 	// wait, less for work that can.
 	WaitWeight float64
-	// MeanTurnoverSeconds is the mean of the candidates' turnovers, in seconds.
+	// MeanTurnoverSeconds is the mean of the candidates' turnover times.
 	MeanTurnoverSeconds float64
-	// Promoted is set for held work that has waited so long that it no longer
-	// yields.
+	// Promoted is set for deferrable work that has waited so long that it no
+	// longer yields to other work.
 	Promoted bool
-	// LastChance is set for a request that has waited almost as long as it may.
+	// LastChance is set for a request that may go to any idle endpoint, because
+	// it would otherwise exceed its maximum wait.
 	LastChance bool
-	// IgnoreOwnership is set when no endpoint can be had among those that fall to this
-	// instance for requests suspected of crashing endpoints.
+	// IgnoreOwnership lifts the rule that a request suspected of crashing
+	// endpoints runs only on the endpoints that this instance owns for such
+	// requests. It is set when none of those is available.
 	IgnoreOwnership bool
-	// Hedge is set for a second attempt beside a slow one.
+	// Hedge is set for a second attempt that runs in parallel with a slow one.
 	Hedge bool
 }
 
-// Candidate is an endpoint under consideration.
+// Candidate is an endpoint that is evaluated for a query.
 type Candidate struct {
 	Row *tables.EndpointRow
-	// CachedTokens is how much of the prompt the endpoint is expected to hold.
+	// CachedTokens is the part of the prompt, in tokens, that the endpoint is
+	// expected to have cached.
 	CachedTokens float64
-	// KnownTokens is the part of CachedTokens that something was heard of.
+	// KnownTokens is the part of CachedTokens that is based on cache events or
+	// earlier placements.
 	KnownTokens float64
-	// HomeTokens is how much of the prompt belongs to this endpoint by hashing,
-	// whether it is held there yet or not.
+	// HomeTokens is the part of the prompt whose prefix hashes to this endpoint,
+	// whether it is cached there or not.
 	HomeTokens float64
-	// TurnoverSeconds is the time in which the endpoint's cache is filled once over, in
-	// seconds.
+	// TurnoverSeconds is the time in which new blocks fill the endpoint's cache
+	// once.
 	TurnoverSeconds float64
-	// Cost is the cost, or as much of it as was needed to see that another is
-	// better; dropped is the position, plus 1, of the filter that dropped the
-	// candidate.
-	Cost    float64
-	dropped int
+	// Cost is the total cost in seconds, or a lower bound that sufficed to see
+	// that another candidate is better. rejectedBy is the index, plus 1, of the
+	// filter that rejected the candidate.
+	Cost       float64
+	rejectedBy int
 }
 
-// UncachedTokens is the part of the prompt to be computed.
+// UncachedTokens returns the number of prompt tokens that the endpoint is
+// expected to compute.
 func (c *Candidate) UncachedTokens(q *Query) float64 {
 	return max(0, float64(q.Request.Request.PromptTokens)-c.CachedTokens)
 }
 
-// DefaultPrefillRate is assumed of endpoints whose speed is neither declared
-// nor learned, in tokens per second.
+// DefaultPrefillRate is the prefill rate, in tokens per second, of endpoints
+// whose rate is neither declared nor measured.
 const DefaultPrefillRate = 8000
 
-// PrefillRate is the endpoint's prefill speed in tokens per second.
+// PrefillRate returns the endpoint's prefill rate in tokens per second.
 func (c *Candidate) PrefillRate() float64 {
 	if c.Row.Throughput.PrefillRate > 0 {
 		return c.Row.Throughput.PrefillRate
@@ -79,18 +89,19 @@
 	return DefaultPrefillRate
 }
 
-// Filter drops candidates.
+// Filter rejects candidates that must not be chosen.
 type Filter interface {
-	// Name is the reason given for a dropped candidate.
+	// Name is the reason reported for a rejected candidate.
 	Name() string
-	// Keep says whether the candidate may be chosen.
+	// Keep reports whether the candidate may be chosen.
 	Keep(q *Query, c *Candidate) bool
 }
 
-// Scorer gives a part of a candidate's cost.
+// Scorer computes one term of a candidate's cost.
 type Scorer interface {
+	// Name is the name of the cost term in reports.
 	Name() string
-	// Score is the cost in seconds; lower is better.
+	// Score returns a cost in seconds, which is never negative. Lower is better.
 	Score(q *Query, c *Candidate) float64
 }
 
@@ -103,27 +114,28 @@
 // PreferenceCount is the number of values of tables.Preference.
 const PreferenceCount = 3
 
-// Choice is the outcome for one query.
+// Choice is the result of a placement query.
 type Choice struct {
 	Endpoint tables.EndpointIndex
 	Candidate
 }
 
-// Picker runs the filters and scorers. The scorers that tell candidates apart
-// most should come first.
+// Picker selects endpoints by filters and scorers. Scorers whose scores differ
+// most between candidates should come first, so that Pick can stop early.
 type Picker struct {
 	Filters []Filter
 	Scorers []WeightedScorer
 }
 
-// Pick returns the cheapest candidate, or tables.NoEndpoint in the choice when
-// the filters dropped all of them. Candidates whose costs are within a small
-// band of the cheapest are told apart by the query's spread.
+// Pick returns the accepted candidate of the lowest cost, or a Choice with
+// tables.NoEndpoint if the filters reject all candidates. The tie-break seed
+// decides between candidates whose costs differ by less than maxTieBreakCost.
 //
-// Most candidates of a large fleet hold nothing of the prompt and cannot win
-// once one that does has been looked at. So those that hold something come
-// first, costs are summed up only until they exceed the best, and filters are
-// asked only about a candidate that would be the best.
+// In a large fleet, most candidates have none of the prompt cached and cannot
+// win once a candidate with a cache hit has been evaluated. Pick therefore
+// evaluates candidates with cache hits first, stops adding up a cost when it
+// reaches the lowest one so far, and runs the filters only for a candidate that
+// would be the best.
 func (p *Picker) Pick(q *Query, candidates []Candidate) Choice {
 	best := Choice{Endpoint: tables.NoEndpoint}
 	for i := range candidates {
@@ -139,24 +151,27 @@
 	return best
 }
 
+// consider evaluates a candidate and makes it the best one if it is cheaper and
+// passes the filters.
 func (p *Picker) consider(q *Query, c *Candidate, best *Choice) {
 	limit := math.Inf(1)
 	if best.Endpoint != tables.NoEndpoint {
 		limit = best.Cost
 	}
-	c.dropped = 0
+	c.rejectedBy = 0
 	c.Cost = p.cost(q, c, limit)
 	if c.Cost >= limit {
 		return
 	}
-	c.dropped = p.drop(q, c)
-	if c.dropped == 0 {
+	c.rejectedBy = p.firstRejection(q, c)
+	if c.rejectedBy == 0 {
 		*best = Choice{Endpoint: c.Row.Index, Candidate: *c}
 	}
 }
 
-// drop is the position, plus 1, of the first filter that drops the candidate.
-func (p *Picker) drop(q *Query, c *Candidate) int {
+// firstRejection returns the index, plus 1, of the first filter that rejects
+// the candidate, or 0.
+func (p *Picker) firstRejection(q *Query, c *Candidate) int {
 	for i, f := range p.Filters {
 		if !f.Keep(q, c) {
 			return i + 1
@@ -165,11 +180,12 @@
 	return 0
 }
 
-// cost is the weighted sum of all scorers and the spread, or any number that is
-// at least limit when the sum is. Scores are never negative.
+// cost returns the weighted sum of all scores and the tie-break cost. If the sum
+// reaches limit, cost may return any number from limit up to the sum, because
+// scores are never negative.
 func (p *Picker) cost(q *Query, c *Candidate, limit float64) float64 {
 	prefer := q.Request.Profile.Prefer
-	sum := spread(q, c)
+	sum := tieBreakCost(q, c)
 	for i := range p.Scorers {
 		s := &p.Scorers[i]
 		if weight := s.Weights[prefer]; weight != 0 {
@@ -182,18 +198,19 @@
 	return sum
 }
 
-// spreadBand is the most, in seconds, by which equals are told apart.
-const spreadBand = 0.004
+// maxTieBreakCost is the upper bound of the tie-break cost in seconds.
+const maxTieBreakCost = 0.004
 
-// spread is a small cost that differs between instances and requests. Without
-// it all instances would send their next request to the same endpoint whenever
-// one lagging report shows it as the least loaded.
-func spread(q *Query, c *Candidate) float64 {
+// tieBreakCost returns a small pseudorandom cost that differs between instances
+// and requests. Without it, all instances would send their next request to the
+// same endpoint while a delayed load report shows it as the least loaded.
+func tieBreakCost(q *Query, c *Candidate) float64 {
 	h := Mix64(q.TieBreakSeed ^ uint64(c.Row.Index)*0x9e3779b97f4a7c15)
-	return spreadBand * float64(h>>40) / (1 << 24)
+	return maxTieBreakCost * float64(h>>40) / (1 << 24)
 }
 
-// Mix64 scatters the bits of x.
+// Mix64 is the 64-bit finalizer of the SplitMix64 generator. It makes every bit
+// of the result depend on every bit of x.
 func Mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/systems/placement/placement_test.go
+++ b/systems/placement/placement_test.go
@@ -11,23 +11,23 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// The seed is fixed, so that a change is judged the same way every time.
+// The fixed seed makes property tests reproducible.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// table gives each endpoint a fixed verdict and fixed scores.
-type table struct {
+// fixedResults gives each endpoint a fixed filter result and fixed scores.
+type fixedResults struct {
 	keep   []bool
 	scores [2][]float64
 }
 
-type filter struct{ *table }
+type filter struct{ *fixedResults }
 
 func (filter) Name() string { return "table" }
 
 func (f filter) Keep(_ *placement.Query, c *placement.Candidate) bool { return f.keep[c.Row.Index] }
 
 type scorer struct {
-	*table
+	*fixedResults
 	n int
 }
 
@@ -37,12 +37,12 @@
 	return s.scores[s.n][c.Row.Index]
 }
 
-// Pick skips work for most candidates; it must still find the one that looking
-// at everything finds.
-func TestPickAgreesWithASearchOfEverything(t *testing.T) {
+// Pick skips filters and scorers for most candidates. It must still return the
+// same endpoint as an exhaustive search.
+func TestPickMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "endpoints")
-		tab := &table{}
+		tab := &fixedResults{}
 		rows := make([]tables.EndpointRow, n)
 		var candidates []placement.Candidate
 		best, least := tables.NoEndpoint, 0.0
--- a/systems/placement/score/compute/compute.go
+++ b/systems/placement/score/compute/compute.go
@@ -1,23 +1,21 @@
-// Package compute scores the prefill of the part of a prompt that an endpoint
-// does not hold.
+// Package compute scores the time to prefill the uncached part of a prompt.
 package compute
 
 import "github.com/carawaystile/carawaystile/systems/placement"
 
-// maxBusy bounds the use at which an endpoint's time has its highest price.
-const maxBusy = 0.95
+// maxBusyFraction caps the busy fraction in ImposedDelay, which would otherwise
+// grow without bound.
+const maxBusyFraction = 0.95
 
-// Scorer gives the time of the request's own prefill in seconds, from 0 up,
-// with the wait that it means for those who come after it: a second of work at
-// an endpoint that is busy for the part b of its time delays others by about
-// b/(1-b) seconds in all. Work that can be held yields to others and delays
-// nobody.
+// Scorer returns the time of the request's own prefill in seconds, from 0 up,
+// plus the delay that it imposes on later requests. Deferrable work yields to
+// other work and imposes no delay.
 type Scorer struct{}
 
-// Name names the part in explanations.
+// Name is the name of the cost term in reports.
 func (Scorer) Name() string { return "compute" }
 
-// Score divides the uncached tokens by the endpoint's learned speed.
+// Score divides the uncached tokens by the endpoint's measured prefill rate.
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
 	score := q.WaitWeight * c.UncachedTokens(q) / c.PrefillRate()
 	if q.Request.Profile.MaxWait <= 0 {
@@ -26,8 +24,11 @@
 	return score
 }
 
-// ImposedDelay is the wait in seconds that the request's prefill means for others.
+// ImposedDelay returns the total delay, in seconds, that the request's prefill
+// imposes on others. As in a single-server queue, a second of work at an
+// endpoint that is busy for a fraction b of the time delays other requests by
+// about b/(1-b) seconds in all.
 func ImposedDelay(q *placement.Query, c *placement.Candidate) float64 {
-	busy := min(c.Row.Load.BusyFraction, maxBusy)
+	busy := min(c.Row.Load.BusyFraction, maxBusyFraction)
 	return busy / (1 - busy) * c.UncachedTokens(q) / c.PrefillRate()
 }
--- a/systems/placement/score/eviction/eviction.go
+++ b/systems/placement/score/eviction/eviction.go
@@ -1,23 +1,24 @@
-// Package eviction scores what a prompt pushes out of an endpoint's cache.
+// Package eviction scores the cost of the blocks that a prompt evicts from an
+// endpoint's cache.
 package eviction
 
 import "github.com/carawaystile/carawaystile/systems/placement"
 
-// maxPressure bounds how much worse than the mean an endpoint's cache can be
-// taken to be.
+// maxPressure is the upper bound of a cache's pressure relative to the mean of
+// the candidates.
 const maxPressure = 4
 
-// Scorer gives the time, in seconds from 0 up, that it will take to compute
-// again what the prompt pushes out. Blocks pushed out of a cache that is filled
-// over quickly were used more lately than those of a slow one, so they are
-// more likely to be missed.
+// Scorer estimates the time, in seconds from 0 up, to recompute the blocks that
+// the prompt evicts. A cache with a short turnover time holds blocks that were
+// used more recently than those of a cache with a long one, so evicted blocks
+// are more likely to be needed again.
 type Scorer struct{}
 
-// Name names the part in explanations.
+// Name is the name of the cost term in reports.
 func (Scorer) Name() string { return "eviction" }
 
-// Score weighs the uncached tokens by how quickly the cache turns over against
-// the mean of the candidates.
+// Score multiplies the prefill time of the uncached tokens by the cache's
+// pressure: the mean turnover time of the candidates divided by its own.
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
 	if c.TurnoverSeconds <= 0 || q.MeanTurnoverSeconds <= 0 {
 		return 0
--- a/systems/placement/score/queue/queue.go
+++ b/systems/placement/score/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue scores the wait for an endpoint's queue.
+// Package queue scores the expected queueing time at an endpoint.
 package queue
 
 import (
@@ -7,28 +7,34 @@
 	"github.com/carawaystile/carawaystile/systems/placement"
 )
 
-// DefaultServiceTime is the time an attempt is taken to run before any has ended.
+// DefaultServiceTime is the service time assumed for an endpoint before its
+// first attempt has completed.
 const DefaultServiceTime = 2 * time.Second
 
-// Scorer gives the expected wait before the request's own prefill begins, in
-// seconds from 0 up: the prefill work ahead of it, and the wait for a slot.
+// Scorer returns the expected wait, in seconds from 0 up, before the request's
+// own prefill begins: the prefill work ahead of it plus the wait for a free
+// slot.
 type Scorer struct{}
 
-// Name names the part in explanations.
+// Name is the name of the cost term in reports.
 func (Scorer) Name() string { return "queue" }
 
-// Score adds own dispatches, counted exactly, to what the last report said of
-// others.
+// Score weights the expected wait by the query's WaitWeight. The load combines
+// this instance's attempts, which are counted exactly, with an estimate of the
+// others' from load reports.
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
 	return q.WaitWeight * ExpectedWait(q, c)
 }
 
-// ExpectedWait is the expected wait in seconds.
+// ExpectedWait returns the expected wait in seconds, unweighted.
 func ExpectedWait(q *placement.Query, c *placement.Candidate) float64 {
 	prefill := c.Row.Load.PrefillTokensAhead(q.Request.Priority, &q.PriorityMix) / c.PrefillRate()
 	return prefill + slotWait(c)
 }
 
+// slotWait returns the expected wait for a free slot in seconds: the number of
+// slots that must become free first, at the rate at which the endpoint frees
+// slots.
 func slotWait(c *placement.Candidate) float64 {
 	slots := c.Row.Slots()
 	excess := c.Row.Load.TotalAttempts() - slots + 1
--- a/systems/placement/score/recompute/recompute.go
+++ b/systems/placement/score/recompute/recompute.go
@@ -1,17 +1,17 @@
-// Package recompute scores what the fleet loses by computing a prompt where it
-// is not held.
+// Package recompute scores the compute time that the fleet spends when a prompt
+// runs at an endpoint that has not cached it.
 package recompute
 
 import "github.com/carawaystile/carawaystile/systems/placement"
 
-// Scorer gives the uncached part of the prompt as seconds of one speed that is
-// the same for all endpoints, from 0 up.
+// Scorer returns the prefill time of the uncached tokens in seconds, from 0 up,
+// at one reference rate for all endpoints.
 type Scorer struct{}
 
-// Name names the part in explanations.
+// Name is the name of the cost term in reports.
 func (Scorer) Name() string { return "recompute" }
 
-// Score divides the uncached tokens by the default speed.
+// Score divides the uncached tokens by the default prefill rate.
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
 	return c.UncachedTokens(q) / placement.DefaultPrefillRate
 }
