--- a/systems/cacheview/cacheview.go
+++ b/systems/cacheview/cacheview.go
@@ -1,11 +1,13 @@
-// Package cacheview holds what an instance believes of the endpoints' caches.
-// Its rows come from the instance's own placements, are corrected by cache
-// events and filled up by what peers pass on. All of it can be wrong: events
-// are late, lost, duplicated and reordered, and engines restart empty. So each
-// row has a confidence, and a wrong row costs time, never a wrong answer.
+// Package cacheview is an approximate index of the prompt blocks that endpoints
+// have cached. It learns from the instance's own placements, from cache events
+// of endpoints and from peers. All of these can be wrong: events are late, lost,
+// duplicated and reordered, and engines restart with an empty cache. Therefore
+// a lookup weights each entry by the probability that it is right. A wrong entry
+// costs time, but never leads to a wrong answer.
 //
-// Memory is fixed at the start: 8 bytes for each row, in buckets of 8 rows that
-// fill one cache line. A full bucket loses its oldest row.
+// The index is a set-associative hash table of constant size: 8 bytes per entry,
+// in buckets of 8 entries that fill one 64-byte cache line of the CPU. A full
+// bucket replaces its least recently refreshed entry.
 package cacheview
 
 import (
@@ -15,208 +17,221 @@
 )
 
 const (
-	// stampShift makes stamps of 2^27 ns, about 134 ms. Sixteen bits of them
-	// wrap after 2.4 hours; Sweep removes rows long before.
-	stampShift = 27
-	// maxAge is the age, in stamps, at which a row is dropped: 36 minutes.
-	maxAge = 1 << 14
+	// timestampShift makes timestamps count ticks of 2^27 ns, about 134 ms. 16
+	// bits of ticks wrap around after 2.4 hours; Sweep removes entries long
+	// before.
+	timestampShift = 27
+	// maxAgeTicks is the age at which Sweep removes an entry: 36 minutes.
+	maxAgeTicks = 1 << 14
 
-	bucketRows = 8
-	// BytesPerEntry is the memory of one row.
+	bucketEntries = 8
+	// BytesPerEntry is the memory of one entry.
 	BytesPerEntry = 8
 
-	// wideFrom is how many homes a block may have within its bucket; with more
-	// it moves to a wide set, which has room for every endpoint.
-	wideFrom = 5
-	// defaultWideSets bounds the blocks that are held by very many endpoints.
-	defaultWideSets = 512
-	// defaultEntries is used when Options name none: 8 MB.
+	// maxSparseHolders is the maximum number of entries that a block may have in
+	// its bucket. A block with more holders moves to a dense set, which has room
+	// for every endpoint.
+	maxSparseHolders = 5
+	// defaultDenseSets limits the number of blocks with very many holders.
+	defaultDenseSets = 512
+	// defaultEntries is the default of Options.Entries: 8 MB of memory.
 	defaultEntries = 1 << 20
 )
 
-// Options are the sizes of a View.
+// Options are the sizes of an Index.
 type Options struct {
-	// Entries is how many (block, endpoint) pairs fit, rounded up to a power of
-	// two; 0 means 1 Mi.
+	// Entries is the capacity in (block, endpoint) pairs, rounded up to a power
+	// of two; 0 means 1 Mi.
 	Entries int
-	// DenseSets is how many blocks may be held by more endpoints than fit into
-	// one bucket; 0 means 512. Each takes 4 bytes for each endpoint.
+	// DenseSets is the maximum number of blocks with more holders than fit into a
+	// bucket; 0 means 512. Each set takes 4 bytes per endpoint.
 	DenseSets int
 }
 
-// homeID numbers one life of one endpoint's cache. Dropping everything known
-// of a life is done by giving the endpoint a new number.
-type homeID uint16
+// generationID identifies a generation of an endpoint's cache, from one reset to
+// the next. A new generation invalidates all entries of the old one at once.
+type generationID uint16
 
 const (
-	noHome homeID = 0
-	// wideHome marks a row that points to a wide set by its stamp.
-	wideHome homeID = 0xffff
+	noGeneration generationID = 0
+	// denseMarker marks an entry whose timestamp field is the index of a dense
+	// set.
+	denseMarker generationID = 0xffff
 )
 
-// row packs a tag of the block's hash, a home and a stamp. Zero is empty.
-type row struct {
-	tag   uint32
-	home  homeID
-	stamp uint16
+// entry is a tag of the block's hash, a cache generation and the time of the last
+// refresh. The zero value is an empty entry.
+type entry struct {
+	tag        uint32
+	generation generationID
+	timestamp  uint16
 }
 
-type bucket [bucketRows]row
+// bucket is one set of the set-associative table.
+type bucket [bucketEntries]entry
 
-// Index is the knowledge of one instance. It is not safe for concurrent use.
+// Index is the cache index of one instance. It is not safe for concurrent use.
 type Index struct {
-	buckets []bucket
-	shift   uint
-	homes   []home
-	// free holds home numbers that no row names any more; retired holds those
-	// given up during the present and the former sweep.
-	free    []homeID
-	retired []homeID
-	former  []homeID
-	current []homeID
-	wide    []wideSet
-	share   float64
-	cursor  int
+	buckets     []bucket
+	shift       uint
+	generations []generation
+	// freeIDs are generation IDs that no entry refers to. retiredIDs were given
+	// up during the current sweep, retiredBeforeSweep during the one before.
+	freeIDs            []generationID
+	retiredIDs         []generationID
+	retiredBeforeSweep []generationID
+	currentIDs         []generationID
+	denseSets          []denseSet
+	trafficShare       float64
+	sweepCursor        int
 }
 
-// New returns an empty view.
+// New returns an empty index without endpoints.
 func New(options Options) *Index {
-	rows := options.Entries
-	if rows <= 0 {
-		rows = defaultEntries
+	entries := options.Entries
+	if entries <= 0 {
+		entries = defaultEntries
 	}
-	wide := options.DenseSets
-	if wide <= 0 {
-		wide = defaultWideSets
+	denseSets := options.DenseSets
+	if denseSets <= 0 {
+		denseSets = defaultDenseSets
 	}
 	shift := uint(64)
 	buckets := 1
-	for buckets*bucketRows < rows {
+	for buckets*bucketEntries < entries {
 		buckets *= 2
 		shift--
 	}
 	return &Index{
-		buckets: make([]bucket, buckets),
-		shift:   shift,
-		homes:   make([]home, 1),
-		wide:    make([]wideSet, min(wide, int(wideHome)-1)),
-		share:   1,
+		buckets:      make([]bucket, buckets),
+		shift:        shift,
+		generations:  make([]generation, 1),
+		denseSets:    make([]denseSet, min(denseSets, int(denseMarker)-1)),
+		trafficShare: 1,
 	}
 }
 
-// MemoryBytes is the memory of the rows.
-func (v *Index) MemoryBytes() int { return len(v.buckets) * bucketRows * BytesPerEntry }
+// MemoryBytes returns the memory of the buckets.
+func (x *Index) MemoryBytes() int { return len(x.buckets) * bucketEntries * BytesPerEntry }
 
-// SetTrafficShare tells the part of all placements that this instance makes; the
-// pressure on caches is worked out from it while there are no events.
-func (v *Index) SetTrafficShare(share float64) { v.share = share }
+// SetTrafficShare sets the fraction of all placements that this instance makes.
+// The index uses it to extrapolate insertions into a cache that sends no events.
+func (x *Index) SetTrafficShare(share float64) { x.trafficShare = share }
 
-// SetEndpoint declares an endpoint and the blocks that its cache can hold; 0
-// means not known.
-func (v *Index) SetEndpoint(index tables.EndpointIndex, capacity int) {
-	for int(index) >= len(v.current) {
-		v.current = append(v.current, noHome)
+// SetEndpoint declares an endpoint and the capacity of its cache in blocks; 0
+// means unknown.
+func (x *Index) SetEndpoint(index tables.EndpointIndex, capacity int) {
+	for int(index) >= len(x.currentIDs) {
+		x.currentIDs = append(x.currentIDs, noGeneration)
 	}
-	if v.current[index] == noHome {
-		v.current[index] = v.newHome(index)
+	if x.currentIDs[index] == noGeneration {
+		x.currentIDs[index] = x.allocateGeneration(index)
 	}
-	v.homes[v.current[index]].capacity = capacity
+	x.generations[x.currentIDs[index]].capacity = capacity
 }
 
-// Reset drops all rows of an endpoint at once, because its process is another
-// one or serves other weights.
-func (v *Index) Reset(index tables.EndpointIndex) {
-	old := v.current[index]
-	capacity := v.homes[old].capacity
-	v.homes[old].live = false
-	v.retired = append(v.retired, old)
-	v.current[index] = v.newHome(index)
-	v.homes[v.current[index]].capacity = capacity
+// Reset invalidates all entries of an endpoint at once, because its process was
+// replaced or serves other weights.
+func (x *Index) Reset(index tables.EndpointIndex) {
+	old := x.currentIDs[index]
+	capacity := x.generations[old].capacity
+	x.generations[old].live = false
+	x.retiredIDs = append(x.retiredIDs, old)
+	x.currentIDs[index] = x.allocateGeneration(index)
+	x.generations[x.currentIDs[index]].capacity = capacity
 }
 
-func (v *Index) newHome(index tables.EndpointIndex) homeID {
-	id := homeID(len(v.homes))
+// allocateGeneration starts a generation of the endpoint's cache under a free
+// ID.
+func (x *Index) allocateGeneration(index tables.EndpointIndex) generationID {
+	id := generationID(len(x.generations))
 	switch {
-	case len(v.free) > 0:
-		id = v.free[len(v.free)-1]
-		v.free = v.free[:len(v.free)-1]
-	case len(v.homes) < int(wideHome):
-		v.homes = append(v.homes, home{})
+	case len(x.freeIDs) > 0:
+		id = x.freeIDs[len(x.freeIDs)-1]
+		x.freeIDs = x.freeIDs[:len(x.freeIDs)-1]
+	case len(x.generations) < int(denseMarker):
+		x.generations = append(x.generations, generation{})
 	default:
-		// Every number is taken: rows of a retired life could be matched if it
-		// were reused, so all rows are cleared first.
-		v.clear()
-		return v.newHome(index)
+		// All IDs are in use. Entries of a retired generation would match if its
+		// ID were reused, so all entries are cleared first.
+		x.clearAll()
+		return x.allocateGeneration(index)
 	}
-	v.homes[id] = newHomeRow(index)
+	x.generations[id] = newGeneration(index)
 	return id
 }
 
-// clear empties the rows and frees all retired numbers.
-func (v *Index) clear() {
-	clear(v.buckets)
-	for i := range v.wide {
-		v.wide[i].used = false
+// clearAll empties the index and frees all retired generation IDs.
+func (x *Index) clearAll() {
+	clear(x.buckets)
+	for i := range x.denseSets {
+		x.denseSets[i].inUse = false
 	}
-	v.free = append(append(v.free, v.retired...), v.former...)
-	v.retired, v.former = v.retired[:0], v.former[:0]
-	v.cursor = 0
+	x.freeIDs = append(append(x.freeIDs, x.retiredIDs...), x.retiredBeforeSweep...)
+	x.retiredIDs, x.retiredBeforeSweep = x.retiredIDs[:0], x.retiredBeforeSweep[:0]
+	x.sweepCursor = 0
 }
 
-func stampOf(now tables.Instant) uint16 { return uint16(now >> stampShift) }
+// timestampOf returns the instant as a 16-bit count of ticks that wraps around.
+func timestampOf(now tables.Instant) uint16 { return uint16(now >> timestampShift) }
 
-func ageOf(now, stamp uint16) uint16 { return now - stamp }
+// ageOf returns the ticks since a timestamp, modulo 2^16.
+func ageOf(now, timestamp uint16) uint16 { return now - timestamp }
 
-func ageDuration(age uint16) time.Duration { return time.Duration(age) << stampShift }
+// ageDuration converts an age in ticks to a duration.
+func ageDuration(age uint16) time.Duration { return time.Duration(age) << timestampShift }
 
-func (v *Index) bucketOf(hash tables.BlockHash) (*bucket, uint32) {
+// bucketOf returns the bucket of a block and the tag that identifies the block
+// within it.
+func (x *Index) bucketOf(hash tables.BlockHash) (*bucket, uint32) {
 	mixed := uint64(hash) * 0x9e3779b97f4a7c15
-	return &v.buckets[mixed>>v.shift], uint32(mixed) ^ uint32(hash>>32)
+	return &x.buckets[mixed>>x.shift], uint32(mixed) ^ uint32(hash>>32)
 }
 
-// add makes or refreshes a row. It reports whether the row is new.
-func (v *Index) add(now uint16, id homeID, hash tables.BlockHash) bool {
-	b, tag := v.bucketOf(hash)
-	same := 0
+// add creates or refreshes an entry. It reports whether the entry is new.
+func (x *Index) add(now uint16, id generationID, hash tables.BlockHash) bool {
+	b, tag := x.bucketOf(hash)
+	holders := 0
 	free := -1
 	for i := range b {
 		e := &b[i]
-		if e.home == noHome {
+		if e.generation == noGeneration {
 			free = i
 			continue
 		}
 		if e.tag != tag {
 			continue
 		}
-		if e.home == wideHome {
-			return v.wide[e.stamp].add(v.homes[id].endpoint, id, now)
+		if e.generation == denseMarker {
+			return x.denseSets[e.timestamp].add(x.generations[id].endpoint, id, now)
 		}
-		if e.home == id {
-			e.stamp = now
+		if e.generation == id {
+			e.timestamp = now
 			return false
 		}
-		same++
+		holders++
 	}
-	if same >= wideFrom && v.widen(b, tag, now) {
-		return v.add(now, id, hash)
+	if holders >= maxSparseHolders && x.moveToDense(b, tag, now) {
+		return x.add(now, id, hash)
 	}
 	if free < 0 {
-		free = v.victim(b, now)
+		free = x.victim(b, now)
 	}
-	v.release(&b[free])
-	b[free] = row{tag: tag, home: id, stamp: now}
+	x.clearEntry(&b[free])
+	b[free] = entry{tag: tag, generation: id, timestamp: now}
 	return true
 }
 
-// victim is the position in a full bucket of a dead or else the oldest row.
-func (v *Index) victim(b *bucket, now uint16) int {
+// victim selects the entry of a full bucket to be replaced: one of a retired
+// generation, or else the one that was refreshed least recently.
+func (x *Index) victim(b *bucket, now uint16) int {
 	oldest, position := -1, 0
 	for i := range b {
-		age := int(ageOf(now, b[i].stamp))
+		age := int(ageOf(now, b[i].timestamp))
 		switch {
-		case b[i].home == wideHome:
-			age = int(ageOf(now, v.wide[b[i].stamp].touched))
-		case !v.homes[b[i].home].live:
+		case b[i].generation == denseMarker:
+			age = int(ageOf(now, x.denseSets[b[i].timestamp].updatedAt))
+		case !x.generations[b[i].generation].live:
 			return i
 		}
 		if age > oldest {
@@ -226,68 +241,72 @@
 	return position
 }
 
-// release frees what a row that is about to be overwritten points to.
-func (v *Index) release(e *row) {
-	if e.home == wideHome {
-		v.wide[e.stamp].used = false
+// clearEntry empties an entry and frees the dense set that it may refer to.
+func (x *Index) clearEntry(e *entry) {
+	if e.generation == denseMarker {
+		x.denseSets[e.timestamp].inUse = false
 	}
-	*e = row{}
+	*e = entry{}
 }
 
-func (v *Index) remove(id homeID, hash tables.BlockHash) {
-	b, tag := v.bucketOf(hash)
+// remove removes the entry of a block for a generation, if there is one.
+func (x *Index) remove(id generationID, hash tables.BlockHash) {
+	b, tag := x.bucketOf(hash)
 	for i := range b {
 		e := &b[i]
-		if e.home == noHome || e.tag != tag {
+		if e.generation == noGeneration || e.tag != tag {
 			continue
 		}
-		if e.home == wideHome {
-			v.wide[e.stamp].remove(v.homes[id].endpoint, id)
+		if e.generation == denseMarker {
+			x.denseSets[e.timestamp].remove(x.generations[id].endpoint, id)
 			return
 		}
-		if e.home == id {
-			*e = row{}
+		if e.generation == id {
+			*e = entry{}
 			return
 		}
 	}
 }
 
-// Sweep looks at n buckets and clears rows that are dead or too old to have a
-// meaning. Called often enough it keeps stamps from wrapping.
-func (v *Index) Sweep(now tables.Instant, n int) {
-	stamp := stampOf(now)
-	for range min(n, len(v.buckets)) {
-		v.sweepBucket(&v.buckets[v.cursor], stamp)
-		v.cursor++
-		if v.cursor == len(v.buckets) {
-			v.cursor = 0
-			v.endSweep()
+// Sweep scans the next n buckets and removes entries that are too old or belong
+// to retired generations. Callers must sweep often enough that each bucket is
+// visited before timestamps wrap around.
+func (x *Index) Sweep(now tables.Instant, n int) {
+	timestamp := timestampOf(now)
+	for range min(n, len(x.buckets)) {
+		x.sweepBucket(&x.buckets[x.sweepCursor], timestamp)
+		x.sweepCursor++
+		if x.sweepCursor == len(x.buckets) {
+			x.sweepCursor = 0
+			x.endSweep()
 		}
 	}
 }
 
-func (v *Index) sweepBucket(b *bucket, now uint16) {
+// sweepBucket removes the old and retired entries of a bucket.
+func (x *Index) sweepBucket(b *bucket, now uint16) {
 	for i := range b {
 		e := &b[i]
 		switch {
-		case e.home == noHome:
-		case e.home == wideHome:
-			v.wide[e.stamp].sweep(v, now)
-			if ageOf(now, v.wide[e.stamp].touched) > maxAge {
-				v.release(e)
+		case e.generation == noGeneration:
+		case e.generation == denseMarker:
+			x.denseSets[e.timestamp].sweep(x, now)
+			if ageOf(now, x.denseSets[e.timestamp].updatedAt) > maxAgeTicks {
+				x.clearEntry(e)
 			}
-		case !v.homes[e.home].live || ageOf(now, e.stamp) > maxAge:
-			*e = row{}
+		case !x.generations[e.generation].live || ageOf(now, e.timestamp) > maxAgeTicks:
+			*e = entry{}
 		}
 	}
 }
 
-// endSweep frees the numbers that were retired before the sweep began: no row
-// can name them any more.
-func (v *Index) endSweep() {
-	v.free = append(v.free, v.former...)
-	v.former, v.retired = v.retired, v.former[:0]
+// endSweep frees the generation IDs that were retired before the completed sweep
+// began: no entry refers to them any more.
+func (x *Index) endSweep() {
+	x.freeIDs = append(x.freeIDs, x.retiredBeforeSweep...)
+	x.retiredBeforeSweep, x.retiredIDs = x.retiredIDs, x.retiredBeforeSweep[:0]
 }
 
-// BucketCount is how many steps of Sweep go once around.
-func (v *Index) BucketCount() int { return len(v.buckets) }
+// BucketCount returns the number of buckets, the n for which Sweep visits every
+// bucket once.
+func (x *Index) BucketCount() int { return len(x.buckets) }
--- a/systems/cacheview/match.go
+++ b/systems/cacheview/match.go
@@ -2,86 +2,93 @@
 
 import "github.com/carawaystile/carawaystile/tables"
 
-// Matches says how much of one prompt each endpoint is expected to hold. It is
-// reused from prompt to prompt.
+// Matches is the result of a lookup: the cache hit that is expected of each
+// endpoint for one prompt. It is reused between lookups to save memory.
 type Matches struct {
-	// Endpoints lists the endpoints that are believed to hold any block.
+	// Endpoints lists the endpoints with at least one entry for the prompt.
 	Endpoints []tables.EndpointIndex
-	blocks    []float32
-	round     []uint32
-	trusts    []trust
-	now       uint32
+	expected  []float32
+	epochs    []uint32
+	models    []confidenceModel
+	epoch     uint32
 }
 
-// ExpectedBlocks is the expected number of outermost blocks held by the endpoint.
+// ExpectedBlocks returns the expected length, in blocks, of the prompt's prefix
+// that the endpoint has cached.
 func (m *Matches) ExpectedBlocks(index tables.EndpointIndex) float64 {
-	if int(index) >= len(m.round) || m.round[index] != m.now {
+	if int(index) >= len(m.epochs) || m.epochs[index] != m.epoch {
 		return 0
 	}
-	return float64(m.blocks[index])
+	return float64(m.expected[index])
 }
 
-func (m *Matches) begin(endpoints int) {
-	for len(m.round) < endpoints {
-		m.round = append(m.round, 0)
-		m.blocks = append(m.blocks, 0)
-		m.trusts = append(m.trusts, trust{})
+// reset prepares m for the next lookup. It invalidates the previous results by
+// a new epoch.
+func (m *Matches) reset(endpoints int) {
+	for len(m.epochs) < endpoints {
+		m.epochs = append(m.epochs, 0)
+		m.expected = append(m.expected, 0)
+		m.models = append(m.models, confidenceModel{})
 	}
 	m.Endpoints = m.Endpoints[:0]
-	m.now++
-	if m.now == 0 {
-		clear(m.round)
-		m.now = 1
+	m.epoch++
+	if m.epoch == 0 {
+		clear(m.epochs)
+		m.epoch = 1
 	}
 }
 
-// Match fills m for the blocks of a prompt, outermost first. An engine cannot
-// hold a block without those before it, so a row for a deep block vouches for
-// the whole prefix; the expectation is the best of depth times confidence.
-func (v *Index) Match(now tables.Instant, blocks []tables.BlockHash, m *Matches) {
-	m.begin(len(v.current))
-	stamp := stampOf(now)
+// Match looks up the blocks of a prompt, outermost first, and fills m. An engine
+// cannot cache a block without those before it, so an entry for a deep block
+// implies the whole prefix. The expected number of blocks is the maximum over
+// the entries of depth times confidence.
+func (x *Index) Match(now tables.Instant, blocks []tables.BlockHash, m *Matches) {
+	m.reset(len(x.currentIDs))
+	timestamp := timestampOf(now)
 	for depth := len(blocks); depth > 0; depth-- {
-		b, tag := v.bucketOf(blocks[depth-1])
+		b, tag := x.bucketOf(blocks[depth-1])
 		for i := range b {
 			e := &b[i]
-			if e.tag != tag || e.home == noHome {
+			if e.tag != tag || e.generation == noGeneration {
 				continue
 			}
-			if e.home == wideHome {
-				v.matchWide(now, stamp, &v.wide[e.stamp], depth, m)
+			if e.generation == denseMarker {
+				x.matchDense(now, timestamp, &x.denseSets[e.timestamp], depth, m)
 				continue
 			}
-			v.matchRow(now, stamp, e.home, e.stamp, depth, m)
+			x.matchEntry(now, timestamp, e.generation, e.timestamp, depth, m)
 		}
 	}
 }
 
-func (v *Index) matchWide(now tables.Instant, stamp uint16, s *wideSet, depth int, m *Matches) {
-	for i := range s.rows {
-		if r := &s.rows[i]; r.home != noHome {
-			v.matchRow(now, stamp, r.home, r.stamp, depth, m)
+// matchDense evaluates all holders in a dense set.
+func (x *Index) matchDense(now tables.Instant, timestamp uint16, s *denseSet, depth int, m *Matches) {
+	for i := range s.entries {
+		if r := &s.entries[i]; r.generation != noGeneration {
+			x.matchEntry(now, timestamp, r.generation, r.timestamp, depth, m)
 		}
 	}
 }
 
-func (v *Index) matchRow(now tables.Instant, stamp uint16, id homeID, made uint16, depth int, m *Matches) {
-	h := &v.homes[id]
-	if !h.live {
+// matchEntry raises the expectation for the endpoint of an entry if the entry
+// implies a longer prefix.
+func (x *Index) matchEntry(now tables.Instant, timestamp uint16, id generationID, recordedAt uint16, depth int, m *Matches) {
+	g := &x.generations[id]
+	if !g.live {
 		return
 	}
-	at := h.endpoint
-	if m.round[at] != m.now {
-		m.round[at] = m.now
-		m.blocks[at] = 0
-		m.trusts[at] = h.trust(now)
+	at := g.endpoint
+	if m.epochs[at] != m.epoch {
+		m.epochs[at] = m.epoch
+		m.expected[at] = 0
+		m.models[at] = g.confidenceModel(now)
 		m.Endpoints = append(m.Endpoints, at)
 	}
-	if float32(depth) <= m.blocks[at] {
+	if float32(depth) <= m.expected[at] {
 		return
 	}
-	age := ageDuration(ageOf(stamp, made))
-	if expected := float32(float64(depth) * m.trusts[at].confidence(age)); expected > m.blocks[at] {
-		m.blocks[at] = expected
+	age := ageDuration(ageOf(timestamp, recordedAt))
+	if expected := float32(float64(depth) * m.models[at].forAge(age)); expected > m.expected[at] {
+		m.expected[at] = expected
 	}
 }
