--- a/systems/cacheview/cacheview.go
+++ b/systems/cacheview/cacheview.go
@@ -30,7 +30,7 @@
 
 	// maxSparseHolders is the maximum number of entries that a block may have in
 	// its bucket. A block with more holders moves to a dense set, which has room
-	// for every endpoint.
+	// for every endpoint, unless all dense sets are in use.
 	maxSparseHolders = 5
 	// defaultDenseSets limits the number of blocks with very many holders.
 	defaultDenseSets = 512
@@ -72,18 +72,22 @@
 
 // Index is the cache index of one instance. It is not safe for concurrent use.
 type Index struct {
-	buckets     []bucket
-	shift       uint
+	buckets []bucket
+	// shift reduces a 64-bit hash to the index of a bucket.
+	shift uint
+	// generations is indexed by generationID; index 0 is unused.
 	generations []generation
 	// freeIDs are generation IDs that no entry refers to. retiredIDs were given
 	// up during the current sweep, retiredBeforeSweep during the one before.
 	freeIDs            []generationID
 	retiredIDs         []generationID
 	retiredBeforeSweep []generationID
-	currentIDs         []generationID
-	denseSets          []denseSet
-	trafficShare       float64
-	sweepCursor        int
+	// currentIDs holds the present generation of each endpoint.
+	currentIDs   []generationID
+	denseSets    []denseSet
+	trafficShare float64
+	// sweepCursor is the next bucket that Sweep scans.
+	sweepCursor int
 }
 
 // New returns an empty index without endpoints.
--- a/systems/cacheview/match.go
+++ b/systems/cacheview/match.go
@@ -7,10 +7,13 @@
 type Matches struct {
 	// Endpoints lists the endpoints with at least one entry for the prompt.
 	Endpoints []tables.EndpointIndex
-	expected  []float32
-	epochs    []uint32
-	models    []confidenceModel
-	epoch     uint32
+	// expected and models are indexed by endpoint. An element is valid for this
+	// lookup if the element of epochs equals epoch; so nothing must be cleared
+	// between lookups.
+	expected []float32
+	epochs   []uint32
+	models   []confidenceModel
+	epoch    uint32
 }
 
 // ExpectedBlocks returns the expected length, in blocks, of the prompt's prefix
--- a/systems/cacheview/update.go
+++ b/systems/cacheview/update.go
@@ -48,9 +48,11 @@
 // Event is a cache event of an endpoint's current boot: the blocks that its
 // cache stored and evicted since the event before.
 type Event struct {
+	// Sequence increases by one with each event.
 	Sequence uint64
-	Stored   []tables.BlockHash
-	Evicted  []tables.BlockHash
+	// Stored and Evicted are the blocks that entered and left the cache.
+	Stored  []tables.BlockHash
+	Evicted []tables.BlockHash
 }
 
 // ApplyEvent applies a cache event. Events may be late, lost, duplicated and
--- a/systems/fairness/fairness.go
+++ b/systems/fairness/fairness.go
@@ -69,8 +69,10 @@
 	}
 }
 
-// Charge advances the start tag of a flow by the cost of a dispatched request.
-// Costs may have any unit, as long as all costs of one scheduler share it.
+// Charge advances the start tag of a flow by the cost of a dispatched request
+// divided by the flow's weight, and the virtual time to the smallest start tag
+// of that flow, before the charge, and the active ones. Costs may have any unit,
+// as long as all costs of one scheduler share it.
 func (s *Scheduler) Charge(f Flow, cost float64) {
 	state := &s.flows[f]
 	start := max(state.startTag, s.virtualTime)
--- a/systems/fairness/limit.go
+++ b/systems/fairness/limit.go
@@ -21,11 +21,15 @@
 // limit of an instance is rounded up to a whole request, so the sum can exceed
 // it by less than one request per instance.
 type Limiter struct {
+	// rate, in requests per second, and maxConcurrent are the limits over all
+	// instances; 0 means no limit.
 	rate          float64
 	maxConcurrent int
-	tokens        float64
-	refilledAt    tables.Instant
-	running       int
+	// tokens is the content of the token bucket as of refilledAt.
+	tokens     float64
+	refilledAt tables.Instant
+	// running is the number of occupied concurrency slots.
+	running int
 }
 
 // Configure sets the limits over all instances: requests per second and
--- a/systems/health/health.go
+++ b/systems/health/health.go
@@ -17,8 +17,10 @@
 	failuresToEject = 3
 	// successesToRecover is the number of successes that end a probation.
 	successesToRecover = 3
-	baseEjectionTime   = time.Second
-	maxEjectionTime    = 30 * time.Second
+	// baseEjectionTime is the time of the first ejection, maxEjectionTime the
+	// limit of the doubling.
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 30 * time.Second
 	// An attempt counts as hung when it has waited for its first token longer
 	// than hungFactor times the expected time plus hungMargin.
 	hungFactor = 5
--- a/systems/health/health_test.go
+++ b/systems/health/health_test.go
@@ -33,8 +33,9 @@
 	assert.Equal(t, h.EjectedUntil-now, time.Second)
 }
 
-// A healthy endpoint must survive failures that are not consecutive. An endpoint
-// on probation must be ejected by the first failure.
+// A healthy endpoint must be ejected by the third consecutive failure only; a
+// success in between resets the count. An endpoint on probation must be ejected
+// by the first failure.
 func TestSingleFailureEjectsOnlyOnProbation(t *testing.T) {
 	h := tables.Health{State: tables.Probation}
 	health.RecordFailure(time.Second, &h)
--- a/systems/placement/explain.go
+++ b/systems/placement/explain.go
@@ -4,7 +4,9 @@
 
 // CostTerm is the weighted cost that one scorer contributes for a candidate.
 type CostTerm struct {
-	Name        string  `json:"name"`
+	// Name is the name of the scorer.
+	Name string `json:"name"`
+	// CostSeconds is the weighted score in seconds.
 	CostSeconds float64 `json:"seconds"`
 }
 
@@ -12,10 +14,14 @@
 type CandidateReport struct {
 	Endpoint tables.EndpointID `json:"endpoint"`
 	// RejectedBy is the name of the filter that rejected the candidate, or empty.
-	RejectedBy   string     `json:"dropped,omitempty"`
-	CachedTokens int        `json:"cached_tokens"`
-	CostSeconds  float64    `json:"seconds"`
-	CostTerms    []CostTerm `json:"parts,omitempty"`
+	RejectedBy string `json:"dropped,omitempty"`
+	// CachedTokens is the part of the prompt, in tokens, that the endpoint is
+	// expected to have cached.
+	CachedTokens int `json:"cached_tokens"`
+	// CostSeconds is the sum of CostTerms. Both are empty for a rejected
+	// candidate.
+	CostSeconds float64    `json:"seconds"`
+	CostTerms   []CostTerm `json:"parts,omitempty"`
 }
 
 // MaxReports is the maximum number of candidates that Explain reports: the
--- a/systems/placement/filter/idle/idle.go
+++ b/systems/placement/filter/idle/idle.go
@@ -1,5 +1,5 @@
-// Package idle restricts requests that are close to their maximum wait to idle
-// endpoints.
+// Package idle restricts requests that have used up much of their maximum wait
+// to idle endpoints.
 package idle
 
 import "github.com/carawaystile/carawaystile/systems/placement"
--- a/systems/placement/homes/homes.go
+++ b/systems/placement/homes/homes.go
@@ -16,6 +16,8 @@
 )
 
 const (
+	// minSlots and maxSlots bound the size of the table. Sizes are powers of two,
+	// so that a bit mask selects the slot.
 	minSlots = 1024
 	maxSlots = 4096
 	// slotsPerMember is large enough for the numbers of slots to be nearly
@@ -25,7 +27,9 @@
 
 // Member is an endpoint that can be the home of prefixes.
 type Member struct {
-	ID    tables.EndpointID
+	// ID seeds the member's hash, so it must be the same at all instances.
+	ID tables.EndpointID
+	// Index is the member's index at this instance, which Home returns.
 	Index tables.EndpointIndex
 	// Weight is the relative number of slots of the member, above 0. All
 	// instances must use the same weight, so it comes from the configuration and
--- a/systems/placement/placement.go
+++ b/systems/placement/placement.go
@@ -13,7 +13,9 @@
 
 // Query describes the attempt to be placed.
 type Query struct {
-	Now     tables.Instant
+	// Now is the time of the decision.
+	Now tables.Instant
+	// Request is the request that the attempt runs.
 	Request *tables.RequestRow
 	// Weights is the version that must serve the request; empty for plain
 	// services.
@@ -51,6 +53,7 @@
 
 // Candidate is an endpoint that is evaluated for a query.
 type Candidate struct {
+	// Row is the state of the endpoint.
 	Row *tables.EndpointRow
 	// CachedTokens is the part of the prompt, in tokens, that the endpoint is
 	// expected to have cached.
@@ -107,7 +110,8 @@
 
 // WeightedScorer is a scorer with its weight for each preference.
 type WeightedScorer struct {
-	Scorer  Scorer
+	Scorer Scorer
+	// Weights are the factors of the score, by tables.Preference.
 	Weights [PreferenceCount]float64
 }
 
@@ -116,14 +120,20 @@
 
 // Choice is the result of a placement query.
 type Choice struct {
+	// Endpoint is the chosen endpoint, or tables.NoEndpoint.
 	Endpoint tables.EndpointIndex
+	// Candidate is the evaluation of the chosen endpoint; empty if there is none.
 	Candidate
 }
 
 // Picker selects endpoints by filters and scorers. Scorers whose scores differ
 // most between candidates should come first, so that Pick can stop early.
 type Picker struct {
+	// Filters run in this order; the first one that rejects a candidate is
+	// reported.
 	Filters []Filter
+	// Scorers run in this order until the cost exceeds that of the best
+	// candidate.
 	Scorers []WeightedScorer
 }
 
--- a/systems/placement/placement_test.go
+++ b/systems/placement/placement_test.go
@@ -42,7 +42,7 @@
 func TestPickMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "endpoints")
-		tab := &fixedResults{}
+		results := &fixedResults{}
 		rows := make([]tables.EndpointRow, n)
 		var candidates []placement.Candidate
 		best, least := tables.NoEndpoint, 0.0
@@ -51,19 +51,19 @@
 			keep := rapid.Bool().Draw(t, "keep")
 			a := float64(rapid.IntRange(0, 50).Draw(t, "a"))
 			b := float64(rapid.IntRange(0, 50).Draw(t, "b")) + float64(i)/64
-			tab.keep = append(tab.keep, keep)
-			tab.scores[0] = append(tab.scores[0], a)
-			tab.scores[1] = append(tab.scores[1], b)
+			results.keep = append(results.keep, keep)
+			results.scores[0] = append(results.scores[0], a)
+			results.scores[1] = append(results.scores[1], b)
 			candidates = append(candidates, placement.Candidate{Row: &rows[i], CachedTokens: float64(rapid.IntRange(0, 2).Draw(t, "cached"))})
 			if sum := 2*a + b; keep && (best == tables.NoEndpoint || sum < least) {
 				best, least = rows[i].Index, sum
 			}
 		}
 		p := placement.Picker{
-			Filters: []placement.Filter{filter{tab}},
+			Filters: []placement.Filter{filter{results}},
 			Scorers: []placement.WeightedScorer{
-				{Scorer: scorer{tab, 0}, Weights: [placement.PreferenceCount]float64{2, 2, 2}},
-				{Scorer: scorer{tab, 1}, Weights: [placement.PreferenceCount]float64{1, 1, 1}},
+				{Scorer: scorer{results, 0}, Weights: [placement.PreferenceCount]float64{2, 2, 2}},
+				{Scorer: scorer{results, 1}, Weights: [placement.PreferenceCount]float64{1, 1, 1}},
 			},
 		}
 		q := &placement.Query{Request: &tables.RequestRow{Request: &tables.Request{}, Profile: &tables.Profile{}}}
--- a/systems/placement/score/compute/compute.go
+++ b/systems/placement/score/compute/compute.go
@@ -15,7 +15,8 @@
 // Name is the name of the cost term in reports.
 func (Scorer) Name() string { return "compute" }
 
-// Score divides the uncached tokens by the endpoint's measured prefill rate.
+// Score divides the uncached tokens by the endpoint's prefill rate, weighted by
+// WaitWeight, and adds ImposedDelay for requests without a maximum wait.
 func (Scorer) Score(q *placement.Query, c *placement.Candidate) float64 {
 	score := q.WaitWeight * c.UncachedTokens(q) / c.PrefillRate()
 	if q.Request.Profile.MaxWait <= 0 {
