--- a/entry/drain.go
+++ b/entry/drain.go
@@ -15,7 +15,7 @@
 
 // admit counts a request in, or gives the reason why it is not served.
 func (s *Server) admit() *outcome.Failure {
-	open, admitted := s.gate.Enter()
+	open, admitted := s.gate.Admit()
 	var failure *outcome.Failure
 	switch {
 	case !admitted:
@@ -27,16 +27,16 @@
 	default:
 		return nil
 	}
-	s.gate.Leave()
+	s.gate.Done()
 	return failure
 }
 
 // Drain takes the instance out of service without cutting a request. It returns
 // early when the context ends.
 func (s *Server) Drain(ctx context.Context) error {
-	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.Open()))
+	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 	if err := s.gate.Drain(ctx, s.now); err != nil {
-		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.Open()))
+		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 		return err
 	}
 	events.DrainEnded.Log(s.log)
--- a/entry/gate/gate.go
+++ b/entry/gate/gate.go
@@ -31,16 +31,16 @@
 	return &Gate{machine: drain.Machine{LameDuckPeriod: serve}, idle: make(chan struct{}, 1)}
 }
 
-// Enter counts a request in and returns how many are open. The count comes
+// Admit counts a request in and returns how many are open. The count comes
 // before the look at the state: a drain that sees no open request can then be
 // sure that none slips in. Whatever it returns, Leave must follow.
-func (g *Gate) Enter() (open int64, admitted bool) {
+func (g *Gate) Admit() (open int64, admitted bool) {
 	open = g.open.Add(1)
 	return open, g.State().AcceptsRequests()
 }
 
-// Leave counts a request out.
-func (g *Gate) Leave() {
+// Done counts a request out.
+func (g *Gate) Done() {
 	if g.open.Add(-1) == 0 {
 		select {
 		case g.idle <- struct{}{}:
@@ -52,8 +52,8 @@
 // State is how far the drain has come.
 func (g *Gate) State() drain.State { return drain.State(g.state.Load()) }
 
-// Open is the number of open requests.
-func (g *Gate) Open() int64 { return g.open.Load() }
+// InFlight is the number of open requests.
+func (g *Gate) InFlight() int64 { return g.open.Load() }
 
 // Drain stops the gate being ready, goes on admitting for a while until the
 // balancer has noticed, then admits nothing and returns when every open request
--- a/entry/middleware.go
+++ b/entry/middleware.go
@@ -45,7 +45,7 @@
 			writeFailure(w, failure)
 			return
 		}
-		defer s.gate.Leave()
+		defer s.gate.Done()
 		leave, failure := s.admitOrganisation(r)
 		if failure != nil {
 			s.noteFailure("", failure)
--- a/forward/server.go
+++ b/forward/server.go
@@ -295,9 +295,9 @@
 // Drain takes the instance out of service and waits for open requests to complete. If the
 // context ends first, it returns an error.
 func (s *Server) Drain(ctx context.Context) error {
-	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.Open()))
+	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 	if err := s.gate.Drain(ctx, s.options.Now); err != nil {
-		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.Open()))
+		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 		return err
 	}
 	events.DrainEnded.Log(s.log)
@@ -316,8 +316,8 @@
 // ServeHTTP serves one client's request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := s.options.Now()
-	_, admitted := s.gate.Enter()
-	defer s.gate.Leave()
+	_, admitted := s.gate.Admit()
+	defer s.gate.Done()
 	// Guards against request smuggling: a chunked request may also have a Content-Length,
 	// which net/http ignores. Bytes that belong to the body by that length then look like a
 	// second request. Closing the connection after the response discards them.
