--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -147,7 +147,7 @@
 
 // fail reports the end of an attempt that gave no stream.
 func (a *attempt) fail(err error) {
-	proof, ok := outcome.ProofOf(err)
+	proof, ok := outcome.ProofFromError(err)
 	if !ok {
 		a.broken(err, 0, a.cancelAtEndpoint)
 		return
@@ -263,7 +263,7 @@
 }
 
 // tell reports the end of the attempt to the loop.
-func (a *attempt) tell(how router.AttemptEnded, proof *outcome.Proof) {
+func (a *attempt) tell(how router.AttemptEnded, proof *outcome.NotStartedProof) {
 	a.report(ended{how: how, proof: proof})
 }
 
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -63,7 +63,7 @@
 
 // elsewhere is for work that another request under the same key has begun.
 func elsewhere(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
-	return outcome.New(id).Dispatch("").Fail(code, outcome.MayHaveRun, retryAfter)
+	return outcome.NewUndispatched(id).Dispatch("").Fail(code, outcome.MayHaveRun, retryAfter)
 }
 
 // permitted says whether the attempt may be handed to the client. Work that
@@ -92,7 +92,7 @@
 // drop ends an attempt that was never sent.
 func (a *attempt) drop(final *outcome.Failure) {
 	a.cancel(nil)
-	proof := a.unsent.Drop()
+	proof := a.unsent.Discard()
 	how := router.AttemptEnded{Attempt: a.dispatch.Attempt, Result: router.NotStarted}
 	a.flight.server.tell(ended{attempt: a, how: how, proof: &proof, final: final})
 }
--- a/entry/crashbroadcast_test.go
+++ b/entry/crashbroadcast_test.go
@@ -20,7 +20,7 @@
 	decider := &scripted{}
 	f := &flight{
 		server: s, row: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
-		state: outcome.New(id).Dispatch(attemptID),
+		state: outcome.NewUndispatched(id).Dispatch(attemptID),
 	}
 	a := &attempt{flight: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
 	f.attempts = []*attempt{a}
@@ -77,7 +77,7 @@
 	decider := &lateCrash{}
 	f := &flight{
 		server: s, row: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
-		state: outcome.New(id).Dispatch(attemptID),
+		state: outcome.NewUndispatched(id).Dispatch(attemptID),
 	}
 	a := &attempt{flight: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
 	l := &loop{
--- a/entry/eventloop.go
+++ b/entry/eventloop.go
@@ -38,7 +38,7 @@
 	ended struct {
 		attempt *attempt
 		how     router.AttemptEnded
-		proof   *outcome.Proof
+		proof   *outcome.NotStartedProof
 		// final ends the whole request with this failure; set when the control
 		// state did not let the attempt go.
 		final *outcome.Failure
@@ -293,7 +293,7 @@
 		f.queued = false
 		l.server.metrics.ObserveQueueWait(f.row.Organisation, f.profile.Priority, now-f.row.Arrived)
 	}
-	a := &attempt{flight: f, dispatch: d, unsent: outcome.NewUnsent(d.Attempt)}
+	a := &attempt{flight: f, dispatch: d, unsent: outcome.NewUnsentAttempt(d.Attempt)}
 	a.ctx, a.cancel = context.WithCancelCause(f.ctx)
 	f.state = f.state.Dispatch(d.Attempt)
 	f.attempts = append(f.attempts, a)
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -65,7 +65,7 @@
 	dispatch router.Dispatch
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	unsent   *outcome.Unsent
+	unsent   *outcome.UnsentAttempt
 }
 
 // opened is an attempt that has something for the caller.
@@ -138,5 +138,5 @@
 
 // notRun ends a flight that was never submitted.
 func notRun(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
-	return outcome.New(id).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter})
+	return outcome.NewUndispatched(id).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter})
 }
--- a/entry/outcome/outcome.go
+++ b/entry/outcome/outcome.go
@@ -36,14 +36,14 @@
 // Outcome says whether the work ran.
 func (f *Failure) Outcome() tables.Outcome { return f.outcome }
 
-// Possible is an outcome of work that has been handed to an endpoint. There is
+// DispatchedOutcome is an outcome of work that has been handed to an endpoint. There is
 // no value of it that means not run.
-type Possible struct{ outcome tables.Outcome }
+type DispatchedOutcome struct{ outcome tables.Outcome }
 
 // The outcomes of work that has been handed to an endpoint.
 var (
-	MayHaveRun = Possible{tables.OutcomeUnknown}
-	HasRun     = Possible{tables.OutcomeRan}
+	MayHaveRun = DispatchedOutcome{tables.OutcomeUnknown}
+	HasRun     = DispatchedOutcome{tables.OutcomeRan}
 )
 
 // State is Undispatched or Dispatched.
@@ -61,8 +61,8 @@
 	spent bool
 }
 
-// New begins a request of which nothing has left this process.
-func New(request tables.RequestID) *Undispatched { return &Undispatched{request: request} }
+// NewUndispatched begins a request of which nothing has left this process.
+func NewUndispatched(request tables.RequestID) *Undispatched { return &Undispatched{request: request} }
 
 // Refuse ends the request as not run. A value that has been dispatched gives
 // an unknown outcome instead.
@@ -95,7 +95,7 @@
 
 // NotStarted takes a proof that one attempt did not begin. Once there is one
 // for every attempt the request is Undispatched again.
-func (d *Dispatched) NotStarted(p Proof) State {
+func (d *Dispatched) NotStarted(p NotStartedProof) State {
 	kept := d.open[:0]
 	for _, attempt := range d.open {
 		if attempt != p.attempt {
@@ -106,35 +106,37 @@
 	if len(d.open) > 0 {
 		return d
 	}
-	return New(d.request)
+	return NewUndispatched(d.request)
 }
 
 // Fail ends the request with an outcome other than not run.
-func (d *Dispatched) Fail(code tables.ErrorCode, p Possible, retryAfter time.Duration) *Failure {
+func (d *Dispatched) Fail(code tables.ErrorCode, p DispatchedOutcome, retryAfter time.Duration) *Failure {
 	return &Failure{Request: d.request, Code: code, RetryAfter: retryAfter, outcome: p.outcome}
 }
 
 func (*Undispatched) state() {}
 func (*Dispatched) state()   {}
 
-// Proof shows that an attempt did not begin.
-type Proof struct{ attempt tables.AttemptID }
+// NotStartedProof shows that an attempt did not begin.
+type NotStartedProof struct{ attempt tables.AttemptID }
 
-// ProofOf gives the proof that an error of the engine client carries, if any.
-func ProofOf(err error) (Proof, bool) {
+// ProofFromError gives the proof that an error of the engine client carries, if any.
+func ProofFromError(err error) (NotStartedProof, bool) {
 	var not *engine.NotStartedError
 	if !errors.As(err, &not) {
-		return Proof{}, false
+		return NotStartedProof{}, false
 	}
-	return Proof{attempt: not.Attempt}, true
+	return NotStartedProof{attempt: not.Attempt}, true
 }
 
-// Unsent is an attempt that this process has not yet handed to the client.
-type Unsent struct{ attempt tables.AttemptID }
+// UnsentAttempt is an attempt that this process has not yet handed to the client.
+type UnsentAttempt struct{ attempt tables.AttemptID }
 
-// NewUnsent is called before the attempt can be sent.
-func NewUnsent(attempt tables.AttemptID) *Unsent { return &Unsent{attempt: attempt} }
+// NewUnsentAttempt is called before the attempt can be sent.
+func NewUnsentAttempt(attempt tables.AttemptID) *UnsentAttempt {
+	return &UnsentAttempt{attempt: attempt}
+}
 
-// Drop gives the proof that the attempt was never sent. The value must not be
+// Discard gives the proof that the attempt was never sent. The value must not be
 // used to send it afterwards.
-func (u *Unsent) Drop() Proof { return Proof{attempt: u.attempt} }
+func (u *UnsentAttempt) Discard() NotStartedProof { return NotStartedProof{attempt: u.attempt} }
--- a/entry/server.go
+++ b/entry/server.go
@@ -140,7 +140,7 @@
 	f.server = s
 	f.opened = make(chan *opened)
 	f.failed = make(chan *outcome.Failure, 1)
-	f.state = outcome.New(f.row.ID)
+	f.state = outcome.NewUndispatched(f.row.ID)
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	s.tell(submitted{flight: f})
 	return &reader{flight: f}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -224,7 +224,7 @@
 	result := a.classifyError(err)
 	a.recordOutcome(result)
 	c.lastErr = err
-	if proof, ok := outcome.ProofOf(err); ok {
+	if proof, ok := outcome.ProofFromError(err); ok {
 		if state, dispatched := c.state.(*outcome.Dispatched); dispatched {
 			c.state = state.NotStarted(proof)
 		}
--- a/forward/failure.go
+++ b/forward/failure.go
@@ -56,7 +56,7 @@
 // rejectRetryable ends a request that was never dispatched, and tells the client when to
 // retry.
 func (c *clientRequest) rejectRetryable(code tables.ErrorCode, retryAfter time.Duration) {
-	c.respondFailure(outcome.New(tables.RequestID(c.id)).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter}))
+	c.respondFailure(outcome.NewUndispatched(tables.RequestID(c.id)).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter}))
 }
 
 // respondFailure sends the client an error. The statuses 429 and 503 and a Retry-After
--- a/forward/request.go
+++ b/forward/request.go
@@ -84,7 +84,7 @@
 // organisation's rate limit. It returns false if it has rejected the request.
 func (c *clientRequest) prepare() bool {
 	s := c.server
-	c.state = outcome.New(tables.RequestID(c.id))
+	c.state = outcome.NewUndispatched(tables.RequestID(c.id))
 	if !c.waitInitialized() {
 		c.rejectRetryable(tables.CodeNotReady, retryAfterNotReady)
 		return false
