--- a/daemon/diagnostics.go
+++ b/daemon/diagnostics.go
@@ -29,7 +29,7 @@
 	if d.entry == nil {
 		return explanation, false
 	}
-	d.entry.Inspect(func() { explanation, found = d.router.Explain(id) })
+	d.entry.RunInEventLoop(func() { explanation, found = d.router.Explain(id) })
 	return explanation, found
 }
 
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -18,22 +18,22 @@
 	p := d.options.Process
 	d.router = router.New(router.Options{Instance: p.Instance, Zone: p.Zone, Seed: d.seed()})
 	limits := entry.DefaultLimits()
-	limits.MaxBody = p.Limits.BodyBytes
-	limits.MaxOpen = p.Limits.Requests
-	limits.MaxOpenOrganisation = p.Limits.OrganisationRequests
-	limits.DrainServe = p.Drain.Announce
+	limits.MaxBodyBytes = p.Limits.BodyBytes
+	limits.MaxInFlight = p.Limits.Requests
+	limits.MaxInFlightPerOrganisation = p.Limits.OrganisationRequests
+	limits.DrainDelay = p.Drain.Announce
 	server, err := entry.New(entry.Options{
-		Instance: p.Instance,
-		Boot:     strconv.FormatUint(d.boot, 36),
-		Router:   d.router,
-		Client:   d.client,
-		Claimer:  d.claims,
-		Metrics:  requestMetrics{metrics.NewRequests(d.registry)},
-		Log:      d.options.Log,
-		Share:    d.peers.share,
-		PassOn:   d.passOn,
-		Now:      d.now,
-		Limits:   limits,
+		Instance:          p.Instance,
+		BootID:            strconv.FormatUint(d.boot, 36),
+		Router:            d.router,
+		Client:            d.client,
+		Claims:            d.claims,
+		Metrics:           requestMetrics{metrics.NewRequests(d.registry)},
+		Log:               d.options.Log,
+		BroadcastSuspects: d.peers.share,
+		GossipPlacements:  d.passOn,
+		Now:               d.now,
+		Limits:            limits,
 	})
 	if err != nil {
 		return err
@@ -60,14 +60,14 @@
 type requestMetrics struct{ *metrics.Requests }
 
 // droppedReasons are the values of the label reason.
-var droppedReasons = map[entry.Dropped]string{
+var droppedReasons = map[entry.DropReason]string{
 	entry.DroppedMismatch:  "mismatch",
 	entry.DroppedDuplicate: "duplicate",
 	entry.DroppedLate:      "late",
 }
 
 // CountDropped counts answers and tokens that were dropped.
-func (m requestMetrics) CountDropped(d entry.Dropped) { m.CountDroppedAnswer(droppedReasons[d]) }
+func (m requestMetrics) CountDropped(d entry.DropReason) { m.CountDroppedAnswer(droppedReasons[d]) }
 
 // placementPeriod is the time between two tellings of placements.
 const placementPeriod = 100 * time.Millisecond
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -53,7 +53,7 @@
 		{"wrong method", "/v1/models", `{}`, nil, 404, tables.CodeUnknownRoute},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, func(o *Options) { o.Limits.MaxBody = 4096 })
+			r := newRig(t, func(o *Options) { o.Limits.MaxBodyBytes = 4096 })
 			resp := r.post(t, t.Context(), c.path, c.body, c.headers...)
 			content := read(t, resp)
 			assert.Equal(t, resp.StatusCode, c.status, content)
@@ -76,7 +76,7 @@
 // Many callers send large prompts at the same moment. The instance must not run
 // out of memory; those beyond the bound are told to come back.
 func TestHeldBodiesAreBounded(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.MaxHeld = 1000 })
+	r := newRig(t, func(o *Options) { o.Limits.MaxBufferedBytes = 1000 })
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"`+strings.Repeat("p", 2000)+`"}`)
 	content := read(t, resp)
 	assert.Equal(t, resp.StatusCode, 503, content)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -68,7 +68,7 @@
 		return
 	}
 	f.server.Observe(router.FirstToken{Attempt: accepted.Attempt, CachedTokens: accepted.CachedTokens})
-	f.server.metrics.ObserveHit(f.row.Organisation, f.profile.Priority, accepted.CachedTokens, f.row.PromptTokens)
+	f.server.metrics.ObservePrefixHitRatio(f.row.Organisation, f.profile.Priority, accepted.CachedTokens, f.row.PromptTokens)
 	a.offer(&opened{attempt: a, stream: stream, first: token, whole: err == io.EOF})
 }
 
@@ -226,7 +226,7 @@
 func (a *attempt) confirmCancel() bool {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
-	over := time.After(a.flight.server.limits.CancelWait)
+	over := time.After(a.flight.server.limits.CancelTimeout)
 	for {
 		select {
 		case <-over:
@@ -247,7 +247,7 @@
 }
 
 func (a *attempt) cancelAtEndpoint() error {
-	ctx, cancel := context.WithTimeout(context.Background(), a.flight.server.limits.CancelWait)
+	ctx, cancel := context.WithTimeout(context.Background(), a.flight.server.limits.CancelTimeout)
 	defer cancel()
 	return a.flight.server.client.Cancel(ctx, a.dispatch.Endpoint.Address, a.dispatch.Attempt)
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -113,8 +113,8 @@
 // and after a while the caller is cut off.
 func TestCallerWhoDoesNotReadIsBounded(t *testing.T) {
 	r := newRig(t, func(o *Options) {
-		o.Limits.WriteStall = 200 * time.Millisecond
-		o.Limits.MaxAnswer = 1 << 30
+		o.Limits.WriteTimeout = 200 * time.Millisecond
+		o.Limits.MaxCompletionBytes = 1 << 30
 	})
 	text := strings.Repeat("w", 32<<10)
 	var produced atomic.Int64
@@ -141,7 +141,7 @@
 // An engine answers without end. The instance gives the request up before the
 // text takes its memory.
 func TestEndlessAnswerIsBounded(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.MaxAnswer = 10 })
+	r := newRig(t, func(o *Options) { o.Limits.MaxCompletionBytes = 10 })
 	r.client.generate = []script{r.client.says(strings.Split(strings.Repeat("word,", 10), ","), nil)}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"word", "word"})
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -22,7 +22,7 @@
 
 // claim is the right to run one flight's work once.
 type claim struct {
-	claimer Claimer
+	claimer ClaimStore
 	wait    time.Duration
 	grant   tables.ClaimResult
 	// marked is set once the work may have been handed to an endpoint. Attempts
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -127,7 +127,7 @@
 			if c.prepare != nil {
 				c.prepare(claims)
 			}
-			r := newRig(t, func(o *Options) { o.Claimer = claims })
+			r := newRig(t, func(o *Options) { o.Claims = claims })
 			r.client.call = c.calls
 			resp := r.post(t, t.Context(), "/v1/services/press/send", "note", "Content-Type", typeData, "Idempotency-Key", "k")
 			content := read(t, resp)
@@ -153,7 +153,7 @@
 // published all the same, and the caller's resend gets the answer.
 func TestCallerGoneWhileWorkRuns(t *testing.T) {
 	claims := &fakeClaimer{claims: map[tables.IdempotencyKey]*fakeClaim{}}
-	r := newRig(t, func(o *Options) { o.Claimer = claims })
+	r := newRig(t, func(o *Options) { o.Claims = claims })
 	gone, goOn, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	r.client.call = []callScript{func(q engine.CallRequest) (engine.CallResponse, error) {
 		defer close(done)
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -163,7 +163,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.profile.Timeout+onceMargin)
 	defer cancel()
-	f.claim = &claim{claimer: s.claimer, wait: s.limits.ClaimWait}
+	f.claim = &claim{claimer: s.claimer, wait: s.limits.ClaimTimeout}
 	answer, failure := f.claim.take(ctx, f, tables.IdempotencyKey(key), body)
 	if failure != nil {
 		return tables.StoredResponse{}, failure
--- a/entry/concurrencylimit_test.go
+++ b/entry/concurrencylimit_test.go
@@ -13,7 +13,7 @@
 // must be refused at once as not run, while there is room for other
 // organisations, and it must be served again as soon as one has ended.
 func TestOneOrganisationCannotTakeAllPlaces(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.MaxOpenOrganisation = 1 })
+	r := newRig(t, func(o *Options) { o.Limits.MaxInFlightPerOrganisation = 1 })
 	r.client.generate = []script{r.client.says([]string{"a"}, nil)}
 	id := testConfiguration().Organisations[0].ID
 	assert.Assert(t, r.server.quota.enter(id))
--- a/entry/crashbroadcast_test.go
+++ b/entry/crashbroadcast_test.go
@@ -67,7 +67,7 @@
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
 	notified, shared := make(chan struct{}), make(chan struct{}, 1)
 	s := &Server{
-		inbox: make(chan message, 8), stopped: make(chan struct{}), limits: Limits{SettleWait: time.Hour},
+		inbox: make(chan message, 8), stopped: make(chan struct{}), limits: Limits{CrashCheckTimeout: time.Hour},
 		now: func() tables.Instant { return 0 },
 		share: func([]quarantine.Suspect) <-chan struct{} {
 			shared <- struct{}{}
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -20,7 +20,7 @@
 	switch {
 	case !admitted:
 		failure = notRun("", tables.CodeDraining, retryDraining)
-	case open > int64(s.limits.MaxOpen):
+	case open > int64(s.limits.MaxInFlight):
 		failure = notRun("", tables.CodeOverloaded, retryFull)
 	case s.directory.Load() == nil:
 		failure = notRun("", tables.CodeNotReady, retryDraining)
--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -34,7 +34,7 @@
 	}
 	r := newRig(t, func(o *Options) {
 		o.Now = clock
-		o.Limits.DrainServe = 10 * time.Millisecond
+		o.Limits.DrainDelay = 10 * time.Millisecond
 	})
 	tokens := make(chan engine.Token, 2)
 	tokens <- engine.Token{Index: 0, Text: "a"}
--- a/entry/eventloop.go
+++ b/entry/eventloop.go
@@ -65,7 +65,7 @@
 // loop owns the router and the flights.
 type loop struct {
 	server  *Server
-	router  Decider
+	router  Router
 	flights map[tables.RequestID]*flight
 	running map[tables.AttemptID]*attempt
 	passOn  func([]router.PeerPlacement)
@@ -234,7 +234,7 @@
 func (s *Server) settled(a *attempt, settling <-chan bool) <-chan struct{} {
 	done := make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
-	time.AfterFunc(s.limits.SettleWait, release)
+	time.AfterFunc(s.limits.CrashCheckTimeout, release)
 	go func() {
 		if <-settling {
 			s.tell(crashed{attempt: a, release: release})
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -173,7 +173,7 @@
 	t.Helper()
 	client := &fakeClient{cancelled: make(chan tables.AttemptID, 64)}
 	o := Options{
-		Instance: "i1", Boot: "1", Client: client, Limits: Limits{DrainServe: time.Nanosecond},
+		Instance: "i1", BootID: "1", Client: client, Limits: Limits{DrainDelay: time.Nanosecond},
 		Router: router.New(router.Options{Instance: "i1", Seed: 1}),
 	}
 	if change != nil {
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -90,7 +90,7 @@
 // disagree on whether the request is open. A caller would notice it by a request
 // that never ends, also past its timeout.
 func (f *flight) lostAfter() time.Duration {
-	return f.row.Deadline - f.server.now() + f.server.limits.LostAfter
+	return f.row.Deadline - f.server.now() + f.server.limits.DeadlineGrace
 }
 
 // advance records a token that is about to be given to the caller.
--- a/entry/looptask.go
+++ b/entry/looptask.go
@@ -9,10 +9,10 @@
 
 func (inspection) message() {}
 
-// Inspect runs look in the goroutine that owns the router and returns when it
+// RunInEventLoop runs look in the goroutine that owns the router and returns when it
 // has run. It says whether it ran; it does not once the server is closed. look
 // must be short: requests wait for it.
-func (s *Server) Inspect(look func()) bool {
+func (s *Server) RunInEventLoop(look func()) bool {
 	i := inspection{look: look, done: make(chan struct{})}
 	s.tell(i)
 	select {
--- a/entry/lostrequest_test.go
+++ b/entry/lostrequest_test.go
@@ -73,8 +73,8 @@
 		}()
 		<-called
 		s.then(router.Abort{Attempt: "a1"})
-		assert.Assert(t, r.server.Inspect(func() {}))
-		assert.Assert(t, r.server.Inspect(func() {}), "the tick after the first is over")
+		assert.Assert(t, r.server.RunInEventLoop(func() {}))
+		assert.Assert(t, r.server.RunInEventLoop(func() {}), "the tick after the first is over")
 		close(release)
 		select {
 		case answer := <-got:
@@ -91,7 +91,7 @@
 	s := &scripted{decide: func(*scripted, *tables.Request) {}}
 	r := newRig(t, func(o *Options) {
 		o.Router = s
-		o.Limits.LostAfter = time.Nanosecond
+		o.Limits.DeadlineGrace = time.Nanosecond
 	})
 	c := testConfiguration()
 	for i := range c.Profiles {
--- a/entry/middleware.go
+++ b/entry/middleware.go
@@ -59,11 +59,11 @@
 			w.Header().Set("Connection", "close")
 		}
 		control := http.NewResponseController(w)
-		body := &boundedBody{server: s, body: r.Body, left: s.limits.MaxBody, declared: r.ContentLength, control: control}
+		body := &boundedBody{server: s, body: r.Body, left: s.limits.MaxBodyBytes, declared: r.ContentLength, control: control}
 		defer body.release()
-		_ = control.SetReadDeadline(time.Now().Add(s.limits.ReadStall))
+		_ = control.SetReadDeadline(time.Now().Add(s.limits.ReadTimeout))
 		r.Body = body
-		next.ServeHTTP(&flushWriter{ResponseWriter: w, control: control, stall: s.limits.WriteStall}, r)
+		next.ServeHTTP(&flushWriter{ResponseWriter: w, control: control, stall: s.limits.WriteTimeout}, r)
 	})
 }
 
@@ -90,16 +90,16 @@
 
 // Read fails with *http.MaxBytesError or *heldFull beyond the bounds.
 func (b *boundedBody) Read(p []byte) (int, error) {
-	if b.declared > b.server.limits.MaxBody {
-		return 0, &http.MaxBytesError{Limit: b.server.limits.MaxBody}
+	if b.declared > b.server.limits.MaxBodyBytes {
+		return 0, &http.MaxBytesError{Limit: b.server.limits.MaxBodyBytes}
 	}
 	n, err := b.body.Read(p)
 	b.left -= int64(n)
 	b.held += int64(n)
 	if b.left < 0 {
-		return 0, &http.MaxBytesError{Limit: b.server.limits.MaxBody}
+		return 0, &http.MaxBytesError{Limit: b.server.limits.MaxBodyBytes}
 	}
-	if b.server.held.Add(int64(n)) > b.server.limits.MaxHeld {
+	if b.server.held.Add(int64(n)) > b.server.limits.MaxBufferedBytes {
 		return 0, &heldFull{}
 	}
 	if err != nil && !b.ended {
--- a/entry/nopmetrics.go
+++ b/entry/nopmetrics.go
@@ -6,27 +6,27 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// NoMetrics is a Metrics that keeps nothing.
-type NoMetrics struct{}
+// NopMetrics is a Metrics that keeps nothing.
+type NopMetrics struct{}
 
 // ObserveTTFT does nothing.
-func (NoMetrics) ObserveTTFT(tables.OrganisationID, tables.ProfileName, tables.Priority, time.Duration) {
+func (NopMetrics) ObserveTTFT(tables.OrganisationID, tables.ProfileName, tables.Priority, time.Duration) {
 }
 
-// ObserveTokenGap does nothing.
-func (NoMetrics) ObserveTokenGap(tables.OrganisationID, tables.Priority, time.Duration) {}
+// ObserveTimeBetweenTokens does nothing.
+func (NopMetrics) ObserveTimeBetweenTokens(tables.OrganisationID, tables.Priority, time.Duration) {}
 
 // ObserveQueueWait does nothing.
-func (NoMetrics) ObserveQueueWait(tables.OrganisationID, tables.Priority, time.Duration) {}
+func (NopMetrics) ObserveQueueWait(tables.OrganisationID, tables.Priority, time.Duration) {}
 
-// ObserveHit does nothing.
-func (NoMetrics) ObserveHit(tables.OrganisationID, tables.Priority, int, int) {}
+// ObservePrefixHitRatio does nothing.
+func (NopMetrics) ObservePrefixHitRatio(tables.OrganisationID, tables.Priority, int, int) {}
 
-// CountRefused does nothing.
-func (NoMetrics) CountRefused(tables.OrganisationID, tables.ErrorCode, tables.Outcome) {}
+// CountFailure does nothing.
+func (NopMetrics) CountFailure(tables.OrganisationID, tables.ErrorCode, tables.Outcome) {}
 
 // CountDropped does nothing.
-func (NoMetrics) CountDropped(Dropped) {}
+func (NopMetrics) CountDropped(DropReason) {}
 
-// CountResumed does nothing.
-func (NoMetrics) CountResumed(tables.OrganisationID) {}
+// CountResumedStream does nothing.
+func (NopMetrics) CountResumedStream(tables.OrganisationID) {}
--- a/entry/options.go
+++ b/entry/options.go
@@ -19,9 +19,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Decider decides where and when requests run; *router.Router is one. It is
+// Router decides where and when requests run; *router.Router is one. It is
 // called by one goroutine.
-type Decider interface {
+type Router interface {
 	Configure(now tables.Instant, c *tables.Configuration)
 	Submit(now tables.Instant, r *tables.Request)
 	Observe(now tables.Instant, in router.Input)
@@ -31,9 +31,9 @@
 	NextTick(now tables.Instant) tables.Instant
 }
 
-// Claimer grants the right to run work that must run at most once. Its errors
+// ClaimStore grants the right to run work that must run at most once. Its errors
 // are *tables.KeyReused, *tables.NoQuorum and *tables.GrantLost.
-type Claimer interface {
+type ClaimStore interface {
 	// Claim asks for the organisation's key. The same key with another body is
 	// *tables.KeyReused.
 	Claim(ctx context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error)
@@ -50,27 +50,27 @@
 type Metrics interface {
 	// ObserveTTFT takes the time from arrival to the first token.
 	ObserveTTFT(org tables.OrganisationID, profile tables.ProfileName, p tables.Priority, d time.Duration)
-	// ObserveTokenGap takes the time between two tokens of one stream.
-	ObserveTokenGap(org tables.OrganisationID, p tables.Priority, d time.Duration)
+	// ObserveTimeBetweenTokens takes the time between two tokens of one stream.
+	ObserveTimeBetweenTokens(org tables.OrganisationID, p tables.Priority, d time.Duration)
 	// ObserveQueueWait takes the time from arrival to the first dispatch.
 	ObserveQueueWait(org tables.OrganisationID, p tables.Priority, d time.Duration)
-	// ObserveHit takes how many prompt tokens came from a cache, of how many.
-	ObserveHit(org tables.OrganisationID, p tables.Priority, cached, total int)
-	// CountRefused counts failures by number and outcome.
-	CountRefused(org tables.OrganisationID, code tables.ErrorCode, o tables.Outcome)
+	// ObservePrefixHitRatio takes how many prompt tokens came from a cache, of how many.
+	ObservePrefixHitRatio(org tables.OrganisationID, p tables.Priority, cached, total int)
+	// CountFailure counts failures by number and outcome.
+	CountFailure(org tables.OrganisationID, code tables.ErrorCode, o tables.Outcome)
 	// CountDropped counts answers and tokens that were dropped.
-	CountDropped(d Dropped)
-	// CountResumed counts streams that went on at another endpoint.
-	CountResumed(org tables.OrganisationID)
+	CountDropped(d DropReason)
+	// CountResumedStream counts streams that went on at another endpoint.
+	CountResumedStream(org tables.OrganisationID)
 }
 
-// Dropped names why a part of an answer was dropped.
-type Dropped uint8
+// DropReason names why a part of an answer was dropped.
+type DropReason uint8
 
 // The reasons for dropping a part of an answer.
 const (
 	// DroppedMismatch: it names another attempt or other weights.
-	DroppedMismatch Dropped = iota
+	DroppedMismatch DropReason = iota
 	// DroppedDuplicate: the caller already has this token.
 	DroppedDuplicate
 	// DroppedLate: another attempt had already won.
@@ -79,79 +79,79 @@
 
 // Limits bound the memory and time that callers can take.
 type Limits struct {
-	// MaxBody is the largest request body in bytes.
-	MaxBody int64
-	// MaxHeld is how many bytes of request bodies are held at once.
-	MaxHeld int64
-	// MaxOpen is how many requests are open at once, MaxOpenOrganisation how
+	// MaxBodyBytes is the largest request body in bytes.
+	MaxBodyBytes int64
+	// MaxBufferedBytes is how many bytes of request bodies are held at once.
+	MaxBufferedBytes int64
+	// MaxInFlight is how many requests are open at once, MaxOpenOrganisation how
 	// many of one organisation.
-	MaxOpen             int
-	MaxOpenOrganisation int
-	// MaxAnswer is the largest completion in bytes of text. It is held in memory
+	MaxInFlight                int
+	MaxInFlightPerOrganisation int
+	// MaxCompletionBytes is the largest completion in bytes of text. It is held in memory
 	// until the request ends, because a resume has to repeat it.
-	MaxAnswer int
+	MaxCompletionBytes int
 	// DefaultMaxTokens is used when a caller names no limit.
 	DefaultMaxTokens int
-	// TokenStall is how long an endpoint may pause within a stream before the
+	// TokenTimeout is how long an endpoint may pause within a stream before the
 	// attempt counts as broken.
-	TokenStall time.Duration
-	// WriteStall is how long a caller may take no data before it is cut off.
-	WriteStall time.Duration
-	// ReadStall bounds how long a caller may take to send its request.
-	ReadStall time.Duration
-	// CancelWait bounds how long a cancelled attempt's slot stays accounted
+	TokenTimeout time.Duration
+	// WriteTimeout is how long a caller may take no data before it is cut off.
+	WriteTimeout time.Duration
+	// ReadTimeout bounds how long a caller may take to send its request.
+	ReadTimeout time.Duration
+	// CancelTimeout bounds how long a cancelled attempt's slot stays accounted
 	// when the endpoint does not confirm.
-	CancelWait time.Duration
-	// SettleWait bounds how long a failing answer waits until it is known whether an
+	CancelTimeout time.Duration
+	// CrashCheckTimeout bounds how long a failing answer waits until it is known whether an
 	// endpoint has crashed: one that hangs, or is cut off, answers nothing.
-	SettleWait time.Duration
-	// ClaimWait bounds each question to the control state.
-	ClaimWait time.Duration
-	// LostAfter is how long after its timeout a request is ended that the
+	CrashCheckTimeout time.Duration
+	// ClaimTimeout bounds each question to the control state.
+	ClaimTimeout time.Duration
+	// DeadlineGrace is how long after its timeout a request is ended that the
 	// router did not end.
-	LostAfter time.Duration
-	// DrainServe is how long new requests are still served after the balancer
+	DeadlineGrace time.Duration
+	// DrainDelay is how long new requests are still served after the balancer
 	// is told that the instance is not ready.
-	DrainServe time.Duration
+	DrainDelay time.Duration
 }
 
 // DefaultLimits are the limits used for fields that are zero.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxBody:             8 << 20,
-		MaxHeld:             64 << 20,
-		MaxOpen:             4096,
-		MaxOpenOrganisation: 1024,
-		MaxAnswer:           4 << 20,
-		DefaultMaxTokens:    256,
-		TokenStall:          10 * time.Second,
-		WriteStall:          30 * time.Second,
-		ReadStall:           30 * time.Second,
-		CancelWait:          2 * time.Second,
-		SettleWait:          time.Second,
-		ClaimWait:           2 * time.Second,
-		LostAfter:           5 * time.Second,
-		DrainServe:          5 * time.Second,
+		MaxBodyBytes:               8 << 20,
+		MaxBufferedBytes:           64 << 20,
+		MaxInFlight:                4096,
+		MaxInFlightPerOrganisation: 1024,
+		MaxCompletionBytes:         4 << 20,
+		DefaultMaxTokens:           256,
+		TokenTimeout:               10 * time.Second,
+		WriteTimeout:               30 * time.Second,
+		ReadTimeout:                30 * time.Second,
+		CancelTimeout:              2 * time.Second,
+		CrashCheckTimeout:          time.Second,
+		ClaimTimeout:               2 * time.Second,
+		DeadlineGrace:              5 * time.Second,
+		DrainDelay:                 5 * time.Second,
 	}
 }
 
 // Options are what a Server is made of.
 type Options struct {
 	Instance tables.InstanceID
-	// Boot tells this life of the instance from others in request identities.
-	Boot    string
-	Router  Decider
+	// BootID tells this life of the instance from others in request identities.
+	BootID  string
+	Router  Router
 	Client  engine.Client
-	Claimer Claimer
+	Claims  ClaimStore
 	Metrics Metrics
 	Log     *zap.Logger
-	// Share notifies the other instances of what the router suspects; nil means
+	// BroadcastSuspects notifies the other instances of what the router suspects; nil means
 	// that there are none. It must not block. The channel that it returns is closed
 	// once they are notified, or after a bounded time.
-	Share func([]quarantine.Suspect) (notified <-chan struct{})
-	// PassOn tells the other instances where prefixes were placed; nil means
+	BroadcastSuspects func([]quarantine.Suspect) (notified <-chan struct{})
+	// GossipPlacements tells the other instances where prefixes were placed; nil means
 	// that there are none. The slice is reused. It must not block.
-	PassOn func([]router.PeerPlacement)
+	GossipPlacements func([]router.PeerPlacement)
 	// Now reads the process's monotonic clock.
 	Now    func() tables.Instant
 	Limits Limits
--- a/entry/placementgossip_test.go
+++ b/entry/placementgossip_test.go
@@ -17,7 +17,7 @@
 func TestPlacementsArePassedOn(t *testing.T) {
 	told := make(chan int, 8)
 	r := newRig(t, func(o *Options) {
-		o.PassOn = func(placements []router.PeerPlacement) { told <- len(placements) }
+		o.GossipPlacements = func(placements []router.PeerPlacement) { told <- len(placements) }
 	})
 	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		tokens := make(chan engine.Token, 1)
--- a/entry/responsereader.go
+++ b/entry/responsereader.go
@@ -69,8 +69,8 @@
 			continue
 		}
 		text, fresh := r.accept(token)
-		if fresh && r.flight.size > r.flight.server.limits.MaxAnswer {
-			r.lose(&tooLong{limit: r.flight.server.limits.MaxAnswer})
+		if fresh && r.flight.size > r.flight.server.limits.MaxCompletionBytes {
+			r.lose(&tooLong{limit: r.flight.server.limits.MaxCompletionBytes})
 			return "", elsewhere(r.flight.row.ID, tables.CodeEndpointFailed, 0)
 		}
 		if fresh {
@@ -112,10 +112,10 @@
 	r.pending = !o.whole
 	f.won.Store(o.attempt)
 	if o.attempt.dispatch.ResumeFrom > 0 {
-		f.server.metrics.CountResumed(f.row.Organisation)
+		f.server.metrics.CountResumedStream(f.row.Organisation)
 	}
 	a := o.attempt
-	limit := f.server.limits.TokenStall
+	limit := f.server.limits.TokenTimeout
 	r.stall = time.AfterFunc(limit, func() { a.cancel(&stalled{after: limit}) })
 	r.stall.Stop()
 }
@@ -129,7 +129,7 @@
 	if r.current.whole {
 		return engine.Token{}, io.EOF
 	}
-	r.stall.Reset(r.flight.server.limits.TokenStall)
+	r.stall.Reset(r.flight.server.limits.TokenTimeout)
 	token, err := r.current.stream.Next()
 	r.stall.Stop()
 	return token, err
@@ -164,7 +164,7 @@
 	if index == 0 {
 		f.server.metrics.ObserveTTFT(f.row.Organisation, f.row.Profile, f.profile.Priority, now-f.row.Arrived)
 	} else {
-		f.server.metrics.ObserveTokenGap(f.row.Organisation, f.profile.Priority, now-r.last)
+		f.server.metrics.ObserveTimeBetweenTokens(f.row.Organisation, f.profile.Priority, now-r.last)
 	}
 	r.last = now
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -26,7 +26,7 @@
 	instance tables.InstanceID
 	boot     string
 	client   engine.Client
-	claimer  Claimer
+	claimer  ClaimStore
 	metrics  Metrics
 	log      *zap.Logger
 	now      func() tables.Instant
@@ -52,21 +52,21 @@
 func New(o Options) (*Server, error) {
 	s := &Server{
 		instance: o.Instance,
-		boot:     o.Boot,
+		boot:     o.BootID,
 		client:   o.Client,
-		claimer:  o.Claimer,
+		claimer:  o.Claims,
 		metrics:  o.Metrics,
 		log:      o.Log,
 		now:      o.Now,
-		share:    o.Share,
+		share:    o.BroadcastSuspects,
 		limits:   o.Limits.withDefaults(),
 		inbox:    make(chan message, inbox),
 		stopped:  make(chan struct{}),
 	}
-	s.gate = gate.New(s.limits.DrainServe)
-	s.quota = newQuota(s.limits.MaxOpenOrganisation)
+	s.gate = gate.New(s.limits.DrainDelay)
+	s.quota = newQuota(s.limits.MaxInFlightPerOrganisation)
 	if s.metrics == nil {
-		s.metrics = NoMetrics{}
+		s.metrics = NopMetrics{}
 	}
 	if s.log == nil {
 		s.log = zap.NewNop()
@@ -87,7 +87,7 @@
 	l := &loop{
 		server:  s,
 		router:  o.Router,
-		passOn:  o.PassOn,
+		passOn:  o.GossipPlacements,
 		flights: map[tables.RequestID]*flight{},
 		running: map[tables.AttemptID]*attempt{},
 	}
@@ -128,7 +128,7 @@
 
 // noteFailure logs and counts a final failure.
 func (s *Server) noteFailure(org tables.OrganisationID, failure *outcome.Failure) {
-	s.metrics.CountRefused(org, failure.Code, failure.Outcome())
+	s.metrics.CountFailure(org, failure.Code, failure.Outcome())
 	events.RequestFailed.Log(s.log,
 		zap.String("request", string(failure.Request)),
 		zap.Uint16("code", uint16(failure.Code)),
@@ -149,20 +149,20 @@
 // withDefaults fills the fields that are zero.
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
-	fill(&l.MaxBody, d.MaxBody)
-	fill(&l.MaxHeld, d.MaxHeld)
-	fill(&l.MaxOpen, d.MaxOpen)
-	fill(&l.MaxOpenOrganisation, d.MaxOpenOrganisation)
-	fill(&l.MaxAnswer, d.MaxAnswer)
+	fill(&l.MaxBodyBytes, d.MaxBodyBytes)
+	fill(&l.MaxBufferedBytes, d.MaxBufferedBytes)
+	fill(&l.MaxInFlight, d.MaxInFlight)
+	fill(&l.MaxInFlightPerOrganisation, d.MaxInFlightPerOrganisation)
+	fill(&l.MaxCompletionBytes, d.MaxCompletionBytes)
 	fill(&l.DefaultMaxTokens, d.DefaultMaxTokens)
-	fill(&l.TokenStall, d.TokenStall)
-	fill(&l.WriteStall, d.WriteStall)
-	fill(&l.ReadStall, d.ReadStall)
-	fill(&l.CancelWait, d.CancelWait)
-	fill(&l.SettleWait, d.SettleWait)
-	fill(&l.ClaimWait, d.ClaimWait)
-	fill(&l.LostAfter, d.LostAfter)
-	fill(&l.DrainServe, d.DrainServe)
+	fill(&l.TokenTimeout, d.TokenTimeout)
+	fill(&l.WriteTimeout, d.WriteTimeout)
+	fill(&l.ReadTimeout, d.ReadTimeout)
+	fill(&l.CancelTimeout, d.CancelTimeout)
+	fill(&l.CrashCheckTimeout, d.CrashCheckTimeout)
+	fill(&l.ClaimTimeout, d.ClaimTimeout)
+	fill(&l.DeadlineGrace, d.DeadlineGrace)
+	fill(&l.DrainDelay, d.DrainDelay)
 	return l
 }
 
--- a/forward/metrics.go
+++ b/forward/metrics.go
@@ -41,7 +41,7 @@
 // observeEventGap observes the time between two events of a stream.
 func (m *requestMetrics) observeEventGap(c *clientRequest, took time.Duration) {
 	if m != nil {
-		m.requests.ObserveTokenGap(c.organisationID(), c.priorityClass(), took)
+		m.requests.ObserveTimeBetweenTokens(c.organisationID(), c.priorityClass(), took)
 	}
 }
 
@@ -95,7 +95,7 @@
 // countFailed counts a request that ended without a complete response of an endpoint.
 func (m *requestMetrics) countFailed(c *clientRequest, code tables.ErrorCode, result tables.Outcome) {
 	if m != nil {
-		m.requests.CountRefused(c.organisationID(), code, result)
+		m.requests.CountFailure(c.organisationID(), code, result)
 	}
 }
 
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -19,7 +19,7 @@
 	requests := NewRequests(registry)
 	requests.ObserveTTFT("o1", "p", tables.Urgent, 300*time.Microsecond)
 	requests.ObserveTTFT("o1", "p", tables.Urgent, time.Hour*2)
-	requests.CountRefused("o1", tables.CodeOverloaded, tables.OutcomeNotRun)
+	requests.CountFailure("o1", tables.CodeOverloaded, tables.OutcomeNotRun)
 	var b strings.Builder
 	assert.NilError(t, registry.WriteText(&b))
 	for _, line := range []string{
@@ -84,7 +84,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for i := range 500 {
-				requests.ObserveHit(tables.OrganisationID(fmt.Sprintf("o%d", i%7)), tables.Urgent, 1, 2)
+				requests.ObservePrefixHitRatio(tables.OrganisationID(fmt.Sprintf("o%d", i%7)), tables.Urgent, 1, 2)
 			}
 		})
 	}
--- a/metrics/requests.go
+++ b/metrics/requests.go
@@ -108,8 +108,8 @@
 	r.organisation(org).ttft.Update(d.Microseconds())
 }
 
-// ObserveTokenGap takes the time between two tokens of one stream.
-func (r *Requests) ObserveTokenGap(org tables.OrganisationID, p tables.Priority, d time.Duration) {
+// ObserveTimeBetweenTokens takes the time between two tokens of one stream.
+func (r *Requests) ObserveTimeBetweenTokens(org tables.OrganisationID, p tables.Priority, d time.Duration) {
 	r.class(p).gap.Update(d.Microseconds())
 	r.organisation(org).gap.Update(d.Microseconds())
 }
@@ -120,9 +120,9 @@
 	r.organisation(org).wait.Update(d.Microseconds())
 }
 
-// ObserveHit takes how many prompt tokens came from a cache, of how many.
+// ObservePrefixHitRatio takes how many prompt tokens came from a cache, of how many.
 // Prompts without tokens are not counted.
-func (r *Requests) ObserveHit(org tables.OrganisationID, p tables.Priority, cached, total int) {
+func (r *Requests) ObservePrefixHitRatio(org tables.OrganisationID, p tables.Priority, cached, total int) {
 	if total <= 0 {
 		return
 	}
@@ -131,9 +131,9 @@
 	r.organisation(org).hit.Update(millionths)
 }
 
-// CountRefused counts failures by number and outcome. The organisation is not a
+// CountFailure counts failures by number and outcome. The organisation is not a
 // label here: numbers times organisations would have no useful bound.
-func (r *Requests) CountRefused(_ tables.OrganisationID, code tables.ErrorCode, o tables.Outcome) {
+func (r *Requests) CountFailure(_ tables.OrganisationID, code tables.ErrorCode, o tables.Outcome) {
 	r.registry.Counter(familyFailed, "Requests that got no answer.",
 		Label{"code", strconv.Itoa(int(code))}, Label{"outcome", string(o)}).Inc(1)
 }
@@ -144,7 +144,7 @@
 		Label{"reason", reason}).Inc(1)
 }
 
-// CountResumed counts streams that went on at another endpoint.
-func (r *Requests) CountResumed(tables.OrganisationID) {
+// CountResumedStream counts streams that went on at another endpoint.
+func (r *Requests) CountResumedStream(tables.OrganisationID) {
 	r.registry.Counter(familyResumed, "Streams that went on at another endpoint.").Inc(1)
 }
