--- a/entry/api.go
+++ b/entry/api.go
@@ -24,88 +24,88 @@
 	return o
 }
 
-// security turns bearer tokens into organisations.
-type security struct{ server *Server }
+// authenticator turns bearer tokens into organisations.
+type authenticator struct{ server *Server }
 
 // HandleBearer finds the organisation of a token.
-func (s *security) HandleBearer(ctx context.Context, _ oas.OperationName, t oas.Bearer) (context.Context, error) {
-	if o := s.server.directory.Load().organisation(t.Token); o != nil {
+func (s *authenticator) HandleBearer(ctx context.Context, _ oas.OperationName, t oas.Bearer) (context.Context, error) {
+	if o := s.server.configIndex.Load().organisationByToken(t.Token); o != nil {
 		return context.WithValue(ctx, organisationKey{}, o), nil
 	}
 	return ctx, notRun("", tables.CodeUnauthorised, 0)
 }
 
-// api implements the generated interface.
-type api struct{ server *Server }
+// apiHandler implements the generated interface.
+type apiHandler struct{ server *Server }
 
 // CreateCompletion answers POST /v1/completions.
-func (a *api) CreateCompletion(ctx context.Context, req *oas.CompletionRequest, p oas.CreateCompletionParams) (oas.CreateCompletionRes, error) {
-	ask := completionAsk{
+func (a *apiHandler) CreateCompletion(ctx context.Context, req *oas.CompletionRequest, p oas.CreateCompletionParams) (oas.CreateCompletionRes, error) {
+	ask := completionParams{
 		profile: p.XProfile.Or(""), model: req.Model.Or(""), key: p.IdempotencyKey.Or(""),
 		prompt: req.Prompt, maxTokens: req.MaxTokens.Or(a.server.limits.DefaultMaxTokens), stream: req.Stream.Or(false),
 	}
-	source, f, err := a.server.complete(ctx, ask)
+	source, f, err := a.server.startCompletion(ctx, ask)
 	if err != nil {
 		return nil, err
 	}
 	created := time.Now().Unix()
 	if req.Stream.Or(false) {
-		stream, err := a.server.openStream(source, f, newShape(f.row.ID, modelName(f.profile), created, false))
+		stream, err := a.server.openStream(source, f, newEventTemplate(f.spec.ID, modelName(f.profile), created, false))
 		if err != nil {
 			return nil, err
 		}
 		return &oas.CreateCompletionOKTextEventStream{Data: stream}, nil
 	}
 	defer source.close()
-	text, tokens, err := source.text()
+	text, tokens, err := source.readAll()
 	if err != nil {
 		return nil, err
 	}
 	return &oas.Completion{
-		ID: string(f.row.ID), Object: "text_completion", Created: created, Model: modelName(f.profile),
+		ID: string(f.spec.ID), Object: "text_completion", Created: created, Model: modelName(f.profile),
 		Choices: []oas.CompletionChoicesItem{{Text: text, FinishReason: source.finishReason()}},
-		Usage:   usageOf(f, tokens),
+		Usage:   tokenUsage(f, tokens),
 	}, nil
 }
 
 // CreateChatCompletion answers POST /v1/chat/completions.
-func (a *api) CreateChatCompletion(ctx context.Context, req *oas.ChatRequest, p oas.CreateChatCompletionParams) (oas.CreateChatCompletionRes, error) {
-	ask := completionAsk{
+func (a *apiHandler) CreateChatCompletion(ctx context.Context, req *oas.ChatRequest, p oas.CreateChatCompletionParams) (oas.CreateChatCompletionRes, error) {
+	ask := completionParams{
 		profile: p.XProfile.Or(""), model: req.Model.Or(""), key: p.IdempotencyKey.Or(""),
 		prompt: chatPrompt(req.Messages), maxTokens: req.MaxTokens.Or(a.server.limits.DefaultMaxTokens), stream: req.Stream.Or(false),
 	}
-	source, f, err := a.server.complete(ctx, ask)
+	source, f, err := a.server.startCompletion(ctx, ask)
 	if err != nil {
 		return nil, err
 	}
 	created := time.Now().Unix()
 	if req.Stream.Or(false) {
-		stream, err := a.server.openStream(source, f, newShape(f.row.ID, modelName(f.profile), created, true))
+		stream, err := a.server.openStream(source, f, newEventTemplate(f.spec.ID, modelName(f.profile), created, true))
 		if err != nil {
 			return nil, err
 		}
 		return &oas.CreateChatCompletionOKTextEventStream{Data: stream}, nil
 	}
 	defer source.close()
-	text, tokens, err := source.text()
+	text, tokens, err := source.readAll()
 	if err != nil {
 		return nil, err
 	}
 	message := oas.Message{Role: oas.MessageRoleAssistant, Content: text}
 	return &oas.ChatCompletion{
-		ID: string(f.row.ID), Object: "chat.completion", Created: created, Model: modelName(f.profile),
+		ID: string(f.spec.ID), Object: "chat.completion", Created: created, Model: modelName(f.profile),
 		Choices: []oas.ChatCompletionChoicesItem{{Message: message, FinishReason: source.finishReason()}},
-		Usage:   usageOf(f, tokens),
+		Usage:   tokenUsage(f, tokens),
 	}, nil
 }
 
 // CallService answers POST /v1/services/{service}/{call}.
-func (a *api) CallService(ctx context.Context, req oas.CallServiceReq, p oas.CallServiceParams) (*oas.CallServiceOKHeaders, error) {
+func (a *apiHandler) CallService(ctx context.Context, req oas.CallServiceReq, p oas.CallServiceParams) (*oas.CallServiceOKHeaders, error) {
 	content, err := io.ReadAll(req)
 	if err != nil {
-		return nil, a.server.unreadable(err)
+		return nil, a.server.decodeFailure(err)
 	}
-	answer, err := a.server.callService(ctx, serviceAsk{
+	answer, err := a.server.callService(ctx, serviceCallParams{
 		profile: p.XProfile.Or(""), service: p.Service, call: p.Call, key: p.IdempotencyKey.Or(""), body: content,
 	})
 	if err != nil {
@@ -118,11 +118,11 @@
 }
 
 // ListModels answers GET /v1/models with what the organisation may use.
-func (a *api) ListModels(ctx context.Context) (*oas.ModelList, error) {
-	o, d := organisationOf(ctx), a.server.directory.Load()
+func (a *apiHandler) ListModels(ctx context.Context) (*oas.ModelList, error) {
+	o, index := organisationOf(ctx), a.server.configIndex.Load()
 	names := map[string]bool{}
-	for _, p := range d.order {
-		if p.Kind == tables.Engine && mayUse(o, p.Name) {
+	for _, p := range index.profileList {
+		if p.Kind == tables.Engine && mayUseProfile(o, p.Name) {
 			names[modelName(p)] = true
 		}
 	}
@@ -135,14 +135,14 @@
 }
 
 // NewError renders the failures of the methods above.
-func (a *api) NewError(ctx context.Context, err error) *oas.FailureStatusCodeWithHeaders {
+func (a *apiHandler) NewError(ctx context.Context, err error) *oas.FailureStatusCodeWithHeaders {
 	failure := a.server.failureOf(err)
 	org := tables.OrganisationID("")
 	if o := organisationOf(ctx); o != nil {
 		org = o.ID
 	}
-	a.server.noteFailure(org, failure)
-	return response(failure)
+	a.server.recordFailure(org, failure)
+	return failureResponse(failure)
 }
 
 // failureOf turns an error into what the caller is told. An error that is not
@@ -156,15 +156,15 @@
 	if errors.As(err, &denied) {
 		return notRun("", tables.CodeUnauthorised, 0)
 	}
-	return elsewhere("", tables.CodeInternal, 0)
+	return unknownOutcome("", tables.CodeInternal, 0)
 }
 
-// unreadable is for a request whose body could not be read or understood:
+// decodeFailure is for a request whose body could not be read or understood:
 // nothing was started for it.
-func (s *Server) unreadable(err error) *outcome.Failure {
-	var full *heldFull
+func (s *Server) decodeFailure(err error) *outcome.Failure {
+	var full *bufferFullError
 	if errors.As(err, &full) {
-		return notRun("", tables.CodeOverloaded, retryFull)
+		return notRun("", tables.CodeOverloaded, retryAfterOverload)
 	}
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
@@ -178,20 +178,20 @@
 	return failure
 }
 
-// rejected answers requests that the generated code could not decode. Failures
+// handleDecodeError answers requests that the generated code could not decode. Failures
 // to write an answer come here too; then nobody is left to tell.
-func (s *Server) rejected(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
+func (s *Server) handleDecodeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	var params *ogenerrors.DecodeParamsError
 	var request *ogenerrors.DecodeRequestError
 	if !errors.As(err, &params) && !errors.As(err, &request) {
 		return
 	}
-	failure := s.unreadable(err)
+	failure := s.decodeFailure(err)
 	org := tables.OrganisationID("")
 	if o := organisationOf(ctx); o != nil {
 		org = o.ID
 	}
-	s.noteFailure(org, failure)
+	s.recordFailure(org, failure)
 	writeFailure(w, failure)
 }
 
@@ -199,28 +199,28 @@
 	writeFailure(w, notRun("", tables.CodeUnknownRoute, 0))
 }
 
-func (s *Server) notAllowed(w http.ResponseWriter, _ *http.Request, allowed string) {
+func (s *Server) methodNotAllowed(w http.ResponseWriter, _ *http.Request, allowed string) {
 	w.Header().Set("Allow", allowed)
 	writeFailure(w, notRun("", tables.CodeUnknownRoute, 0))
 }
 
 // openStream waits for the first event of a stream, so that a failure before
 // it still gets its own HTTP status.
-func (s *Server) openStream(source source, f *flight, shape shape) (*eventStream, error) {
-	stream := &eventStream{source: source, shape: shape}
-	stream.failed = func(failure *outcome.Failure) { s.noteFailure(f.row.Organisation, failure) }
-	if err := stream.prime(); err != nil {
+func (s *Server) openStream(source completionSource, f *inFlight, template eventTemplate) (*eventStream, error) {
+	stream := &eventStream{source: source, template: template}
+	stream.onFailure = func(failure *outcome.Failure) { s.recordFailure(f.spec.Organisation, failure) }
+	if err := stream.renderFirst(); err != nil {
 		source.close()
 		return nil, err
 	}
 	return stream, nil
 }
 
-// usageOf counts a completion's tokens.
-func usageOf(f *flight, tokens int) oas.Usage {
+// tokenUsage counts a completion's tokens.
+func tokenUsage(f *inFlight, tokens int) oas.Usage {
 	return oas.Usage{
-		PromptTokens:     f.row.PromptTokens,
+		PromptTokens:     f.spec.PromptTokens,
 		CompletionTokens: tokens,
-		TotalTokens:      f.row.PromptTokens + tokens,
+		TotalTokens:      f.spec.PromptTokens + tokens,
 	}
 }
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -21,7 +21,7 @@
 	return f.Error
 }
 
-func TestBadRequestsStartNothing(t *testing.T) {
+func TestInvalidRequestsAreNotDispatched(t *testing.T) {
 	const completions = "/v1/completions"
 	for _, c := range []struct {
 		name    string
@@ -47,36 +47,36 @@
 		{"unknown profile", completions, `{"prompt":"p"}`, []string{"X-Profile", "x"}, 404, tables.CodeUnknownProfile},
 		{"profile of services", completions, `{"prompt":"p"}`, []string{"X-Profile", "notes"}, 404, tables.CodeUnknownProfile},
 		{"unknown model", completions, `{"model":"x","prompt":"p"}`, nil, 404, tables.CodeUnknownModel},
-		{"unknown service", "/v1/services/x/read", `b`, []string{"Content-Type", typeData}, 404, tables.CodeUnknownService},
-		{"no key", "/v1/services/press/publish", `b`, []string{"Content-Type", typeData}, 400, tables.CodeKeyMissing},
+		{"unknown service", "/v1/services/x/read", `b`, []string{"Content-Type", contentTypeBinary}, 404, tables.CodeUnknownService},
+		{"no key", "/v1/services/press/publish", `b`, []string{"Content-Type", contentTypeBinary}, 400, tables.CodeKeyMissing},
 		{"unknown route", "/v2/completions", `{}`, nil, 404, tables.CodeUnknownRoute},
 		{"wrong method", "/v1/models", `{}`, nil, 404, tables.CodeUnknownRoute},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, func(o *Options) { o.Limits.MaxBodyBytes = 4096 })
+			r := newHarness(t, func(o *Options) { o.Limits.MaxBodyBytes = 4096 })
 			resp := r.post(t, t.Context(), c.path, c.body, c.headers...)
 			content := read(t, resp)
 			assert.Equal(t, resp.StatusCode, c.status, content)
 			failure := failureIn(t, content)
 			assert.Equal(t, tables.ErrorCode(failure.Code), c.code, content)
 			assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
-			assert.Equal(t, len(r.client.seen()), 0)
+			assert.Equal(t, len(r.client.received()), 0)
 			assert.Equal(t, len(r.client.calls), 0)
 		})
 	}
 }
 
-func TestEveryCodeIsExplained(t *testing.T) {
-	for code, e := range explanations {
+func TestEveryErrorCodeHasStatusAndMessage(t *testing.T) {
+	for code, e := range errorResponses {
 		assert.Assert(t, e.status >= 400 && e.message != "", "code %d", code)
 	}
-	assert.Equal(t, explain(1).message, explain(tables.CodeInternal).message)
+	assert.Equal(t, errorResponseFor(1).message, errorResponseFor(tables.CodeInternal).message)
 }
 
 // Many callers send large prompts at the same moment. The instance must not run
 // out of memory; those beyond the bound are told to come back.
-func TestHeldBodiesAreBounded(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.MaxBufferedBytes = 1000 })
+func TestBufferedBodiesAreBounded(t *testing.T) {
+	r := newHarness(t, func(o *Options) { o.Limits.MaxBufferedBytes = 1000 })
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"`+strings.Repeat("p", 2000)+`"}`)
 	content := read(t, resp)
 	assert.Equal(t, resp.StatusCode, 503, content)
@@ -84,12 +84,12 @@
 	assert.Equal(t, tables.ErrorCode(failure.Code), tables.CodeOverloaded)
 	assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
 	assert.Assert(t, resp.Header.Get("Retry-After") != "")
-	assert.Equal(t, r.server.held.Load(), int64(0))
+	assert.Equal(t, r.server.bufferedBytes.Load(), int64(0))
 }
 
-func TestWholeAnswers(t *testing.T) {
-	r := newRig(t, nil)
-	r.client.generate = []script{r.client.says([]string{"Hel", "lo"}, nil)}
+func TestCompletionResponses(t *testing.T) {
+	r := newHarness(t, nil)
+	r.client.generate = []generateFunc{r.client.respondWith([]string{"Hel", "lo"}, nil)}
 	content := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","max_tokens":2}`))
 	var whole oas.Completion
 	assert.NilError(t, json.Unmarshal([]byte(content), &whole), content)
@@ -103,7 +103,7 @@
 	var chat oas.ChatCompletion
 	assert.NilError(t, json.Unmarshal([]byte(content), &chat), content)
 	assert.Equal(t, chat.Choices[0].Message.Content, "Hello")
-	requests := r.client.seen()
+	requests := r.client.received()
 	assert.Equal(t, requests[1].Prompt, "system: style\nuser: hi\nassistant: ")
 	assert.Equal(t, requests[1].Salt, "press")
 
@@ -111,7 +111,7 @@
 		`{"stream":true,"messages":[{"role":"user","content":"hi"}]}`))
 	assert.Assert(t, strings.Contains(content, `"delta":{"role":"assistant","content":""}`), content)
 	assert.Assert(t, strings.Contains(content, `"delta":{"content":"Hel"},"finish_reason":null`), content)
-	assert.Assert(t, strings.HasSuffix(content, `"delta":{},"finish_reason":"stop"}]}`+"\n\n"+endMark), content)
+	assert.Assert(t, strings.HasSuffix(content, `"delta":{},"finish_reason":"stop"}]}`+"\n\n"+doneEvent), content)
 	for _, event := range strings.Split(strings.TrimSuffix(content, "\n\n"), "\n\n") {
 		data := strings.TrimPrefix(event, "data: ")
 		assert.Assert(t, data == "[DONE]" || json.Valid([]byte(data)), data)
@@ -119,7 +119,7 @@
 }
 
 func TestModelsAndServices(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	req, err := http.NewRequest(http.MethodGet, r.url+"/v1/models", nil)
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer "+testToken)
@@ -133,7 +133,7 @@
 			return engine.CallResponse{Attempt: q.Attempt, Boot: "b", Status: 404, Body: append([]byte("no "), q.Body...)}, nil
 		},
 	}
-	resp = r.post(t, t.Context(), "/v1/services/notes/read", "7", "Content-Type", typeData)
+	resp = r.post(t, t.Context(), "/v1/services/notes/read", "7", "Content-Type", contentTypeBinary)
 	assert.Equal(t, read(t, resp), "no 7")
 	assert.Equal(t, resp.StatusCode, 200)
 	assert.Equal(t, resp.Header.Get("X-Service-Status"), "404")
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// cancelPause is the time between two questions whether an attempt has
+	// cancelRetryInterval is the time between two questions whether an attempt has
 	// ended.
-	cancelPause = 100 * time.Millisecond
-	// cancelGrace is how long a caller waits for an endpoint's word on the end
+	cancelRetryInterval = 100 * time.Millisecond
+	// crashCheckGrace is how long a caller waits for an endpoint's word on the end
 	// of a broken attempt before the next one. A crash shows within it.
-	cancelGrace = 200 * time.Millisecond
+	crashCheckGrace = 200 * time.Millisecond
 )
 
 // run takes the attempt to its first token, or to a plain service's whole
 // answer, and hands it to the goroutine that serves the caller.
 func (a *attempt) run() {
-	if !a.permitted() {
+	if !a.mayDispatch() {
 		return
 	}
-	if a.flight.call != nil {
-		a.runCall()
+	if a.request.call != nil {
+		a.runServiceCall()
 		return
 	}
-	a.runGenerate()
+	a.runCompletion()
 }
 
-func (a *attempt) runGenerate() {
-	f := a.flight
+func (a *attempt) runCompletion() {
+	f := a.request
 	delivered, emitted := f.progress()
 	stream, err := f.server.client.Generate(a.ctx, a.dispatch.Endpoint.Address, engine.GenerateRequest{
 		Attempt:    a.dispatch.Attempt,
@@ -46,43 +46,43 @@
 		Adapter:    f.profile.Adapter,
 		Weights:    a.dispatch.Weights,
 		Prompt:     f.prompt,
-		MaxTokens:  f.row.MaxTokens,
+		MaxTokens:  f.spec.MaxTokens,
 		Priority:   a.dispatch.Priority,
-		Salt:       string(f.row.Organisation),
+		Salt:       string(f.spec.Organisation),
 		ResumeFrom: delivered,
 		Emitted:    emitted,
 	})
 	if err != nil {
-		a.fail(err)
+		a.failWithoutStream(err)
 		return
 	}
 	accepted := stream.Accepted()
-	if err := a.check(accepted); err != nil {
-		a.abandon(stream, err, 0)
+	if err := a.verifyAccepted(accepted); err != nil {
+		a.abortStream(stream, err, 0)
 		return
 	}
 	f.server.Observe(router.AttemptStarted{Attempt: accepted.Attempt, Boot: accepted.Boot, Weights: accepted.Weights})
 	token, err := stream.Next()
 	if err != nil && err != io.EOF {
-		a.abandon(stream, err, 0)
+		a.abortStream(stream, err, 0)
 		return
 	}
 	f.server.Observe(router.FirstToken{Attempt: accepted.Attempt, CachedTokens: accepted.CachedTokens})
-	f.server.metrics.ObservePrefixHitRatio(f.row.Organisation, f.profile.Priority, accepted.CachedTokens, f.row.PromptTokens)
-	a.offer(&opened{attempt: a, stream: stream, first: token, whole: err == io.EOF})
+	f.server.metrics.ObservePrefixHitRatio(f.spec.Organisation, f.profile.Priority, accepted.CachedTokens, f.spec.PromptTokens)
+	a.deliver(&startedAttempt{attempt: a, stream: stream, firstToken: token, complete: err == io.EOF})
 }
 
-func (a *attempt) runCall() {
-	f := a.flight
+func (a *attempt) runServiceCall() {
+	f := a.request
 	call := *f.call
 	call.Attempt = a.dispatch.Attempt
 	answer, err := f.server.client.Call(a.ctx, a.dispatch.Endpoint.Address, call)
 	if err != nil {
-		a.fail(err)
+		a.failWithoutStream(err)
 		return
 	}
 	if answer.Attempt != a.dispatch.Attempt {
-		a.fail(&engine.MismatchError{
+		a.failWithoutStream(&engine.MismatchError{
 			Attempt: a.dispatch.Attempt, Field: "attempt",
 			Want: string(a.dispatch.Attempt), Got: string(answer.Attempt),
 		})
@@ -90,13 +90,13 @@
 	}
 	f.server.Observe(router.AttemptStarted{Attempt: a.dispatch.Attempt, Boot: answer.Boot})
 	f.server.Observe(router.FirstToken{Attempt: a.dispatch.Attempt})
-	a.offer(&opened{attempt: a, answer: answer, whole: true})
+	a.deliver(&startedAttempt{attempt: a, response: answer, complete: true})
 }
 
-// check compares what the endpoint says of itself with what was asked. Without
+// verifyAccepted compares what the endpoint says of itself with what was asked. Without
 // it an answer that crossed another's, or one from older weights, would reach
 // the caller.
-func (a *attempt) check(got engine.AcceptedEvent) error {
+func (a *attempt) verifyAccepted(got engine.AcceptedEvent) error {
 	id := a.dispatch.Attempt
 	if got.Attempt != id {
 		return &engine.MismatchError{Attempt: id, Field: "attempt", Want: string(id), Got: string(got.Attempt)}
@@ -107,49 +107,49 @@
 	return nil
 }
 
-// offer hands the attempt over, unless another has won or the caller is gone.
-func (a *attempt) offer(o *opened) {
+// deliver hands the attempt over, unless another has won or the caller is gone.
+func (a *attempt) deliver(o *startedAttempt) {
 	if o.stream == nil {
-		a.offerAnswer(o)
+		a.deliverServiceResponse(o)
 		return
 	}
 	select {
-	case a.flight.opened <- o:
+	case a.request.started <- o:
 	case <-a.ctx.Done():
-		if a.flight.won.Load() != nil {
-			a.flight.server.metrics.CountDropped(DroppedLate)
+		if a.request.winner.Load() != nil {
+			a.request.server.metrics.CountDropped(DroppedLate)
 		}
-		a.abandon(o.stream, context.Cause(a.ctx), 0)
+		a.abortStream(o.stream, context.Cause(a.ctx), 0)
 	}
 }
 
-// offerAnswer hands over a plain service's answer, which is whole, even if the
+// deliverServiceResponse hands over a plain service's answer, which is whole, even if the
 // attempt was aborted meanwhile. The router takes the end of the attempt for
 // that of the request: were the answer dropped because it crossed an abort, the
 // router would give no other, and the caller would wait for ever.
-func (a *attempt) offerAnswer(o *opened) {
-	f := a.flight
+func (a *attempt) deliverServiceResponse(o *startedAttempt) {
+	f := a.request
 	select {
-	case f.opened <- o:
+	case f.started <- o:
 	case <-f.ctx.Done():
-		if f.won.Load() != nil {
+		if f.winner.Load() != nil {
 			f.server.metrics.CountDropped(DroppedLate)
 		}
-		a.tell(router.AttemptEnded{Result: router.Completed}, nil)
+		a.reportEnd(router.AttemptEnded{Result: router.Completed}, nil)
 	}
 }
 
-// abandon closes a stream, which cancels the attempt at the endpoint, and
+// abortStream closes a stream, which cancels the attempt at the endpoint, and
 // reports its end.
-func (a *attempt) abandon(stream engine.Stream, err error, tokens int) {
-	a.broken(err, tokens, stream.Close)
+func (a *attempt) abortStream(stream engine.Stream, err error, tokens int) {
+	a.reportInterrupted(err, tokens, stream.Close)
 }
 
-// fail reports the end of an attempt that gave no stream.
-func (a *attempt) fail(err error) {
+// failWithoutStream reports the end of an attempt that gave no stream.
+func (a *attempt) failWithoutStream(err error) {
 	proof, ok := outcome.ProofFromError(err)
 	if !ok {
-		a.broken(err, 0, a.cancelAtEndpoint)
+		a.reportInterrupted(err, 0, a.cancelAtEndpoint)
 		return
 	}
 	end := router.NotStarted
@@ -162,46 +162,46 @@
 			end = router.Unreachable
 		}
 	}
-	a.tell(router.AttemptEnded{Result: end}, &proof)
+	a.reportEnd(router.AttemptEnded{Result: end}, &proof)
 }
 
-// broken reports the end of an attempt that may have run, after cancel has
+// reportInterrupted reports the end of an attempt that may have run, after cancel has
 // ended it at the endpoint as far as that can be done in time.
-func (a *attempt) broken(err error, tokens int, cancel func() error) {
-	s := a.flight.server
+func (a *attempt) reportInterrupted(err error, tokens int, cancel func() error) {
+	s := a.request.server
 	var mismatch *engine.MismatchError
 	if errors.As(err, &mismatch) {
 		s.metrics.CountDropped(DroppedMismatch)
-		events.AnswerMismatch.Log(s.log, a.fields(zap.String("field", mismatch.Field))...)
+		events.AnswerMismatch.Log(s.log, a.logFields(zap.String("field", mismatch.Field))...)
 	}
-	crashed, settling := a.crashes(cancel)
+	crashed, settling := a.detectCrash(cancel)
 	end := router.Interrupted
 	switch {
-	case a.unwanted():
+	case a.cancelledLocally():
 		end = router.Cancelled
 	case crashed:
 		end = router.Crashed
 	}
 	if end != router.Cancelled {
-		events.AttemptBroken.Log(s.log, a.fields(zap.Bool("crashed", crashed), zap.Error(err))...)
+		events.AttemptBroken.Log(s.log, a.logFields(zap.Bool("crashed", crashed), zap.Error(err))...)
 	}
-	a.report(ended{how: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, settling: settling})
+	a.postEnd(attemptEnded{input: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, crashCheck: settling})
 }
 
-// crashes cancels the attempt at its endpoint and says whether the endpoint's
+// detectCrash cancels the attempt at its endpoint and says whether the endpoint's
 // process is gone. An attempt that nobody wants any more waits for the
 // endpoint's word, so that its slot stays accounted until then. One whose
 // caller waits for another try does not wait long: an endpoint that hangs, or
 // is cut off, does not answer a cancel either, and the caller would sit through
 // every timeout before the next attempt begins. What is not known by then comes on
 // the channel.
-func (a *attempt) crashes(cancel func() error) (gone bool, settling <-chan bool) {
+func (a *attempt) detectCrash(cancel func() error) (gone bool, settling <-chan bool) {
 	crashed := make(chan bool, 1)
-	go func() { crashed <- a.settle(cancel) }()
-	if a.unwanted() {
+	go func() { crashed <- a.cancelAndCheckCrash(cancel) }()
+	if a.cancelledLocally() {
 		return <-crashed, nil
 	}
-	grace := time.NewTimer(cancelGrace)
+	grace := time.NewTimer(crashCheckGrace)
 	defer grace.Stop()
 	select {
 	case gone := <-crashed:
@@ -211,27 +211,27 @@
 	}
 }
 
-// settle cancels until the endpoint confirms or is known to be gone. A port
+// cancelAndCheckCrash cancels until the endpoint confirms or is known to be gone. A port
 // that refuses connections is how a crash shows first.
-func (a *attempt) settle(cancel func() error) bool {
+func (a *attempt) cancelAndCheckCrash(cancel func() error) bool {
 	err := cancel()
 	if err == nil {
 		return false
 	}
-	return errors.Is(err, syscall.ECONNREFUSED) || a.confirmCancel()
+	return errors.Is(err, syscall.ECONNREFUSED) || a.retryCancel()
 }
 
-// confirmCancel asks the endpoint again to cancel the attempt until it confirms
+// retryCancel asks the endpoint again to cancel the attempt until it confirms
 // or CancelWait has passed. It says whether the port refuses connections.
-func (a *attempt) confirmCancel() bool {
+func (a *attempt) retryCancel() bool {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
-	over := time.After(a.flight.server.limits.CancelTimeout)
+	over := time.After(a.request.server.limits.CancelTimeout)
 	for {
 		select {
 		case <-over:
 			return false
-		case <-a.flight.server.stopped:
+		case <-a.request.server.stopped:
 			return false
 		case <-pause.C:
 		}
@@ -242,42 +242,42 @@
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return true
 		}
-		pause.Reset(cancelPause)
+		pause.Reset(cancelRetryInterval)
 	}
 }
 
 func (a *attempt) cancelAtEndpoint() error {
-	ctx, cancel := context.WithTimeout(context.Background(), a.flight.server.limits.CancelTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), a.request.server.limits.CancelTimeout)
 	defer cancel()
-	return a.flight.server.client.Cancel(ctx, a.dispatch.Endpoint.Address, a.dispatch.Attempt)
+	return a.request.server.client.Cancel(ctx, a.dispatch.Endpoint.Address, a.dispatch.Attempt)
 }
 
-// unwanted says whether the attempt was cancelled on this side for a reason
+// cancelledLocally says whether the attempt was cancelled on this side for a reason
 // other than a stall of the endpoint.
-func (a *attempt) unwanted() bool {
+func (a *attempt) cancelledLocally() bool {
 	if a.ctx.Err() == nil {
 		return false
 	}
-	var stall *stalled
+	var stall *tokenTimeoutError
 	return !errors.As(context.Cause(a.ctx), &stall)
 }
 
-// tell reports the end of the attempt to the loop.
-func (a *attempt) tell(how router.AttemptEnded, proof *outcome.NotStartedProof) {
-	a.report(ended{how: how, proof: proof})
+// reportEnd reports the end of the attempt to the loop.
+func (a *attempt) reportEnd(how router.AttemptEnded, proof *outcome.NotStartedProof) {
+	a.postEnd(attemptEnded{input: how, proof: proof})
 }
 
-func (a *attempt) report(end ended) {
+func (a *attempt) postEnd(end attemptEnded) {
 	a.cancel(nil)
 	end.attempt = a
-	end.how.Attempt = a.dispatch.Attempt
-	end.how.DeliveredTokens, _ = a.flight.progress()
-	a.flight.server.tell(end)
+	end.input.Attempt = a.dispatch.Attempt
+	end.input.DeliveredTokens, _ = a.request.progress()
+	a.request.server.post(end)
 }
 
-func (a *attempt) fields(more ...zap.Field) []zap.Field {
+func (a *attempt) logFields(more ...zap.Field) []zap.Field {
 	return append(more,
-		zap.String("request", string(a.flight.row.ID)),
+		zap.String("request", string(a.request.spec.ID)),
 		zap.String("attempt", string(a.dispatch.Attempt)),
 		zap.String("endpoint", string(a.dispatch.Endpoint.ID)))
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -17,57 +17,57 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// pairs is a Decider that dispatches two attempts of each request at once and
+// hedgingRouter is a Decider that dispatches two attempts of each request at once and
 // keeps a record of how they ended.
-type pairs struct {
-	waiting []router.Action
-	ends    chan router.AttemptEnded
-	first   bool
+type hedgingRouter struct {
+	actions        []router.Action
+	ends           chan router.AttemptEnded
+	firstTokenSeen bool
 }
 
-func (p *pairs) Configure(tables.Instant, *tables.Configuration) {}
-func (p *pairs) Cancel(tables.Instant, tables.RequestID)         {}
-func (p *pairs) NextTick(now tables.Instant) tables.Instant      { return now + testWait }
+func (p *hedgingRouter) Configure(tables.Instant, *tables.Configuration) {}
+func (p *hedgingRouter) Cancel(tables.Instant, tables.RequestID)         {}
+func (p *hedgingRouter) NextTick(now tables.Instant) tables.Instant      { return now + testWait }
 
-func (p *pairs) Submit(_ tables.Instant, r *tables.Request) {
-	p.waiting = append(p.waiting,
+func (p *hedgingRouter) Submit(_ tables.Instant, r *tables.Request) {
+	p.actions = append(p.actions,
 		router.Dispatch{Request: r.ID, Attempt: "slow", Weights: "v1"},
 		router.Dispatch{Request: r.ID, Attempt: "fast", Weights: "v1", Hedge: true})
 }
 
-func (p *pairs) Observe(_ tables.Instant, in router.Input) {
+func (p *hedgingRouter) Observe(_ tables.Instant, in router.Input) {
 	switch in := in.(type) {
 	case router.FirstToken:
-		if !p.first {
-			p.first = true
+		if !p.firstTokenSeen {
+			p.firstTokenSeen = true
 			loser := tables.AttemptID("slow")
 			if in.Attempt == loser {
 				loser = "fast"
 			}
-			p.waiting = append(p.waiting, router.Abort{Attempt: loser})
+			p.actions = append(p.actions, router.Abort{Attempt: loser})
 		}
 	case router.AttemptEnded:
 		p.ends <- in
 	}
 }
 
-func (p *pairs) Tick(tables.Instant) []router.Action {
-	actions := p.waiting
-	p.waiting = nil
+func (p *hedgingRouter) Tick(tables.Instant) []router.Action {
+	actions := p.actions
+	p.actions = nil
 	return actions
 }
 
 // Two attempts run because the first is slow. The caller gets one of them,
 // whole; of the other it sees nothing, the endpoint is told to stop it, and its
 // slot counts as taken until the endpoint has confirmed.
-func TestOneAttemptWinsAndTheOtherIsCancelled(t *testing.T) {
-	p := &pairs{ends: make(chan router.AttemptEnded, 2)}
-	r := newRig(t, func(o *Options) { o.Router = p })
+func TestHedgeLoserIsCancelled(t *testing.T) {
+	p := &hedgingRouter{ends: make(chan router.AttemptEnded, 2)}
+	r := newHarness(t, func(o *Options) { o.Router = p })
 	begun := make(chan struct{})
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		if req.Attempt == "fast" {
 			<-begun
-			return r.client.says([]string{"a", "b"}, nil)(ctx, req)
+			return r.client.respondWith([]string{"a", "b"}, nil)(ctx, req)
 		}
 		close(begun)
 		<-ctx.Done()
@@ -93,11 +93,11 @@
 
 // The caller closes its connection in the middle of a stream. The engine must
 // be told at once; otherwise it goes on computing for nobody.
-func TestCallerGoneCancelsTheEngine(t *testing.T) {
-	r := newRig(t, nil)
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
+	r := newHarness(t, nil)
 	tokens := make(chan engine.Token, 1)
 	tokens <- engine.Token{Index: 0, Text: "a"}
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return r.client.stream(ctx, req, tokens, nil), nil
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -105,20 +105,20 @@
 	assert.Equal(t, resp.StatusCode, 200)
 	cancel()
 	attempt := <-r.client.cancelled
-	assert.Equal(t, attempt, r.client.seen()[0].Attempt)
+	assert.Equal(t, attempt, r.client.received()[0].Attempt)
 }
 
 // A caller opens a stream and stops reading. The engine must not go on for it
 // without end, and the instance must not hold what it produces: the stream stops
 // and after a while the caller is cut off.
-func TestCallerWhoDoesNotReadIsBounded(t *testing.T) {
-	r := newRig(t, func(o *Options) {
+func TestSlowReaderIsDisconnected(t *testing.T) {
+	r := newHarness(t, func(o *Options) {
 		o.Limits.WriteTimeout = 200 * time.Millisecond
 		o.Limits.MaxCompletionBytes = 1 << 30
 	})
 	text := strings.Repeat("w", 32<<10)
 	var produced atomic.Int64
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		tokens := make(chan engine.Token)
 		go func() {
 			for i := 0; ; i++ {
@@ -140,9 +140,9 @@
 
 // An engine answers without end. The instance gives the request up before the
 // text takes its memory.
-func TestEndlessAnswerIsBounded(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.MaxCompletionBytes = 10 })
-	r.client.generate = []script{r.client.says(strings.Split(strings.Repeat("word,", 10), ","), nil)}
+func TestOversizedCompletionIsAborted(t *testing.T) {
+	r := newHarness(t, func(o *Options) { o.Limits.MaxCompletionBytes = 10 })
+	r.client.generate = []generateFunc{r.client.respondWith(strings.Split(strings.Repeat("word,", 10), ","), nil)}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"word", "word"})
 	assert.Assert(t, strings.Contains(got, `"code":5020`), got)
@@ -151,9 +151,9 @@
 
 // All engines break off, each after a few tokens. The caller must not take what
 // it has for a whole answer: it gets an error event and no end mark.
-func TestStreamThatCannotBeCompletedSaysSo(t *testing.T) {
-	r := newRig(t, nil)
-	r.client.generate = []script{r.client.says([]string{"a"}, &engine.InterruptedError{Cause: context.DeadlineExceeded})}
+func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
+	r := newHarness(t, nil)
+	r.client.generate = []generateFunc{r.client.respondWith([]string{"a"}, &engine.InterruptedError{Cause: context.DeadlineExceeded})}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"a"})
 	assert.Assert(t, strings.Contains(got, "event: error\ndata: {"), got)
@@ -165,85 +165,85 @@
 // force everywhere, so nobody can go on with the old ones. A caller who waits for
 // the whole answer has seen nothing: it gets one of the new weights alone. A
 // caller who streams has seen the beginning, and is told that it broke.
-func TestAnswerBeginsAgainUnderNewWeights(t *testing.T) {
+func TestCompletionRestartsUnderNewWeights(t *testing.T) {
 	for _, stream := range []bool{false, true} {
-		r := newRig(t, func(o *Options) { o.Router = newAgain(1) })
+		r := newHarness(t, func(o *Options) { o.Router = newRetryingRouter(1) })
 		newer := testConfiguration()
 		newer.Revision, newer.Models[0].Weights = 2, "v2"
-		r.client.generate = []script{
+		r.client.generate = []generateFunc{
 			func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 				r.server.Configure(newer)
-				return r.client.says([]string{"old"}, &engine.InterruptedError{Cause: context.DeadlineExceeded})(ctx, req)
+				return r.client.respondWith([]string{"old"}, &engine.InterruptedError{Cause: context.DeadlineExceeded})(ctx, req)
 			},
-			r.client.says([]string{"new", "er"}, nil),
+			r.client.respondWith([]string{"new", "er"}, nil),
 		}
 		got := read(t, r.post(t, t.Context(), "/v1/completions", fmt.Sprintf(`{"prompt":"p","stream":%t}`, stream)))
 		if stream {
 			assert.DeepEqual(t, texts(t, got), []string{"old"})
-			assert.Equal(t, len(r.client.seen()), 1)
+			assert.Equal(t, len(r.client.received()), 1)
 			continue
 		}
 		assert.Assert(t, strings.Contains(got, `"text":"newer"`), got)
-		assert.Equal(t, r.client.seen()[1].ResumeFrom, 0)
+		assert.Equal(t, r.client.received()[1].ResumeFrom, 0)
 	}
 }
 
 // Every engine refuses before it begins; then nothing has run and the caller is
 // told so.
-func TestProvenNotStartedIsNotRun(t *testing.T) {
-	r := newRig(t, nil)
-	r.client.generate = []script{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+func TestNotStartedProofGivesNotRunOutcome(t *testing.T) {
+	r := newHarness(t, nil)
+	r.client.generate = []generateFunc{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return nil, &engine.NotStartedError{Attempt: req.Attempt, Rejected: true}
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeNotRun))
 
-	r.client.generate = []script{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return nil, &engine.InterruptedError{Attempt: req.Attempt, Cause: context.DeadlineExceeded}
 	}}
 	got = read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeUnknown))
 }
 
-// again is a Decider without judgement: it retries at once, up to most attempts.
-type again struct {
-	most    int
-	waiting []router.Action
-	tries   map[tables.RequestID]int
-	of      map[tables.AttemptID]tables.RequestID
+// retryingRouter is a Decider without judgement: it retries at once, up to most attempts.
+type retryingRouter struct {
+	maxAttempts int
+	waiting     []router.Action
+	attempts    map[tables.RequestID]int
+	requests    map[tables.AttemptID]tables.RequestID
 }
 
-func newAgain(most int) *again {
-	return &again{most: most, tries: map[tables.RequestID]int{}, of: map[tables.AttemptID]tables.RequestID{}}
+func newRetryingRouter(most int) *retryingRouter {
+	return &retryingRouter{maxAttempts: most, attempts: map[tables.RequestID]int{}, requests: map[tables.AttemptID]tables.RequestID{}}
 }
 
-func (d *again) Configure(tables.Instant, *tables.Configuration) {}
-func (d *again) Cancel(tables.Instant, tables.RequestID)         {}
-func (d *again) NextTick(now tables.Instant) tables.Instant      { return now + testWait }
+func (d *retryingRouter) Configure(tables.Instant, *tables.Configuration) {}
+func (d *retryingRouter) Cancel(tables.Instant, tables.RequestID)         {}
+func (d *retryingRouter) NextTick(now tables.Instant) tables.Instant      { return now + testWait }
 
-func (d *again) Submit(_ tables.Instant, r *tables.Request) { d.dispatch(r.ID, 0) }
+func (d *retryingRouter) Submit(_ tables.Instant, r *tables.Request) { d.dispatch(r.ID, 0) }
 
-func (d *again) dispatch(id tables.RequestID, delivered int) {
-	d.tries[id]++
-	attempt := tables.AttemptID(fmt.Sprint(id, "/", d.tries[id]))
-	d.of[attempt] = id
+func (d *retryingRouter) dispatch(id tables.RequestID, delivered int) {
+	d.attempts[id]++
+	attempt := tables.AttemptID(fmt.Sprint(id, "/", d.attempts[id]))
+	d.requests[attempt] = id
 	d.waiting = append(d.waiting, router.Dispatch{Request: id, Attempt: attempt, ResumeFrom: delivered})
 }
 
-func (d *again) Observe(_ tables.Instant, in router.Input) {
+func (d *retryingRouter) Observe(_ tables.Instant, in router.Input) {
 	ended, ok := in.(router.AttemptEnded)
 	if !ok || ended.Result == router.Completed || ended.Result == router.Cancelled {
 		return
 	}
-	id := d.of[ended.Attempt]
-	if d.tries[id] < d.most {
+	id := d.requests[ended.Attempt]
+	if d.attempts[id] < d.maxAttempts {
 		d.dispatch(id, ended.DeliveredTokens)
 		return
 	}
 	d.waiting = append(d.waiting, router.Fail{Request: id, Code: tables.CodeStreamBroken})
 }
 
-func (d *again) Tick(tables.Instant) []router.Action {
+func (d *retryingRouter) Tick(tables.Instant) []router.Action {
 	actions := d.waiting
 	d.waiting = nil
 	return actions
@@ -252,19 +252,19 @@
 // Streams of engines that repeat, skip, cross and break off are compared with
 // the true answer: what the caller sees is always its beginning, and the end
 // mark comes exactly when it is whole.
-func TestCallersSeeOnlyTheTrueAnswer(t *testing.T) {
+func TestStreamIsAlwaysPrefixOfTrueAnswer(t *testing.T) {
 	truth := strings.Split("abcdefghij", "")
-	r := newRig(t, func(o *Options) {
-		o.Router = newAgain(4)
+	r := newHarness(t, func(o *Options) {
+		o.Router = newRetryingRouter(4)
 	})
 	var mu sync.Mutex
 	var plans [][]engine.Token
 	var whole []bool
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if len(plans) == 0 {
-			return r.client.says(truth, nil)(ctx, req)
+			return r.client.respondWith(truth, nil)(ctx, req)
 		}
 		tokens := make(chan engine.Token, 64)
 		for _, token := range plans[0] {
@@ -303,7 +303,7 @@
 		mu.Unlock()
 		got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 		seen := strings.Join(texts(t, got), "")
-		if strings.HasSuffix(got, endMark) {
+		if strings.HasSuffix(got, doneEvent) {
 			if seen != strings.Join(truth, "") {
 				rt.Fatalf("end mark after %q: %s", seen, got)
 			}
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// retryInProgress is when a resend should ask again for the answer of a run
+	// retryAfterInProgress is when a resend should ask again for the answer of a run
 	// that has not ended.
-	retryInProgress = time.Second
-	// retryQuorum is when the control state may be reachable again.
-	retryQuorum = 2 * time.Second
+	retryAfterInProgress = time.Second
+	// retryAfterNoQuorum is when the control state may be reachable again.
+	retryAfterNoQuorum = 2 * time.Second
 )
 
 // claim is the right to run one flight's work once.
 type claim struct {
-	claimer ClaimStore
-	wait    time.Duration
+	store   ClaimStore
+	timeout time.Duration
 	grant   tables.ClaimResult
-	// marked is set once the work may have been handed to an endpoint. Attempts
+	// dispatchMarked is set once the work may have been handed to an endpoint. Attempts
 	// of one flight follow each other, so nothing guards it.
-	marked bool
+	dispatchMarked bool
 }
 
-// take asks for the claim. It gives the stored answer if the work has run, a
+// acquire asks for the claim. It gives the stored answer if the work has run, a
 // failure if it must not run now, and neither if it may.
-func (c *claim) take(ctx context.Context, f *flight, key tables.IdempotencyKey, body tables.BodyHash) (*tables.StoredResponse, *outcome.Failure) {
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
+func (c *claim) acquire(ctx context.Context, f *inFlight, key tables.IdempotencyKey, body tables.BodyHash) (*tables.StoredResponse, *outcome.Failure) {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	grant, err := c.claimer.Claim(ctx, f.row.Organisation, key, body)
+	grant, err := c.store.Claim(ctx, f.spec.Organisation, key, body)
 	if err != nil {
-		return nil, claimFailure(f.row.ID, err)
+		return nil, claimFailure(f.spec.ID, err)
 	}
 	c.grant = grant
 	switch grant.State {
@@ -46,9 +46,9 @@
 	case tables.ClaimCompleted:
 		return &grant.Response, nil
 	case tables.ClaimInProgress:
-		return nil, elsewhere(f.row.ID, tables.CodeKeyInProgress, retryInProgress)
+		return nil, unknownOutcome(f.spec.ID, tables.CodeKeyInProgress, retryAfterInProgress)
 	default:
-		return nil, elsewhere(f.row.ID, tables.CodeOutcomeUnknown, 0)
+		return nil, unknownOutcome(f.spec.ID, tables.CodeOutcomeUnknown, 0)
 	}
 }
 
@@ -58,63 +58,63 @@
 	if errors.As(err, &reused) {
 		return notRun(id, tables.CodeKeyReused, 0)
 	}
-	return notRun(id, tables.CodeNoQuorum, retryQuorum)
+	return notRun(id, tables.CodeNoQuorum, retryAfterNoQuorum)
 }
 
-// elsewhere is for work that another request under the same key has begun.
-func elsewhere(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
+// unknownOutcome is for work that another request under the same key has begun.
+func unknownOutcome(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
 	return outcome.NewUndispatched(id).Dispatch("").Fail(code, outcome.MayHaveRun, retryAfter)
 }
 
-// permitted says whether the attempt may be handed to the client. Work that
+// mayDispatch says whether the attempt may be handed to the client. Work that
 // must run once needs the control state to have recorded the dispatch first: a
 // router that died between would otherwise leave a claim that looks unused,
 // and a resend would run the work again.
-func (a *attempt) permitted() bool {
-	c := a.flight.claim
+func (a *attempt) mayDispatch() bool {
+	c := a.request.claim
 	if a.ctx.Err() != nil {
-		a.drop(nil)
+		a.discard(nil)
 		return false
 	}
-	if c == nil || c.marked {
+	if c == nil || c.dispatchMarked {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, c.wait)
+	ctx, cancel := context.WithTimeout(a.ctx, c.timeout)
 	defer cancel()
-	if err := c.claimer.MarkDispatched(ctx, c.grant); err != nil {
-		a.drop(notRun(a.flight.row.ID, tables.CodeNoQuorum, retryQuorum))
+	if err := c.store.MarkDispatched(ctx, c.grant); err != nil {
+		a.discard(notRun(a.request.spec.ID, tables.CodeNoQuorum, retryAfterNoQuorum))
 		return false
 	}
-	c.marked = true
+	c.dispatchMarked = true
 	return true
 }
 
-// drop ends an attempt that was never sent.
-func (a *attempt) drop(final *outcome.Failure) {
+// discard ends an attempt that was never sent.
+func (a *attempt) discard(final *outcome.Failure) {
 	a.cancel(nil)
 	proof := a.unsent.Discard()
 	how := router.AttemptEnded{Attempt: a.dispatch.Attempt, Result: router.NotStarted}
-	a.flight.server.tell(ended{attempt: a, how: how, proof: &proof, final: final})
+	a.request.server.post(attemptEnded{attempt: a, input: how, proof: &proof, requestFailure: final})
 }
 
 // finish stores the answer for resends. The caller gets it also when it could
 // not be stored; a resend is then told that the outcome is unknown.
-func (c *claim) finish(f *flight, answer tables.StoredResponse) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.wait)
+func (c *claim) finish(f *inFlight, answer tables.StoredResponse) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
-	if err := c.claimer.Finish(ctx, c.grant, answer); err != nil {
-		events.AnswerNotStored.Log(f.server.log, zap.String("request", string(f.row.ID)), zap.Error(err))
+	if err := c.store.Finish(ctx, c.grant, answer); err != nil {
+		events.AnswerNotStored.Log(f.server.log, zap.String("request", string(f.spec.ID)), zap.Error(err))
 	}
 }
 
 // release gives the claim back if the work did not run.
-func (c *claim) release(f *flight, failure *outcome.Failure) {
+func (c *claim) release(f *inFlight, failure *outcome.Failure) {
 	if failure.Outcome() != tables.OutcomeNotRun || c.grant.State != tables.ClaimGranted {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.wait)
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
-	if err := c.claimer.Release(ctx, c.grant); err != nil {
-		events.ClaimNotReleased.Log(f.server.log, zap.String("request", string(f.row.ID)), zap.Error(err))
+	if err := c.store.Release(ctx, c.grant); err != nil {
+		events.ClaimNotReleased.Log(f.server.log, zap.String("request", string(f.spec.ID)), zap.Error(err))
 	}
 }
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -11,8 +11,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// fakeClaimer is a control state of one process.
-type fakeClaimer struct {
+// fakeClaimStore is a control state of one process.
+type fakeClaimStore struct {
 	mu       sync.Mutex
 	claims   map[tables.IdempotencyKey]*fakeClaim
 	noQuorum bool
@@ -27,7 +27,7 @@
 	answer tables.StoredResponse
 }
 
-func (c *fakeClaimer) Claim(_ context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
+func (c *fakeClaimStore) Claim(_ context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.noQuorum {
@@ -46,7 +46,7 @@
 	return g, nil
 }
 
-func (c *fakeClaimer) MarkDispatched(_ context.Context, g tables.ClaimResult) error {
+func (c *fakeClaimStore) MarkDispatched(_ context.Context, g tables.ClaimResult) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.markFails {
@@ -56,80 +56,80 @@
 	return nil
 }
 
-func (c *fakeClaimer) Finish(_ context.Context, g tables.ClaimResult, a tables.StoredResponse) error {
+func (c *fakeClaimStore) Finish(_ context.Context, g tables.ClaimResult, a tables.StoredResponse) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.claims[g.Key].state, c.claims[g.Key].answer = tables.ClaimCompleted, a
 	return nil
 }
 
-func (c *fakeClaimer) Release(_ context.Context, g tables.ClaimResult) error {
+func (c *fakeClaimStore) Release(_ context.Context, g tables.ClaimResult) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.claims, g.Key)
 	return nil
 }
 
-type callScript = func(engine.CallRequest) (engine.CallResponse, error)
+type callFunc = func(engine.CallRequest) (engine.CallResponse, error)
 
 func publishes(q engine.CallRequest) (engine.CallResponse, error) {
 	return engine.CallResponse{Attempt: q.Attempt, Boot: "b", Status: 201, Body: []byte("published")}, nil
 }
 
-func cutOff(q engine.CallRequest) (engine.CallResponse, error) {
+func interrupted(q engine.CallRequest) (engine.CallResponse, error) {
 	return engine.CallResponse{}, &engine.InterruptedError{Attempt: q.Attempt, Cause: context.DeadlineExceeded}
 }
 
-func refused(q engine.CallRequest) (engine.CallResponse, error) {
+func unreachable(q engine.CallRequest) (engine.CallResponse, error) {
 	return engine.CallResponse{}, &engine.NotStartedError{Attempt: q.Attempt, Unreachable: true}
 }
 
-func TestWorkThatMustRunOnce(t *testing.T) {
+func TestAtMostOnceWork(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		prepare func(*fakeClaimer)
-		calls   []callScript
-		code    tables.ErrorCode
-		outcome tables.Outcome
-		ran     int
-		// held says whether the key is still claimed afterwards.
-		held bool
+		name      string
+		setUp     func(*fakeClaimStore)
+		calls     []callFunc
+		code      tables.ErrorCode
+		outcome   tables.Outcome
+		wantCalls int
+		// wantClaimed says whether the key is still claimed afterwards.
+		wantClaimed bool
 	}{
-		{name: "runs", calls: []callScript{publishes}, ran: 1, held: true},
+		{name: "runs", calls: []callFunc{publishes}, wantCalls: 1, wantClaimed: true},
 		// The service answers, the answer is lost on its way. Whether the note
 		// is published is not known, and it must not be published again.
-		{name: "answer lost", calls: []callScript{cutOff, publishes},
-			code: tables.CodeOutcomeUnknown, outcome: tables.OutcomeUnknown, ran: 1, held: true},
+		{name: "answer lost", calls: []callFunc{interrupted, publishes},
+			code: tables.CodeOutcomeUnknown, outcome: tables.OutcomeUnknown, wantCalls: 1, wantClaimed: true},
 		// The first server does not listen: nothing has run, the next may.
-		{name: "first server down", calls: []callScript{refused, publishes}, ran: 2, held: true},
+		{name: "first server down", calls: []callFunc{unreachable, publishes}, wantCalls: 2, wantClaimed: true},
 		// The zone is cut off from the other replicas of the control state.
-		{name: "no quorum", prepare: func(f *fakeClaimer) { f.noQuorum = true }, calls: []callScript{publishes},
+		{name: "no quorum", setUp: func(f *fakeClaimStore) { f.noQuorum = true }, calls: []callFunc{publishes},
 			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
 		// It is cut off between the claim and the call.
-		{name: "quorum lost after claim", prepare: func(f *fakeClaimer) { f.markFails = true }, calls: []callScript{publishes},
+		{name: "quorum lost after claim", setUp: func(f *fakeClaimStore) { f.markFails = true }, calls: []callFunc{publishes},
 			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
-		{name: "first run in progress", prepare: func(f *fakeClaimer) {
+		{name: "first run in progress", setUp: func(f *fakeClaimStore) {
 			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.ClaimInProgress}
-		}, calls: []callScript{publishes}, code: tables.CodeKeyInProgress, outcome: tables.OutcomeUnknown, held: true},
-		{name: "first run unknown", prepare: func(f *fakeClaimer) {
+		}, calls: []callFunc{publishes}, code: tables.CodeKeyInProgress, outcome: tables.OutcomeUnknown, wantClaimed: true},
+		{name: "first run unknown", setUp: func(f *fakeClaimStore) {
 			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.ClaimOutcomeUnknown}
-		}, calls: []callScript{publishes}, code: tables.CodeOutcomeUnknown, outcome: tables.OutcomeUnknown, held: true},
-		{name: "key reused", prepare: func(f *fakeClaimer) {
+		}, calls: []callFunc{publishes}, code: tables.CodeOutcomeUnknown, outcome: tables.OutcomeUnknown, wantClaimed: true},
+		{name: "key reused", setUp: func(f *fakeClaimStore) {
 			f.claims["k"] = &fakeClaim{state: tables.ClaimCompleted}
-		}, calls: []callScript{publishes}, code: tables.CodeKeyReused, outcome: tables.OutcomeNotRun, held: true},
-		{name: "resend", prepare: func(f *fakeClaimer) {
+		}, calls: []callFunc{publishes}, code: tables.CodeKeyReused, outcome: tables.OutcomeNotRun, wantClaimed: true},
+		{name: "resend", setUp: func(f *fakeClaimStore) {
 			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.ClaimCompleted,
 				answer: tables.StoredResponse{Status: 201, Body: []byte("published")}}
-		}, calls: []callScript{publishes}, held: true},
+		}, calls: []callFunc{publishes}, wantClaimed: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			claims := &fakeClaimer{claims: map[tables.IdempotencyKey]*fakeClaim{}}
-			if c.prepare != nil {
-				c.prepare(claims)
+			claims := &fakeClaimStore{claims: map[tables.IdempotencyKey]*fakeClaim{}}
+			if c.setUp != nil {
+				c.setUp(claims)
 			}
-			r := newRig(t, func(o *Options) { o.Claims = claims })
+			r := newHarness(t, func(o *Options) { o.Claims = claims })
 			r.client.call = c.calls
-			resp := r.post(t, t.Context(), "/v1/services/press/send", "note", "Content-Type", typeData, "Idempotency-Key", "k")
+			resp := r.post(t, t.Context(), "/v1/services/press/send", "note", "Content-Type", contentTypeBinary, "Idempotency-Key", "k")
 			content := read(t, resp)
 			if c.code == 0 {
 				assert.Equal(t, content, "published")
@@ -139,9 +139,9 @@
 				assert.Equal(t, tables.ErrorCode(failure.Code), c.code, content)
 				assert.Equal(t, string(failure.Outcome), string(c.outcome))
 			}
-			assert.Equal(t, len(r.client.calls), c.ran)
+			assert.Equal(t, len(r.client.calls), c.wantCalls)
 			_, held := claims.claims["k"]
-			assert.Equal(t, held, c.held)
+			assert.Equal(t, held, c.wantClaimed)
 			for _, call := range r.client.calls {
 				assert.Equal(t, call.IdempotencyKey, "k")
 			}
@@ -151,11 +151,11 @@
 
 // The caller's connection breaks while its note is being published. The note is
 // published all the same, and the caller's resend gets the answer.
-func TestCallerGoneWhileWorkRuns(t *testing.T) {
-	claims := &fakeClaimer{claims: map[tables.IdempotencyKey]*fakeClaim{}}
-	r := newRig(t, func(o *Options) { o.Claims = claims })
+func TestCallerDisconnectDoesNotCancelAtMostOnceWork(t *testing.T) {
+	claims := &fakeClaimStore{claims: map[tables.IdempotencyKey]*fakeClaim{}}
+	r := newHarness(t, func(o *Options) { o.Claims = claims })
 	gone, goOn, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	r.client.call = []callScript{func(q engine.CallRequest) (engine.CallResponse, error) {
+	r.client.call = []callFunc{func(q engine.CallRequest) (engine.CallResponse, error) {
 		defer close(done)
 		close(gone)
 		<-goOn
@@ -166,14 +166,14 @@
 		<-gone
 		cancel()
 	}()
-	req := r.request(t, ctx, "/v1/services/press/send", "note", "Content-Type", typeData, "Idempotency-Key", "k")
+	req := r.request(t, ctx, "/v1/services/press/send", "note", "Content-Type", contentTypeBinary, "Idempotency-Key", "k")
 	_, err := r.http.Do(req)
 	assert.Assert(t, err != nil)
 	close(goOn)
 	<-done
 	// The resend may come before the answer is stored.
 	for {
-		resp := r.post(t, t.Context(), "/v1/services/press/send", "note", "Content-Type", typeData, "Idempotency-Key", "k")
+		resp := r.post(t, t.Context(), "/v1/services/press/send", "note", "Content-Type", contentTypeBinary, "Idempotency-Key", "k")
 		content := read(t, resp)
 		if resp.StatusCode == 200 {
 			assert.Equal(t, content, "published")
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -19,215 +19,217 @@
 )
 
 const (
-	// callPath is where plain services answer calls; the name of the call
+	// callPathPrefix is where plain services answer calls; the name of the call
 	// follows.
-	callPath = "/v1/call/"
-	typeText = "text/plain; charset=utf-8"
-	typeData = "application/octet-stream"
-	// onceMargin is how much longer than a profile's timeout the entry waits
+	callPathPrefix    = "/v1/call/"
+	contentTypeText   = "text/plain; charset=utf-8"
+	contentTypeBinary = "application/octet-stream"
+	// atMostOnceMargin is how much longer than a profile's timeout the entry waits
 	// for work that must run once.
-	onceMargin = 5 * time.Second
+	atMostOnceMargin = 5 * time.Second
 )
 
-// completionAsk is a completion as a caller asked for it.
-type completionAsk struct {
+// completionParams is a completion as a caller asked for it.
+type completionParams struct {
 	profile, model, key string
 	prompt              string
 	maxTokens           int
 	stream              bool
 }
 
-// serviceAsk is a call to a plain service as a caller asked for it.
-type serviceAsk struct {
+// serviceCallParams is a call to a plain service as a caller asked for it.
+type serviceCallParams struct {
 	profile, service, call, key string
 	body                        []byte
 }
 
-// source gives the text of an answer, in pieces or whole.
-type source interface {
+// completionSource gives the text of an answer, in pieces or whole.
+type completionSource interface {
 	next() (string, error)
-	// text gives the whole text and the number of its tokens.
-	text() (string, int, error)
+	// readAll gives the whole readAll and the number of its tokens.
+	readAll() (string, int, error)
 	finishReason() string
 	close()
 }
 
-// complete starts a completion and gives the source of its answer. Work that
+// startCompletion starts a completion and gives the source of its answer. Work that
 // must run once has ended when it returns.
-func (s *Server) complete(ctx context.Context, ask completionAsk) (source, *flight, error) {
+func (s *Server) startCompletion(ctx context.Context, params completionParams) (completionSource, *inFlight, error) {
 	org := organisationOf(ctx)
-	d := s.directory.Load()
-	p, code := d.resolve(org, target{kind: tables.Engine, profile: ask.profile, model: ask.model})
+	index := s.configIndex.Load()
+	p, code := index.resolveProfile(org, profileQuery{kind: tables.Engine, profile: params.profile, model: params.model})
 	if code != 0 {
 		return nil, nil, notRun("", code, 0)
 	}
-	f := s.newCompletion(d, org, p, ask)
-	if p.Idempotent && ask.stream {
-		return s.launch(ctx, f), f, nil
+	f := s.newCompletion(index, org, p, params)
+	if p.Idempotent && params.stream {
+		return s.submit(ctx, f), f, nil
 	}
 	if p.Idempotent {
-		return &restartable{reader: s.launch(ctx, f), ctx: ctx, ask: ask}, f, nil
+		return &restartingSource{responseReader: s.submit(ctx, f), ctx: ctx, params: params}, f, nil
 	}
-	body := bodyHash(string(p.Name), strconv.Itoa(ask.maxTokens), ask.prompt)
-	answer, err := s.once(ctx, f, ask.key, body)
+	body := bodyHash(string(p.Name), strconv.Itoa(params.maxTokens), params.prompt)
+	answer, err := s.runAtMostOnce(ctx, f, params.key, body)
 	if err != nil {
 		return nil, nil, err
 	}
-	return &stored{answer: answer, limit: ask.maxTokens}, f, nil
+	return &storedSource{response: answer, limit: params.maxTokens}, f, nil
 }
 
 // newCompletion makes the flight of a completion under the weights that are
 // wanted now.
-func (s *Server) newCompletion(d *directory, org *tables.Organisation, p *tables.Profile, ask completionAsk) *flight {
-	f := s.newFlight(org, p)
-	f.prompt = ask.prompt
-	f.row.PromptTokens = prefix.EstimateTokens(len(ask.prompt))
-	f.row.MaxTokens = ask.maxTokens
-	f.weights = d.weights(p.Model)
+func (s *Server) newCompletion(index *configIndex, org *tables.Organisation, p *tables.Profile, params completionParams) *inFlight {
+	f := s.newInFlight(org, p)
+	f.prompt = params.prompt
+	f.spec.PromptTokens = prefix.EstimateTokens(len(params.prompt))
+	f.spec.MaxTokens = params.maxTokens
+	f.weights = index.weightsVersion(p.Model)
 	scope := prefix.Scope{Organisation: org.ID, Model: p.Model, Adapter: p.Adapter, Weights: f.weights}
-	f.row.Blocks = prefix.BlockHashes(nil, scope.RootHash(), ask.prompt)
-	f.row.Fingerprint = fingerprint(org.ID, p.Name, ask.prompt)
+	f.spec.Blocks = prefix.BlockHashes(nil, scope.RootHash(), params.prompt)
+	f.spec.Fingerprint = fingerprint(org.ID, p.Name, params.prompt)
 	return f
 }
 
-// restartable gives the text of an answer that is not streamed. When the answer
+// restartingSource gives the text of an answer that is not streamed. When the answer
 // cannot be completed because its weights are not in force any more, it begins
 // again under the new ones: the caller has seen nothing of the old answer.
-type restartable struct {
-	*reader
-	ctx context.Context
-	ask completionAsk
+type restartingSource struct {
+	*responseReader
+	ctx    context.Context
+	params completionParams
 }
 
-// text gives the whole answer and the number of its tokens.
-func (r *restartable) text() (string, int, error) {
-	text, tokens, err := r.reader.text()
-	if err == nil || !r.outdated(err) {
+// readAll gives the whole answer and the number of its tokens.
+func (r *restartingSource) readAll() (string, int, error) {
+	text, tokens, err := r.responseReader.readAll()
+	if err == nil || !r.weightsChanged(err) {
 		return text, tokens, err
 	}
-	old := r.flight
-	r.reader.close()
-	fresh := old.server.newCompletion(old.server.directory.Load(), old.org, old.profile, r.ask)
-	fresh.row.Arrived, fresh.row.Deadline = old.row.Arrived, old.row.Deadline
-	r.reader = old.server.launch(r.ctx, fresh)
-	return r.reader.text()
+	old := r.request
+	r.responseReader.close()
+	fresh := old.server.newCompletion(old.server.configIndex.Load(), old.org, old.profile, r.params)
+	fresh.spec.Arrived, fresh.spec.Deadline = old.spec.Arrived, old.spec.Deadline
+	r.responseReader = old.server.submit(r.ctx, fresh)
+	return r.responseReader.readAll()
 }
 
-// outdated says whether a stream broke and other weights are wanted by now.
-func (r *restartable) outdated(err error) bool {
+// weightsChanged says whether a stream broke and other weights are wanted by now.
+func (r *restartingSource) weightsChanged(err error) bool {
 	var failure *outcome.Failure
 	if !errors.As(err, &failure) || failure.Code != tables.CodeStreamBroken {
 		return false
 	}
-	f := r.flight
-	return f.weights != f.server.directory.Load().weights(f.profile.Model)
+	f := r.request
+	return f.weights != f.server.configIndex.Load().weightsVersion(f.profile.Model)
 }
 
 // callService runs a call to a plain service to its end.
-func (s *Server) callService(ctx context.Context, ask serviceAsk) (tables.StoredResponse, error) {
+func (s *Server) callService(ctx context.Context, params serviceCallParams) (tables.StoredResponse, error) {
 	org := organisationOf(ctx)
-	p, code := s.directory.Load().resolve(org, target{kind: tables.PlainService, profile: ask.profile, service: ask.service})
+	p, code := s.configIndex.Load().resolveProfile(org, profileQuery{kind: tables.PlainService, profile: params.profile, service: params.service})
 	if code != 0 {
 		return tables.StoredResponse{}, notRun("", code, 0)
 	}
-	f := s.newFlight(org, p)
-	f.call = &engine.CallRequest{Path: callPath + ask.call, ContentType: typeData, IdempotencyKey: ask.key, Body: ask.body}
-	f.row.Fingerprint = fingerprint(org.ID, p.Name, ask.call, string(ask.body))
+	f := s.newInFlight(org, p)
+	f.call = &engine.CallRequest{Path: callPathPrefix + params.call, ContentType: contentTypeBinary, IdempotencyKey: params.key, Body: params.body}
+	f.spec.Fingerprint = fingerprint(org.ID, p.Name, params.call, string(params.body))
 	if p.Idempotent {
-		r := s.launch(ctx, f)
+		r := s.submit(ctx, f)
 		defer r.close()
-		return r.whole()
+		return r.serviceResponse()
 	}
-	return s.once(ctx, f, ask.key, bodyHash(string(p.Name), ask.call, string(ask.body)))
+	return s.runAtMostOnce(ctx, f, params.key, bodyHash(string(p.Name), params.call, string(params.body)))
 }
 
-func (s *Server) newFlight(org *tables.Organisation, p *tables.Profile) *flight {
-	f := &flight{org: org, profile: p}
-	f.row = tables.Request{
-		ID:           s.newID(),
+func (s *Server) newInFlight(org *tables.Organisation, p *tables.Profile) *inFlight {
+	f := &inFlight{org: org, profile: p}
+	f.spec = tables.Request{
+		ID:           s.newRequestID(),
 		Organisation: org.ID,
 		Profile:      p.Name,
 		Arrived:      s.now(),
 	}
 	if p.Timeout > 0 {
-		f.row.Deadline = f.row.Arrived + p.Timeout
+		f.spec.Deadline = f.spec.Arrived + p.Timeout
 	}
 	return f
 }
 
-// once runs work that must run at most once. It goes on when its caller goes
+// runAtMostOnce runs work that must run at most runAtMostOnce. It goes on when its caller goes
 // away, so that the answer is there for the resend.
-func (s *Server) once(ctx context.Context, f *flight, key string, body tables.BodyHash) (tables.StoredResponse, error) {
+func (s *Server) runAtMostOnce(ctx context.Context, f *inFlight, key string, body tables.BodyHash) (tables.StoredResponse, error) {
 	if key == "" {
-		return tables.StoredResponse{}, notRun(f.row.ID, tables.CodeKeyMissing, 0)
+		return tables.StoredResponse{}, notRun(f.spec.ID, tables.CodeKeyMissing, 0)
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.profile.Timeout+onceMargin)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.profile.Timeout+atMostOnceMargin)
 	defer cancel()
-	f.claim = &claim{claimer: s.claimer, wait: s.limits.ClaimTimeout}
-	answer, failure := f.claim.take(ctx, f, tables.IdempotencyKey(key), body)
+	f.claim = &claim{store: s.claims, timeout: s.limits.ClaimTimeout}
+	answer, failure := f.claim.acquire(ctx, f, tables.IdempotencyKey(key), body)
 	if failure != nil {
 		return tables.StoredResponse{}, failure
 	}
 	if answer != nil {
 		return *answer, nil
 	}
-	r := s.launch(ctx, f)
+	r := s.submit(ctx, f)
 	defer r.close()
-	got, err := r.onceAnswer()
+	got, err := r.storedResponse()
 	if err != nil {
-		return tables.StoredResponse{}, f.unfinished(err)
+		return tables.StoredResponse{}, f.failClaimed(err)
 	}
 	f.claim.finish(f, got)
 	return got, nil
 }
 
-// onceAnswer gives the whole answer in the form that is stored.
-func (r *reader) onceAnswer() (tables.StoredResponse, error) {
-	if r.flight.call != nil {
-		return r.whole()
+// storedResponse gives the whole answer in the form that is stored.
+func (r *responseReader) storedResponse() (tables.StoredResponse, error) {
+	if r.request.call != nil {
+		return r.serviceResponse()
 	}
-	text, tokens, err := r.text()
+	text, tokens, err := r.readAll()
 	if err != nil {
 		return tables.StoredResponse{}, err
 	}
-	return tables.StoredResponse{ContentType: typeText, Body: []byte(text), Tokens: tokens}, nil
+	return tables.StoredResponse{ContentType: contentTypeText, Body: []byte(text), Tokens: tokens}, nil
 }
 
-// unfinished ends work that must run once and gave no answer.
-func (f *flight) unfinished(err error) error {
+// failClaimed ends work that must run once and gave no answer.
+func (f *inFlight) failClaimed(err error) error {
 	failure, ok := err.(*outcome.Failure)
 	if !ok {
-		return elsewhere(f.row.ID, tables.CodeOutcomeUnknown, 0)
+		return unknownOutcome(f.spec.ID, tables.CodeOutcomeUnknown, 0)
 	}
 	f.claim.release(f, failure)
 	return failure
 }
 
-// stored gives a stored completion as one piece.
-type stored struct {
-	answer tables.StoredResponse
-	limit  int
-	given  bool
+// storedSource gives a storedSource completion as one piece.
+type storedSource struct {
+	response tables.StoredResponse
+	limit    int
+	read     bool
 }
 
-func (s *stored) next() (string, error) {
-	if s.given {
+func (s *storedSource) next() (string, error) {
+	if s.read {
 		return "", io.EOF
 	}
-	s.given = true
-	return string(s.answer.Body), nil
+	s.read = true
+	return string(s.response.Body), nil
 }
 
-func (s *stored) text() (string, int, error) { return string(s.answer.Body), s.answer.Tokens, nil }
+func (s *storedSource) readAll() (string, int, error) {
+	return string(s.response.Body), s.response.Tokens, nil
+}
 
-func (s *stored) finishReason() string {
-	if s.answer.Tokens >= s.limit {
+func (s *storedSource) finishReason() string {
+	if s.response.Tokens >= s.limit {
 		return finishLength
 	}
 	return finishStop
 }
 
-func (s *stored) close() {}
+func (s *storedSource) close() {}
 
 // chatPrompt renders messages as one text. Equal leading messages give equal
 // leading text, so that they share cached prefixes.
--- a/entry/concurrencylimit.go
+++ b/entry/concurrencylimit.go
@@ -9,38 +9,38 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// quota counts open requests by organisation. The limit over all organisations
+// concurrencyLimiter counts open requests by organisation. The limit over all organisations
 // alone would let one of them, by a mistake in its own retries, take every
 // place of an instance before the router can weigh its shares.
-type quota struct {
+type concurrencyLimiter struct {
 	limit int
 
-	mu   sync.Mutex
-	open map[tables.OrganisationID]int
+	mu       sync.Mutex
+	inFlight map[tables.OrganisationID]int
 }
 
-func newQuota(limit int) *quota {
-	return &quota{limit: limit, open: make(map[tables.OrganisationID]int)}
+func newConcurrencyLimiter(limit int) *concurrencyLimiter {
+	return &concurrencyLimiter{limit: limit, inFlight: make(map[tables.OrganisationID]int)}
 }
 
-// enter counts a request in and says whether there was room for it.
-func (q *quota) enter(id tables.OrganisationID) bool {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if q.open[id] >= q.limit {
+// acquire counts a request in and says whether there was room for it.
+func (l *concurrencyLimiter) acquire(id tables.OrganisationID) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.inFlight[id] >= l.limit {
 		return false
 	}
-	q.open[id]++
+	l.inFlight[id]++
 	return true
 }
 
-// leave counts a request out. Organisations without open requests take no
+// release counts a request out. Organisations without open requests take no
 // memory.
-func (q *quota) leave(id tables.OrganisationID) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if q.open[id]--; q.open[id] <= 0 {
-		delete(q.open, id)
+func (l *concurrencyLimiter) release(id tables.OrganisationID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.inFlight[id]--; l.inFlight[id] <= 0 {
+		delete(l.inFlight, id)
 	}
 }
 
@@ -52,12 +52,12 @@
 	if !found {
 		return func() {}, nil
 	}
-	organisation := s.directory.Load().organisation(token)
+	organisation := s.configIndex.Load().organisationByToken(token)
 	if organisation == nil {
 		return func() {}, nil
 	}
-	if !s.quota.enter(organisation.ID) {
-		return nil, notRun("", tables.CodeOrganisationLimit, retryFull)
+	if !s.organisationLimiter.acquire(organisation.ID) {
+		return nil, notRun("", tables.CodeOrganisationLimit, retryAfterOverload)
 	}
-	return func() { s.quota.leave(organisation.ID) }, nil
+	return func() { s.organisationLimiter.release(organisation.ID) }, nil
 }
--- a/entry/concurrencylimit_test.go
+++ b/entry/concurrencylimit_test.go
@@ -12,23 +12,23 @@
 // One organisation's client opens requests without end. Its further requests
 // must be refused at once as not run, while there is room for other
 // organisations, and it must be served again as soon as one has ended.
-func TestOneOrganisationCannotTakeAllPlaces(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.MaxInFlightPerOrganisation = 1 })
-	r.client.generate = []script{r.client.says([]string{"a"}, nil)}
+func TestConcurrencyLimitPerOrganisation(t *testing.T) {
+	r := newHarness(t, func(o *Options) { o.Limits.MaxInFlightPerOrganisation = 1 })
+	r.client.generate = []generateFunc{r.client.respondWith([]string{"a"}, nil)}
 	id := testConfiguration().Organisations[0].ID
-	assert.Assert(t, r.server.quota.enter(id))
-	assert.Assert(t, r.server.quota.enter("another"))
+	assert.Assert(t, r.server.organisationLimiter.acquire(id))
+	assert.Assert(t, r.server.organisationLimiter.acquire("another"))
 
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","max_tokens":1}`)
 	failure := failureIn(t, read(t, resp))
 	assert.Equal(t, resp.StatusCode, http.StatusTooManyRequests)
 	assert.Equal(t, tables.ErrorCode(failure.Code), tables.CodeOrganisationLimit)
 	assert.Equal(t, string(failure.Outcome), string(tables.OutcomeNotRun))
-	assert.Equal(t, len(r.client.seen()), 0)
+	assert.Equal(t, len(r.client.received()), 0)
 
-	r.server.quota.leave(id)
+	r.server.organisationLimiter.release(id)
 	resp = r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","max_tokens":1}`)
 	assert.Equal(t, resp.StatusCode, http.StatusOK, read(t, resp))
-	r.server.quota.leave("another")
-	assert.Equal(t, len(r.server.quota.open), 0)
+	r.server.organisationLimiter.release("another")
+	assert.Equal(t, len(r.server.organisationLimiter.inFlight), 0)
 }
--- a/entry/configindex.go
+++ b/entry/configindex.go
@@ -7,17 +7,17 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// directory is one configuration arranged for looking up callers and profiles.
+// configIndex is one configuration arranged for looking up callers and profiles.
 // It is immutable.
-type directory struct {
-	tokens   map[[sha256.Size]byte]*tables.Organisation
-	profiles map[tables.ProfileName]*tables.Profile
-	models   map[tables.ModelName]*tables.Model
-	order    []*tables.Profile
+type configIndex struct {
+	tokens      map[[sha256.Size]byte]*tables.Organisation
+	profiles    map[tables.ProfileName]*tables.Profile
+	models      map[tables.ModelName]*tables.Model
+	profileList []*tables.Profile
 }
 
-func newDirectory(c *tables.Configuration) *directory {
-	d := &directory{
+func newConfigIndex(c *tables.Configuration) *configIndex {
+	index := &configIndex{
 		tokens:   map[[sha256.Size]byte]*tables.Organisation{},
 		profiles: map[tables.ProfileName]*tables.Profile{},
 		models:   map[tables.ModelName]*tables.Model{},
@@ -26,36 +26,36 @@
 		for _, text := range c.Organisations[i].TokenHashes {
 			var hash [sha256.Size]byte
 			if n, err := hex.Decode(hash[:], []byte(text)); err == nil && n == len(hash) {
-				d.tokens[hash] = &c.Organisations[i]
+				index.tokens[hash] = &c.Organisations[i]
 			}
 		}
 	}
 	for i := range c.Profiles {
-		d.profiles[c.Profiles[i].Name] = &c.Profiles[i]
-		d.order = append(d.order, &c.Profiles[i])
+		index.profiles[c.Profiles[i].Name] = &c.Profiles[i]
+		index.profileList = append(index.profileList, &c.Profiles[i])
 	}
 	for i := range c.Models {
-		d.models[c.Models[i].Name] = &c.Models[i]
+		index.models[c.Models[i].Name] = &c.Models[i]
 	}
-	return d
+	return index
 }
 
-// weights gives the version that is wanted for a model, empty if it is not
+// weightsVersion gives the version that is wanted for a model, empty if it is not
 // known.
-func (d *directory) weights(name tables.ModelName) tables.WeightsVersion {
-	if m := d.models[name]; m != nil {
+func (index *configIndex) weightsVersion(name tables.ModelName) tables.WeightsVersion {
+	if m := index.models[name]; m != nil {
 		return m.Weights
 	}
 	return ""
 }
 
-// organisation finds the holder of a bearer token. The lookup is by hash, so
+// organisationByToken finds the holder of a bearer token. The lookup is by hash, so
 // that the time it takes tells nothing about tokens that exist.
-func (d *directory) organisation(token string) *tables.Organisation {
-	return d.tokens[sha256.Sum256([]byte(token))]
+func (index *configIndex) organisationByToken(token string) *tables.Organisation {
+	return index.tokens[sha256.Sum256([]byte(token))]
 }
 
-func mayUse(o *tables.Organisation, name tables.ProfileName) bool {
+func mayUseProfile(o *tables.Organisation, name tables.ProfileName) bool {
 	if len(o.Profiles) == 0 {
 		return true
 	}
@@ -76,35 +76,35 @@
 	return string(p.Model) + ":" + string(p.Adapter)
 }
 
-// target is what a caller asks for.
-type target struct {
+// profileQuery is what a caller asks for.
+type profileQuery struct {
 	kind    tables.EndpointKind
 	profile string
 	model   string
 	service string
 }
 
-// fits says whether the profile serves the target.
-func (t target) fits(p *tables.Profile) bool {
-	if p.Kind != t.kind {
+// matches says whether the profile serves the target.
+func (q profileQuery) matches(p *tables.Profile) bool {
+	if p.Kind != q.kind {
 		return false
 	}
-	if t.kind == tables.PlainService {
-		return string(p.Service) == t.service
+	if q.kind == tables.PlainService {
+		return string(p.Service) == q.service
 	}
-	return t.model == "" || t.model == modelName(p)
+	return q.model == "" || q.model == modelName(p)
 }
 
-// resolve finds the profile that a request is treated by: the named one, or
+// resolveProfile finds the profile that a request is treated by: the named one, or
 // the only one of the organisation's that fits. It gives the code of the
 // failure otherwise.
-func (d *directory) resolve(o *tables.Organisation, t target) (*tables.Profile, tables.ErrorCode) {
-	if t.profile != "" {
-		return d.named(o, t)
+func (index *configIndex) resolveProfile(o *tables.Organisation, q profileQuery) (*tables.Profile, tables.ErrorCode) {
+	if q.profile != "" {
+		return index.resolveNamed(o, q)
 	}
 	var found *tables.Profile
-	for _, p := range d.order {
-		if !t.fits(p) || !mayUse(o, p.Name) {
+	for _, p := range index.profileList {
+		if !q.matches(p) || !mayUseProfile(o, p.Name) {
 			continue
 		}
 		if found != nil {
@@ -113,31 +113,31 @@
 		found = p
 	}
 	if found == nil {
-		return nil, t.unknown()
+		return nil, q.notFoundCode()
 	}
 	return found, 0
 }
 
-func (d *directory) named(o *tables.Organisation, t target) (*tables.Profile, tables.ErrorCode) {
-	p := d.profiles[tables.ProfileName(t.profile)]
-	if p == nil || p.Kind != t.kind {
+func (index *configIndex) resolveNamed(o *tables.Organisation, q profileQuery) (*tables.Profile, tables.ErrorCode) {
+	p := index.profiles[tables.ProfileName(q.profile)]
+	if p == nil || p.Kind != q.kind {
 		return nil, tables.CodeUnknownProfile
 	}
-	if !mayUse(o, p.Name) {
+	if !mayUseProfile(o, p.Name) {
 		return nil, tables.CodeForbiddenProfile
 	}
-	if !t.fits(p) {
-		return nil, t.unknown()
+	if !q.matches(p) {
+		return nil, q.notFoundCode()
 	}
 	return p, 0
 }
 
-// unknown is the code for a target that nothing fits.
-func (t target) unknown() tables.ErrorCode {
+// notFoundCode is the code for a target that nothing fits.
+func (q profileQuery) notFoundCode() tables.ErrorCode {
 	switch {
-	case t.kind == tables.PlainService:
+	case q.kind == tables.PlainService:
 		return tables.CodeUnknownService
-	case t.model == "":
+	case q.model == "":
 		return tables.CodeUnknownProfile
 	default:
 		return tables.CodeUnknownModel
--- a/entry/crashbroadcast_test.go
+++ b/entry/crashbroadcast_test.go
@@ -12,87 +12,87 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// failAfter has an attempt of one request end, a crash reported, and the request fail. It
+// failRequestAfter has an attempt of one request end, a crash reported, and the request fail. It
 // returns where the failure arrives.
-func failAfter(end router.AttemptResult, notified <-chan struct{}) chan *outcome.Failure {
+func failRequestAfter(end router.AttemptResult, notified <-chan struct{}) chan *outcome.Failure {
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
-	s := &Server{share: func([]quarantine.Suspect) <-chan struct{} { return notified }}
-	decider := &scripted{}
-	f := &flight{
-		server: s, row: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
+	s := &Server{broadcastSuspects: func([]quarantine.Suspect) <-chan struct{} { return notified }}
+	decider := &scriptedRouter{}
+	f := &inFlight{
+		server: s, spec: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
 		state: outcome.NewUndispatched(id).Dispatch(attemptID),
 	}
-	a := &attempt{flight: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
+	a := &attempt{request: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
 	f.attempts = []*attempt{a}
-	l := &loop{
+	l := &eventLoop{
 		server: s, router: decider,
-		flights: map[tables.RequestID]*flight{id: f},
-		running: map[tables.AttemptID]*attempt{attemptID: a},
+		requests: map[tables.RequestID]*inFlight{id: f},
+		attempts: map[tables.AttemptID]*attempt{attemptID: a},
 	}
-	decider.then(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
-	decider.then(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
-	l.end(0, ended{attempt: a, how: router.AttemptEnded{Attempt: attemptID, Result: end}})
+	decider.enqueue(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
+	decider.enqueue(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
+	l.endAttempt(0, attemptEnded{attempt: a, input: router.AttemptEnded{Attempt: attemptID, Result: end}})
 	l.tick(0)
 	return f.failed
 }
 
 // Guards against a request that crashes endpoints being sent again by its caller to an
 // instance that was not notified of the crash yet.
-func TestAFailingAnswerWaitsUntilOthersAreNotifiedOfTheCrash(t *testing.T) {
+func TestFailureWaitsForCrashBroadcast(t *testing.T) {
 	notified := make(chan struct{})
-	failed := failAfter(router.Crashed, notified)
+	failed := failRequestAfter(router.Crashed, notified)
 	assert.Equal(t, len(failed), 0, "answered before the other instances were notified")
 	close(notified)
 	assert.Equal(t, (<-failed).Code, tables.CodeEndpointFailed)
 }
 
 // Guards against requests that crashed nothing waiting for reports of other crashes.
-func TestOtherFailingAnswersDoNotWaitForReports(t *testing.T) {
-	failed := failAfter(router.Interrupted, make(chan struct{}))
+func TestFailureWithoutCrashDoesNotWaitForBroadcasts(t *testing.T) {
+	failed := failRequestAfter(router.Interrupted, make(chan struct{}))
 	assert.Equal(t, len(failed), 1)
 }
 
-// lateCrash is a Decider that reports a crash that showed late to the others.
-type lateCrash struct{ scripted }
+// lateCrashRouter is a Decider that reports a crash that showed late to the others.
+type lateCrashRouter struct{ scriptedRouter }
 
-func (c *lateCrash) Observe(_ tables.Instant, in router.Input) {
+func (c *lateCrashRouter) Observe(_ tables.Instant, in router.Input) {
 	if _, late := in.(router.CrashDetected); late {
-		c.then(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
+		c.enqueue(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
 	}
 }
 
 // Guards against a failing answer that goes out before it is known that the endpoint has
 // crashed: on a busy machine that may take longer than the next attempt.
-func TestAFailingAnswerWaitsUntilACrashIsKnown(t *testing.T) {
+func TestFailureWaitsForCrashCheck(t *testing.T) {
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
 	notified, shared := make(chan struct{}), make(chan struct{}, 1)
 	s := &Server{
 		inbox: make(chan message, 8), stopped: make(chan struct{}), limits: Limits{CrashCheckTimeout: time.Hour},
 		now: func() tables.Instant { return 0 },
-		share: func([]quarantine.Suspect) <-chan struct{} {
+		broadcastSuspects: func([]quarantine.Suspect) <-chan struct{} {
 			shared <- struct{}{}
 			return notified
 		},
 	}
-	decider := &lateCrash{}
-	f := &flight{
-		server: s, row: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
+	decider := &lateCrashRouter{}
+	f := &inFlight{
+		server: s, spec: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
 		state: outcome.NewUndispatched(id).Dispatch(attemptID),
 	}
-	a := &attempt{flight: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
-	l := &loop{
+	a := &attempt{request: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
+	l := &eventLoop{
 		server: s, router: decider,
-		flights: map[tables.RequestID]*flight{id: f},
-		running: map[tables.AttemptID]*attempt{attemptID: a},
+		requests: map[tables.RequestID]*inFlight{id: f},
+		attempts: map[tables.AttemptID]*attempt{attemptID: a},
 	}
 	settling := make(chan bool, 1)
-	l.end(0, ended{attempt: a, how: router.AttemptEnded{Attempt: attemptID, Result: router.Interrupted}, settling: settling})
-	decider.then(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
+	l.endAttempt(0, attemptEnded{attempt: a, input: router.AttemptEnded{Attempt: attemptID, Result: router.Interrupted}, crashCheck: settling})
+	decider.enqueue(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
 	l.tick(0)
 	assert.Equal(t, len(f.failed), 0, "answered before it was known whether the endpoint has crashed")
 
 	settling <- true
-	l.take(<-s.inbox)
+	l.handle(<-s.inbox)
 	l.tick(0)
 	<-shared
 	assert.Equal(t, len(f.failed), 0, "answered before the other instances were notified")
--- a/entry/doc_test.go
+++ b/entry/doc_test.go
@@ -18,8 +18,8 @@
 			listed++
 		}
 	}
-	assert.Equal(t, listed, len(explanations))
-	for code := range explanations {
+	assert.Equal(t, listed, len(errorResponses))
+	for code := range errorResponses {
 		assert.Assert(t, strings.Contains(string(page), fmt.Sprintf("| %d |", code)), "code %d", code)
 	}
 }
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -11,7 +11,7 @@
 )
 
 // Ready says whether the balancer should send callers here.
-func (s *Server) Ready() bool { return s.gate.State().Ready() && s.directory.Load() != nil }
+func (s *Server) Ready() bool { return s.gate.State().Ready() && s.configIndex.Load() != nil }
 
 // admit counts a request in, or gives the reason why it is not served.
 func (s *Server) admit() *outcome.Failure {
@@ -19,11 +19,11 @@
 	var failure *outcome.Failure
 	switch {
 	case !admitted:
-		failure = notRun("", tables.CodeDraining, retryDraining)
+		failure = notRun("", tables.CodeDraining, retryAfterDraining)
 	case open > int64(s.limits.MaxInFlight):
-		failure = notRun("", tables.CodeOverloaded, retryFull)
-	case s.directory.Load() == nil:
-		failure = notRun("", tables.CodeNotReady, retryDraining)
+		failure = notRun("", tables.CodeOverloaded, retryAfterOverload)
+	case s.configIndex.Load() == nil:
+		failure = notRun("", tables.CodeNotReady, retryAfterDraining)
 	default:
 		return nil
 	}
--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -13,7 +13,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func (r *rig) ready(t *testing.T) bool {
+func (r *harness) ready(t *testing.T) bool {
 	t.Helper()
 	resp, err := r.http.Get(r.url + "/readyz")
 	assert.NilError(t, err)
@@ -24,7 +24,7 @@
 // An instance is stopped for an update while a caller's stream is running. The
 // caller gets its whole answer; a request that the balancer sends late is served
 // too; only then, and after the stream, does the instance end.
-func TestDrainCutsNoStream(t *testing.T) {
+func TestDrainWaitsForOpenStreams(t *testing.T) {
 	now := make(chan tables.Instant, 1)
 	now <- 0
 	clock := func() tables.Instant {
@@ -32,17 +32,17 @@
 		now <- at
 		return at
 	}
-	r := newRig(t, func(o *Options) {
+	r := newHarness(t, func(o *Options) {
 		o.Now = clock
 		o.Limits.DrainDelay = 10 * time.Millisecond
 	})
 	tokens := make(chan engine.Token, 2)
 	tokens <- engine.Token{Index: 0, Text: "a"}
-	r.client.generate = []script{
+	r.client.generate = []generateFunc{
 		func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 			return r.client.stream(ctx, req, tokens, nil), nil
 		},
-		r.client.says([]string{"late"}, nil),
+		r.client.respondWith([]string{"late"}, nil),
 	}
 	streaming := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`)
 	assert.Assert(t, r.ready(t))
@@ -77,11 +77,11 @@
 	assert.NilError(t, <-done)
 }
 
-func TestSecondSignalCutsTheDrain(t *testing.T) {
-	r := newRig(t, nil)
+func TestSecondSignalAbortsDrain(t *testing.T) {
+	r := newHarness(t, nil)
 	tokens := make(chan engine.Token, 1)
 	tokens <- engine.Token{Index: 0, Text: "a"}
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return r.client.stream(ctx, req, tokens, nil), nil
 	}}
 	ctx, stop := context.WithCancel(t.Context())
@@ -94,9 +94,9 @@
 
 // An instance has just started and knows no configuration yet. Callers must not
 // be told that their tokens are wrong.
-func TestNoConfigurationYet(t *testing.T) {
-	r := newRig(t, nil)
-	r.server.directory.Store(nil)
+func TestNotReadyBeforeFirstConfiguration(t *testing.T) {
+	r := newHarness(t, nil)
+	r.server.configIndex.Store(nil)
 	assert.Assert(t, !r.ready(t))
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p"}`)
 	failure := failureIn(t, read(t, resp))
--- a/entry/eventloop.go
+++ b/entry/eventloop.go
@@ -16,64 +16,64 @@
 )
 
 const (
-	// inbox is how many messages may wait for the loop.
-	inbox = 4096
-	// batch bounds how many messages share one tick, so that a flood of load
+	// inboxCapacity is how many messages may wait for the loop.
+	inboxCapacity = 4096
+	// maxMessagesPerTick bounds how many messages share one tick, so that a flood of load
 	// reports cannot hold back a request for long.
-	batch = 256
+	maxMessagesPerTick = 256
 )
 
 // message is something that the loop is told.
 type message interface{ message() }
 
 type (
-	submitted struct{ flight *flight }
-	// closed: the caller has its answer or is gone.
-	closed     struct{ flight *flight }
-	configured struct{ configuration *tables.Configuration }
-	observed   struct{ input router.Input }
-	// overdue: the router let the flight's timeout pass without an end.
-	overdue struct{ flight *flight }
-	// ended is the end of an attempt, with a proof if it never began.
-	ended struct {
+	requestSubmitted struct{ request *inFlight }
+	// requestClosed: the caller has its answer or is gone.
+	requestClosed struct{ request *inFlight }
+	configured    struct{ configuration *tables.Configuration }
+	inputObserved struct{ input router.Input }
+	// requestOverdue: the router let the flight's timeout pass without an end.
+	requestOverdue struct{ request *inFlight }
+	// attemptEnded is the end of an attempt, with a proof if it never began.
+	attemptEnded struct {
 		attempt *attempt
-		how     router.AttemptEnded
+		input   router.AttemptEnded
 		proof   *outcome.NotStartedProof
-		// final ends the whole request with this failure; set when the control
+		// requestFailure ends the whole request with this failure; set when the control
 		// state did not let the attempt go.
-		final *outcome.Failure
-		// settling yields whether the endpoint of a broken attempt has crashed, where
+		requestFailure *outcome.Failure
+		// crashCheck yields whether the endpoint of a broken attempt has crashed, where
 		// that was not known in time; else it is nil.
-		settling <-chan bool
+		crashCheck <-chan bool
 	}
-	// crashed: the endpoint of an attempt that ended earlier turned out to be gone.
+	// crashDetected: the endpoint of an attempt that ended earlier turned out to be gone.
 	// release is called once the other instances are notified.
-	crashed struct {
+	crashDetected struct {
 		attempt *attempt
 		release func()
 	}
 )
 
-func (submitted) message()  {}
-func (overdue) message()    {}
-func (closed) message()     {}
-func (configured) message() {}
-func (observed) message()   {}
-func (ended) message()      {}
-func (crashed) message()    {}
+func (requestSubmitted) message() {}
+func (requestOverdue) message()   {}
+func (requestClosed) message()    {}
+func (configured) message()       {}
+func (inputObserved) message()    {}
+func (attemptEnded) message()     {}
+func (crashDetected) message()    {}
 
-// loop owns the router and the flights.
-type loop struct {
-	server  *Server
-	router  Router
-	flights map[tables.RequestID]*flight
-	running map[tables.AttemptID]*attempt
-	passOn  func([]router.PeerPlacement)
-	news    []router.PeerPlacement
-	// notifying are the crash reports on their way to other instances.
-	notifying []<-chan struct{}
-	// releases are called once those that the next tick adds have arrived.
-	releases []func()
+// eventLoop owns the router and the flights.
+type eventLoop struct {
+	server           *Server
+	router           Router
+	requests         map[tables.RequestID]*inFlight
+	attempts         map[tables.AttemptID]*attempt
+	gossipPlacements func([]router.PeerPlacement)
+	placements       []router.PeerPlacement
+	// broadcasts are the crash reports on their way to other instances.
+	broadcasts []<-chan struct{}
+	// pendingReleases are called once those that the next tick adds have arrived.
+	pendingReleases []func()
 }
 
 // closedChannel stands for a report that nobody waits for.
@@ -83,8 +83,8 @@
 	return c
 }()
 
-// tell hands a message to the loop; it is lost only when the server is closed.
-func (s *Server) tell(m message) {
+// post hands a message to the loop; it is lost only when the server is closed.
+func (s *Server) post(m message) {
 	select {
 	case s.inbox <- m:
 	case <-s.stopped:
@@ -92,7 +92,7 @@
 }
 
 // run takes messages until the server is closed.
-func (l *loop) run() {
+func (l *eventLoop) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -100,8 +100,8 @@
 		case <-l.server.stopped:
 			return
 		case m := <-l.server.inbox:
-			l.take(m)
-			l.takeWaiting()
+			l.handle(m)
+			l.handleQueued()
 		case <-timer.C:
 		}
 		now := l.server.now()
@@ -110,89 +110,89 @@
 	}
 }
 
-// takeWaiting takes the messages that are there already, up to a batch.
-func (l *loop) takeWaiting() {
-	for range batch {
+// handleQueued takes the messages that are there already, up to a batch.
+func (l *eventLoop) handleQueued() {
+	for range maxMessagesPerTick {
 		select {
 		case m := <-l.server.inbox:
-			l.take(m)
+			l.handle(m)
 		default:
 			return
 		}
 	}
 }
 
-func (l *loop) take(m message) {
+func (l *eventLoop) handle(m message) {
 	now := l.server.now()
 	switch m := m.(type) {
-	case submitted:
-		l.flights[m.flight.row.ID] = m.flight
-		m.flight.queued = true
-		l.router.Submit(now, &m.flight.row)
-	case closed:
-		l.close(now, m.flight)
+	case requestSubmitted:
+		l.requests[m.request.spec.ID] = m.request
+		m.request.queued = true
+		l.router.Submit(now, &m.request.spec)
+	case requestClosed:
+		l.closeRequest(now, m.request)
 	case configured:
 		l.router.Configure(now, m.configuration)
-	case observed:
+	case inputObserved:
 		l.router.Observe(now, m.input)
-	case ended:
-		l.end(now, m)
-	case crashed:
-		m.attempt.flight.crashed = true
+	case attemptEnded:
+		l.endAttempt(now, m)
+	case crashDetected:
+		m.attempt.request.endpointCrashed = true
 		l.router.Observe(now, router.CrashDetected{Attempt: m.attempt.dispatch.Attempt})
-		l.releases = append(l.releases, m.release)
-	case overdue:
-		l.endOverdue(now, m.flight)
-	case inspection:
-		m.look()
+		l.pendingReleases = append(l.pendingReleases, m.release)
+	case requestOverdue:
+		l.failOverdue(now, m.request)
+	case loopTask:
+		m.run()
 		close(m.done)
 	}
 }
 
-// close forgets a flight. Its attempts stay in running, and thereby in the
+// closeRequest forgets a flight. Its attempts stay in running, and thereby in the
 // router's account of slots, until each has ended.
-func (l *loop) close(now tables.Instant, f *flight) {
+func (l *eventLoop) closeRequest(now tables.Instant, f *inFlight) {
 	f.ended = true
-	delete(l.flights, f.row.ID)
-	l.router.Cancel(now, f.row.ID)
+	delete(l.requests, f.spec.ID)
+	l.router.Cancel(now, f.spec.ID)
 }
 
-// endOverdue ends a flight that the router has lost sight of.
-func (l *loop) endOverdue(now tables.Instant, f *flight) {
+// failOverdue ends a flight that the router has lost sight of.
+func (l *eventLoop) failOverdue(now tables.Instant, f *inFlight) {
 	if f.ended {
 		return
 	}
-	events.RequestOverdue.Log(l.server.log, zap.String("request", string(f.row.ID)))
-	l.router.Cancel(now, f.row.ID)
-	l.fail(router.Fail{Request: f.row.ID, Code: tables.CodeTimeout})
+	events.RequestOverdue.Log(l.server.log, zap.String("request", string(f.spec.ID)))
+	l.router.Cancel(now, f.spec.ID)
+	l.fail(router.Fail{Request: f.spec.ID, Code: tables.CodeTimeout})
 }
 
-func (l *loop) end(now tables.Instant, m ended) {
+func (l *eventLoop) endAttempt(now tables.Instant, m attemptEnded) {
 	id := m.attempt.dispatch.Attempt
-	if _, known := l.running[id]; !known {
+	if _, known := l.attempts[id]; !known {
 		return
 	}
-	delete(l.running, id)
-	f := m.attempt.flight
-	f.remove(id)
+	delete(l.attempts, id)
+	f := m.attempt.request
+	f.removeAttempt(id)
 	if m.proof != nil {
 		if d, ok := f.state.(*outcome.Dispatched); ok {
 			f.state = d.NotStarted(*m.proof)
 		}
 	}
-	f.crashed = f.crashed || m.how.Result == router.Crashed
-	l.router.Observe(now, m.how)
-	if m.settling != nil {
-		f.settling = append(f.settling, l.server.settled(m.attempt, m.settling))
+	f.endpointCrashed = f.endpointCrashed || m.input.Result == router.Crashed
+	l.router.Observe(now, m.input)
+	if m.crashCheck != nil {
+		f.crashChecks = append(f.crashChecks, l.server.awaitCrashCheck(m.attempt, m.crashCheck))
 	}
-	if m.final != nil && !f.ended {
-		l.router.Cancel(now, f.row.ID)
-		f.fail(m.final)
+	if m.requestFailure != nil && !f.ended {
+		l.router.Cancel(now, f.spec.ID)
+		f.fail(m.requestFailure)
 	}
 }
 
 // tick lets the router decide and carries its actions out.
-func (l *loop) tick(now tables.Instant) {
+func (l *eventLoop) tick(now tables.Instant) {
 	for _, action := range l.router.Tick(now) {
 		switch a := action.(type) {
 		case router.Dispatch:
@@ -204,20 +204,20 @@
 		case router.Abort:
 			l.abort(a)
 		case router.BroadcastSuspects:
-			l.share(a.Suspects)
+			l.broadcastSuspects(a.Suspects)
 		}
 	}
-	l.release()
-	l.passNews()
+	l.releaseAfterBroadcasts()
+	l.drainPlacements()
 }
 
-// release lets go on what waits for reports of crashes that came late.
-func (l *loop) release() {
-	if len(l.releases) == 0 {
+// releaseAfterBroadcasts lets go on what waits for reports of crashes that came late.
+func (l *eventLoop) releaseAfterBroadcasts() {
+	if len(l.pendingReleases) == 0 {
 		return
 	}
-	reports, releases := slices.Clone(l.pending()), l.releases
-	l.releases = nil
+	reports, releases := slices.Clone(l.pendingBroadcasts()), l.pendingReleases
+	l.pendingReleases = nil
 	go func() {
 		for _, notified := range reports {
 			<-notified
@@ -228,16 +228,16 @@
 	}()
 }
 
-// settled returns a channel that is closed once it is known whether the endpoint of a
+// awaitCrashCheck returns a channel that is closed once it is known whether the endpoint of a
 // broken attempt has crashed, and the other instances are notified if it has, or
 // Limits.SettleWait has passed.
-func (s *Server) settled(a *attempt, settling <-chan bool) <-chan struct{} {
+func (s *Server) awaitCrashCheck(a *attempt, settling <-chan bool) <-chan struct{} {
 	done := make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
 	time.AfterFunc(s.limits.CrashCheckTimeout, release)
 	go func() {
 		if <-settling {
-			s.tell(crashed{attempt: a, release: release})
+			s.post(crashDetected{attempt: a, release: release})
 			return
 		}
 		release()
@@ -245,14 +245,14 @@
 	return done
 }
 
-// share notifies the other instances of a crash, and remembers that it is under way.
-func (l *loop) share(suspects []quarantine.Suspect) {
-	l.notifying = append(l.pending(), l.server.share(suspects))
+// broadcastSuspects notifies the other instances of a crash, and remembers that it is under way.
+func (l *eventLoop) broadcastSuspects(suspects []quarantine.Suspect) {
+	l.broadcasts = append(l.pendingBroadcasts(), l.server.broadcastSuspects(suspects))
 }
 
-// pending lists the reports that are still on their way.
-func (l *loop) pending() []<-chan struct{} {
-	l.notifying = slices.DeleteFunc(l.notifying, func(c <-chan struct{}) bool {
+// pendingBroadcasts lists the reports that are still on their way.
+func (l *eventLoop) pendingBroadcasts() []<-chan struct{} {
+	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(c <-chan struct{}) bool {
 		select {
 		case <-c:
 			return true
@@ -260,51 +260,51 @@
 			return false
 		}
 	})
-	return l.notifying
+	return l.broadcasts
 }
 
-// newsSource is a Decider that has placements to pass on; *router.Router is one.
-type newsSource interface {
+// placementSource is a Decider that has placements to pass on; *router.Router is one.
+type placementSource interface {
 	DrainPlacements(dst []router.PeerPlacement, limit int) []router.PeerPlacement
 }
 
-// newsAtOnce bounds the placements that are passed on after one tick.
-const newsAtOnce = 32
+// maxPlacementsPerTick bounds the placements that are passed on after one tick.
+const maxPlacementsPerTick = 32
 
-// passNews tells the other instances of placements that are new.
-func (l *loop) passNews() {
-	source, ok := l.router.(newsSource)
-	if !ok || l.passOn == nil {
+// drainPlacements tells the other instances of placements that are new.
+func (l *eventLoop) drainPlacements() {
+	source, ok := l.router.(placementSource)
+	if !ok || l.gossipPlacements == nil {
 		return
 	}
-	l.news = source.DrainPlacements(l.news[:0], newsAtOnce)
-	if len(l.news) > 0 {
-		l.passOn(l.news)
+	l.placements = source.DrainPlacements(l.placements[:0], maxPlacementsPerTick)
+	if len(l.placements) > 0 {
+		l.gossipPlacements(l.placements)
 	}
 }
 
-func (l *loop) dispatch(now tables.Instant, d router.Dispatch) {
-	f := l.flights[d.Request]
+func (l *eventLoop) dispatch(now tables.Instant, d router.Dispatch) {
+	f := l.requests[d.Request]
 	if f == nil || f.ended {
 		l.router.Observe(now, router.AttemptEnded{Attempt: d.Attempt, Result: router.NotStarted})
 		return
 	}
 	if f.queued {
 		f.queued = false
-		l.server.metrics.ObserveQueueWait(f.row.Organisation, f.profile.Priority, now-f.row.Arrived)
+		l.server.metrics.ObserveQueueWait(f.spec.Organisation, f.profile.Priority, now-f.spec.Arrived)
 	}
-	a := &attempt{flight: f, dispatch: d, unsent: outcome.NewUnsentAttempt(d.Attempt)}
+	a := &attempt{request: f, dispatch: d, unsent: outcome.NewUnsentAttempt(d.Attempt)}
 	a.ctx, a.cancel = context.WithCancelCause(f.ctx)
 	f.state = f.state.Dispatch(d.Attempt)
 	f.attempts = append(f.attempts, a)
-	l.running[d.Attempt] = a
+	l.attempts[d.Attempt] = a
 	go a.run()
 }
 
 // refuse ends a request as not run. The router says so only of requests it did
 // not dispatch; were it wrong, the state would not let the caller be told so.
-func (l *loop) refuse(r router.Refuse) {
-	f := l.flights[r.Request]
+func (l *eventLoop) refuse(r router.Refuse) {
+	f := l.requests[r.Request]
 	if f == nil {
 		return
 	}
@@ -317,8 +317,8 @@
 	}
 }
 
-func (l *loop) fail(a router.Fail) {
-	f := l.flights[a.Request]
+func (l *eventLoop) fail(a router.Fail) {
+	f := l.requests[a.Request]
 	if f == nil {
 		return
 	}
@@ -337,16 +337,16 @@
 // failDispatched ends a request that may have run. One that has crashed an endpoint is
 // answered only after the other instances were notified: its caller sends it again at
 // once, and an instance that knows nothing of the crash would run it at further endpoints.
-func (l *loop) failDispatched(f *flight, failure *outcome.Failure) {
-	waits := slices.Clone(f.settling)
-	if f.crashed {
-		waits = append(waits, l.pending()...)
+func (l *eventLoop) failDispatched(f *inFlight, failure *outcome.Failure) {
+	waits := slices.Clone(f.crashChecks)
+	if f.endpointCrashed {
+		waits = append(waits, l.pendingBroadcasts()...)
 	}
 	f.fail(failure, waits...)
 }
 
-func (l *loop) abort(a router.Abort) {
-	if attempt := l.running[a.Attempt]; attempt != nil {
+func (l *eventLoop) abort(a router.Abort) {
+	if attempt := l.attempts[a.Attempt]; attempt != nil {
 		attempt.cancel(nil)
 	}
 }
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -9,15 +9,15 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// explanation is how a code looks to a caller.
-type explanation struct {
+// errorResponse is how a code looks to a caller.
+type errorResponse struct {
 	status  int
 	message string
 }
 
-// explanations holds every code that a caller can meet. The sentences are
+// errorResponses holds every code that a caller can meet. The sentences are
 // explained further in docs/operating/requests.md.
-var explanations = map[tables.ErrorCode]explanation{
+var errorResponses = map[tables.ErrorCode]errorResponse{
 	tables.CodeMalformed:         {http.StatusBadRequest, "The request is not well formed."},
 	tables.CodeUnauthorised:      {http.StatusUnauthorized, "The bearer token is missing or not known."},
 	tables.CodeForbiddenProfile:  {http.StatusForbidden, "The organisation may not use this profile."},
@@ -45,17 +45,17 @@
 	tables.CodeOutcomeUnknown:    {http.StatusBadGateway, "The work may have run; it will not be run again under this key."},
 }
 
-// explain gives the status and sentence of a code.
-func explain(code tables.ErrorCode) explanation {
-	if e, ok := explanations[code]; ok {
+// errorResponseFor gives the status and sentence of a code.
+func errorResponseFor(code tables.ErrorCode) errorResponse {
+	if e, ok := errorResponses[code]; ok {
 		return e
 	}
-	return explanations[tables.CodeInternal]
+	return errorResponses[tables.CodeInternal]
 }
 
-// body is the failure as callers see it.
-func body(f *outcome.Failure) oas.Failure {
-	message := explain(f.Code).message
+// failureBody is the failure as callers see it.
+func failureBody(f *outcome.Failure) oas.Failure {
+	message := errorResponseFor(f.Code).message
 	if f.Detail != "" {
 		message += " " + f.Detail
 	}
@@ -73,9 +73,9 @@
 	return oas.Failure{Error: e}
 }
 
-// response is the failure with its status and headers.
-func response(f *outcome.Failure) *oas.FailureStatusCodeWithHeaders {
-	r := &oas.FailureStatusCodeWithHeaders{StatusCode: explain(f.Code).status, Response: body(f)}
+// failureResponse is the failure with its status and headers.
+func failureResponse(f *outcome.Failure) *oas.FailureStatusCodeWithHeaders {
+	r := &oas.FailureStatusCodeWithHeaders{StatusCode: errorResponseFor(f.Code).status, Response: failureBody(f)}
 	if f.RetryAfter > 0 {
 		r.RetryAfter = oas.NewOptInt(int((f.RetryAfter + time.Second - 1) / time.Second))
 	}
--- a/entry/gate/gate.go
+++ b/entry/gate/gate.go
@@ -19,8 +19,8 @@
 	mu      sync.Mutex
 	machine drain.Machine
 	// state is machine's, for reading without the lock.
-	state atomic.Uint32
-	open  atomic.Int64
+	state    atomic.Uint32
+	inFlight atomic.Int64
 	// idle is signalled when the last open request ends.
 	idle chan struct{}
 }
@@ -35,13 +35,13 @@
 // before the look at the state: a drain that sees no open request can then be
 // sure that none slips in. Whatever it returns, Leave must follow.
 func (g *Gate) Admit() (open int64, admitted bool) {
-	open = g.open.Add(1)
+	open = g.inFlight.Add(1)
 	return open, g.State().AcceptsRequests()
 }
 
 // Done counts a request out.
 func (g *Gate) Done() {
-	if g.open.Add(-1) == 0 {
+	if g.inFlight.Add(-1) == 0 {
 		select {
 		case g.idle <- struct{}{}:
 		default:
@@ -53,34 +53,34 @@
 func (g *Gate) State() drain.State { return drain.State(g.state.Load()) }
 
 // InFlight is the number of open requests.
-func (g *Gate) InFlight() int64 { return g.open.Load() }
+func (g *Gate) InFlight() int64 { return g.inFlight.Load() }
 
 // Drain stops the gate being ready, goes on admitting for a while until the
 // balancer has noticed, then admits nothing and returns when every open request
 // has ended. When the context ends first it gives up and returns its failure.
 func (g *Gate) Drain(ctx context.Context, now func() tables.Instant) error {
-	g.change(func(m *drain.Machine) { m.Begin(now()) })
+	g.update(func(m *drain.Machine) { m.Begin(now()) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		if g.tick(now()) == drain.Stopped {
 			return nil
 		}
-		if wait := g.wait(now()); wait > 0 {
+		if wait := g.untilClosing(now()); wait > 0 {
 			timer.Reset(wait)
 		}
 		select {
 		case <-timer.C:
 		case <-g.idle:
 		case <-ctx.Done():
-			g.change((*drain.Machine).Abort)
+			g.update((*drain.Machine).Abort)
 			g.tick(now())
 			return trace.Wrap(ctx.Err())
 		}
 	}
 }
 
-func (g *Gate) change(f func(*drain.Machine)) {
+func (g *Gate) update(f func(*drain.Machine)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(&g.machine)
@@ -90,12 +90,12 @@
 func (g *Gate) tick(now tables.Instant) drain.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	state := g.machine.Tick(now, int(g.open.Load()))
+	state := g.machine.Tick(now, int(g.inFlight.Load()))
 	g.state.Store(uint32(state))
 	return state
 }
 
-func (g *Gate) wait(now tables.Instant) time.Duration {
+func (g *Gate) untilClosing(now tables.Instant) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.machine.NextTransition(now)
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -26,13 +26,13 @@
 	testWait  = 10 * time.Second
 )
 
-// script says what the fake engine at one address does with an attempt.
-type script func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error)
+// generateFunc says what the fake engine at one address does with an attempt.
+type generateFunc func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error)
 
 // fakeClient answers attempts by scripts, in order of dispatch.
 type fakeClient struct {
 	mu        sync.Mutex
-	generate  []script
+	generate  []generateFunc
 	call      []func(engine.CallRequest) (engine.CallResponse, error)
 	requests  []engine.GenerateRequest
 	calls     []engine.CallRequest
@@ -70,7 +70,7 @@
 	return c.cancelErr
 }
 
-func (c *fakeClient) seen() []engine.GenerateRequest {
+func (c *fakeClient) received() []engine.GenerateRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]engine.GenerateRequest(nil), c.requests...)
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// says is a script that gives tokens from the offset asked for up to the end,
+// respondWith is a script that gives tokens from the offset asked for up to the end,
 // and then fails with err or ends whole.
-func (c *fakeClient) says(words []string, err error) script {
+func (c *fakeClient) respondWith(words []string, err error) generateFunc {
 	return func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		tokens := make(chan engine.Token, len(words))
 		for i := req.ResumeFrom; i < len(words); i++ {
@@ -161,15 +161,15 @@
 	return c
 }
 
-// rig is an entry over a real router and a scripted client.
-type rig struct {
+// harness is an entry over a real router and a scripted client.
+type harness struct {
 	server *Server
 	client *fakeClient
 	url    string
 	http   *http.Client
 }
 
-func newRig(t *testing.T, change func(*Options)) *rig {
+func newHarness(t *testing.T, change func(*Options)) *harness {
 	t.Helper()
 	client := &fakeClient{cancelled: make(chan tables.AttemptID, 64)}
 	o := Options{
@@ -187,11 +187,11 @@
 		listener.Close()
 		server.Close()
 	})
-	return &rig{server: server, client: client, url: listener.URL, http: listener.Client()}
+	return &harness{server: server, client: client, url: listener.URL, http: listener.Client()}
 }
 
 // post sends a JSON body and returns the response; headers come in pairs.
-func (r *rig) post(t *testing.T, ctx context.Context, path, body string, headers ...string) *http.Response {
+func (r *harness) post(t *testing.T, ctx context.Context, path, body string, headers ...string) *http.Response {
 	t.Helper()
 	resp, err := r.http.Do(r.request(t, ctx, path, body, headers...))
 	assert.NilError(t, err)
@@ -199,7 +199,7 @@
 	return resp
 }
 
-func (r *rig) request(t *testing.T, ctx context.Context, path, body string, headers ...string) *http.Request {
+func (r *harness) request(t *testing.T, ctx context.Context, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.url+path, strings.NewReader(body))
 	assert.NilError(t, err)
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -14,10 +14,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// flight is one request from its submission until its caller has the answer.
-type flight struct {
+// inFlight is one request from its submission until its caller has the answer.
+type inFlight struct {
 	server  *Server
-	row     tables.Request
+	spec    tables.Request
 	org     *tables.Organisation
 	profile *tables.Profile
 	// weights is the version that was wanted when the request came.
@@ -29,8 +29,8 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// opened hands over an attempt whose first token or whole answer is there.
-	opened chan *opened
+	// started hands over an attempt whose first token or whole answer is there.
+	started chan *startedAttempt
 	// failed carries the final failure; the loop sends at most one.
 	failed chan *outcome.Failure
 
@@ -39,77 +39,77 @@
 	attempts []*attempt
 	queued   bool
 	ended    bool
-	// crashed is set once an attempt has ended with a crash of its endpoint.
-	crashed bool
-	// settling are closed once it is known of broken attempts whether their endpoints have
+	// endpointCrashed is set once an attempt has ended with a crash of its endpoint.
+	endpointCrashed bool
+	// crashChecks are closed once it is known of broken attempts whether their endpoints have
 	// crashed.
-	settling []<-chan struct{}
+	crashChecks []<-chan struct{}
 
 	// claim is set for work that must run at most once.
 	claim *claim
 
 	// mu guards what an attempt that starts needs to know of the answer so far.
-	mu        sync.Mutex
-	emitted   strings.Builder
-	delivered int
-	// size is the length of emitted in bytes.
-	size int
-
-	// won holds the attempt that the caller is being answered from.
-	won atomic.Pointer[attempt]
+	mu              sync.Mutex
+	emitted         strings.Builder
+	deliveredTokens int
+	// emittedBytes is the length of emitted in bytes.
+	emittedBytes int
+
+	// winner holds the attempt that the caller is being answered from.
+	winner atomic.Pointer[attempt]
 }
 
 // attempt is one try at running a flight.
 type attempt struct {
-	flight   *flight
+	request  *inFlight
 	dispatch router.Dispatch
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 	unsent   *outcome.UnsentAttempt
 }
 
-// opened is an attempt that has something for the caller.
-type opened struct {
-	attempt *attempt
-	stream  engine.Stream
-	first   engine.Token
-	// whole is set when the stream ended before any token.
-	whole  bool
-	answer engine.CallResponse
+// startedAttempt is an attempt that has something for the caller.
+type startedAttempt struct {
+	attempt    *attempt
+	stream     engine.Stream
+	firstToken engine.Token
+	// complete is set when the stream ended before any token.
+	complete bool
+	response engine.CallResponse
 }
 
 // progress gives how many tokens the caller has, and their text.
-func (f *flight) progress() (int, string) {
+func (f *inFlight) progress() (int, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.delivered, f.emitted.String()
+	return f.deliveredTokens, f.emitted.String()
 }
 
-// lostAfter is how long from now the router has to end the flight. Its timeout
+// untilOverdue is how long from now the router has to end the flight. Its timeout
 // ends every request; this is for the case that the router and the flight
 // disagree on whether the request is open. A caller would notice it by a request
 // that never ends, also past its timeout.
-func (f *flight) lostAfter() time.Duration {
-	return f.row.Deadline - f.server.now() + f.server.limits.DeadlineGrace
+func (f *inFlight) untilOverdue() time.Duration {
+	return f.spec.Deadline - f.server.now() + f.server.limits.DeadlineGrace
 }
 
-// advance records a token that is about to be given to the caller.
-func (f *flight) advance(text string) {
+// recordToken records a token that is about to be given to the caller.
+func (f *inFlight) recordToken(text string) {
 	f.mu.Lock()
-	f.delivered++
-	f.size += len(text)
+	f.deliveredTokens++
+	f.emittedBytes += len(text)
 	f.emitted.WriteString(text)
 	f.mu.Unlock()
 }
 
 // fail hands the final failure to the goroutine that serves the caller, once all of
 // the channels are closed. Only the loop calls it.
-func (f *flight) fail(failure *outcome.Failure, after ...<-chan struct{}) {
+func (f *inFlight) fail(failure *outcome.Failure, after ...<-chan struct{}) {
 	if f.ended {
 		return
 	}
 	f.ended = true
-	failure.Request = f.row.ID
+	failure.Request = f.spec.ID
 	if len(after) == 0 {
 		f.failed <- failure
 	} else {
@@ -126,8 +126,8 @@
 	}
 }
 
-// remove forgets an attempt that has ended.
-func (f *flight) remove(id tables.AttemptID) {
+// removeAttempt forgets an attempt that has ended.
+func (f *inFlight) removeAttempt(id tables.AttemptID) {
 	for i, a := range f.attempts {
 		if a.dispatch.Attempt == id {
 			f.attempts = append(f.attempts[:i], f.attempts[i+1:]...)
--- a/entry/looptask.go
+++ b/entry/looptask.go
@@ -1,20 +1,20 @@
 package entry
 
-// inspection lets another goroutine look at the router, which one goroutine
+// loopTask lets another goroutine look at the router, which one goroutine
 // owns.
-type inspection struct {
-	look func()
+type loopTask struct {
+	run  func()
 	done chan struct{}
 }
 
-func (inspection) message() {}
+func (loopTask) message() {}
 
 // RunInEventLoop runs look in the goroutine that owns the router and returns when it
 // has run. It says whether it ran; it does not once the server is closed. look
 // must be short: requests wait for it.
 func (s *Server) RunInEventLoop(look func()) bool {
-	i := inspection{look: look, done: make(chan struct{})}
-	s.tell(i)
+	i := loopTask{run: look, done: make(chan struct{})}
+	s.post(i)
 	select {
 	case <-i.done:
 		return true
--- a/entry/lostrequest_test.go
+++ b/entry/lostrequest_test.go
@@ -13,26 +13,26 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// scripted is a Decider that does what the test tells it, once for each tick.
-type scripted struct {
+// scriptedRouter is a Decider that does what the test tells it, once for each tick.
+type scriptedRouter struct {
 	mu        sync.Mutex
 	actions   []router.Action
 	submitted []tables.RequestID
-	decide    func(*scripted, *tables.Request)
+	onSubmit  func(*scriptedRouter, *tables.Request)
 }
 
-func (s *scripted) Configure(tables.Instant, *tables.Configuration) {}
-func (s *scripted) Observe(tables.Instant, router.Input)            {}
-func (s *scripted) Cancel(tables.Instant, tables.RequestID)         {}
+func (s *scriptedRouter) Configure(tables.Instant, *tables.Configuration) {}
+func (s *scriptedRouter) Observe(tables.Instant, router.Input)            {}
+func (s *scriptedRouter) Cancel(tables.Instant, tables.RequestID)         {}
 
-func (s *scripted) Submit(_ tables.Instant, r *tables.Request) {
+func (s *scriptedRouter) Submit(_ tables.Instant, r *tables.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.submitted = append(s.submitted, r.ID)
-	s.decide(s, r)
+	s.onSubmit(s, r)
 }
 
-func (s *scripted) Tick(tables.Instant) []router.Action {
+func (s *scriptedRouter) Tick(tables.Instant) []router.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	actions := s.actions
@@ -40,9 +40,9 @@
 	return actions
 }
 
-func (s *scripted) NextTick(now tables.Instant) tables.Instant { return now + time.Hour }
+func (s *scriptedRouter) NextTick(now tables.Instant) tables.Instant { return now + time.Hour }
 
-func (s *scripted) then(a router.Action) {
+func (s *scriptedRouter) enqueue(a router.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.actions = append(s.actions, a)
@@ -52,12 +52,12 @@
 // arrives at that moment. The answer was dropped and the attempt reported as
 // completed, so that nobody ended the request: its caller waited for ever. Found
 // by four demos at once on a busy machine.
-func TestAnswerThatCrossesItsAbortReachesTheCaller(t *testing.T) {
+func TestServiceResponseRacingAbortIsDelivered(t *testing.T) {
 	for range 20 {
-		s := &scripted{decide: func(s *scripted, r *tables.Request) {
+		s := &scriptedRouter{onSubmit: func(s *scriptedRouter, r *tables.Request) {
 			s.actions = append(s.actions, router.Dispatch{Request: r.ID, Attempt: "a1"})
 		}}
-		r := newRig(t, func(o *Options) { o.Router = s })
+		r := newHarness(t, func(o *Options) { o.Router = s })
 		called, release := make(chan struct{}), make(chan struct{})
 		r.client.call = []func(engine.CallRequest) (engine.CallResponse, error){
 			func(req engine.CallRequest) (engine.CallResponse, error) {
@@ -72,7 +72,7 @@
 			got <- read(t, resp)
 		}()
 		<-called
-		s.then(router.Abort{Attempt: "a1"})
+		s.enqueue(router.Abort{Attempt: "a1"})
 		assert.Assert(t, r.server.RunInEventLoop(func() {}))
 		assert.Assert(t, r.server.RunInEventLoop(func() {}), "the tick after the first is over")
 		close(release)
@@ -87,9 +87,9 @@
 
 // The router and the entry disagree on whether a request is open. Whatever the
 // cause, the caller must be told after the timeout, and truthfully.
-func TestRequestThatTheRouterLosesIsEnded(t *testing.T) {
-	s := &scripted{decide: func(*scripted, *tables.Request) {}}
-	r := newRig(t, func(o *Options) {
+func TestRequestLostByRouterTimesOut(t *testing.T) {
+	s := &scriptedRouter{onSubmit: func(*scriptedRouter, *tables.Request) {}}
+	r := newHarness(t, func(o *Options) {
 		o.Router = s
 		o.Limits.DeadlineGrace = time.Nanosecond
 	})
--- a/entry/outcome/outcome.go
+++ b/entry/outcome/outcome.go
@@ -56,9 +56,9 @@
 // Undispatched is a request of which nothing can have reached an endpoint.
 type Undispatched struct {
 	request tables.RequestID
-	// spent is set once the request was dispatched through this value, so that
+	// dispatched is set once the request was dispatched through this value, so that
 	// a copy that was kept cannot be refused.
-	spent bool
+	dispatched bool
 }
 
 // NewUndispatched begins a request of which nothing has left this process.
@@ -68,7 +68,7 @@
 // an unknown outcome instead.
 func (u *Undispatched) Refuse(r tables.Refusal) *Failure {
 	f := &Failure{Request: u.request, Code: r.Code, RetryAfter: r.RetryAfter, outcome: tables.OutcomeNotRun}
-	if u.spent {
+	if u.dispatched {
 		f.outcome = tables.OutcomeUnknown
 	}
 	return f
@@ -76,34 +76,34 @@
 
 // Dispatch gives up the right to refuse.
 func (u *Undispatched) Dispatch(attempt tables.AttemptID) *Dispatched {
-	u.spent = true
-	return &Dispatched{request: u.request, open: []tables.AttemptID{attempt}}
+	u.dispatched = true
+	return &Dispatched{request: u.request, unproven: []tables.AttemptID{attempt}}
 }
 
 // Dispatched is a request that an endpoint may have begun to run.
 type Dispatched struct {
 	request tables.RequestID
-	// open are the attempts without a proof that they never started.
-	open []tables.AttemptID
+	// unproven are the attempts without a proof that they never started.
+	unproven []tables.AttemptID
 }
 
 // Dispatch adds a further attempt.
 func (d *Dispatched) Dispatch(attempt tables.AttemptID) *Dispatched {
-	d.open = append(d.open, attempt)
+	d.unproven = append(d.unproven, attempt)
 	return d
 }
 
 // NotStarted takes a proof that one attempt did not begin. Once there is one
 // for every attempt the request is Undispatched again.
 func (d *Dispatched) NotStarted(p NotStartedProof) State {
-	kept := d.open[:0]
-	for _, attempt := range d.open {
+	kept := d.unproven[:0]
+	for _, attempt := range d.unproven {
 		if attempt != p.attempt {
 			kept = append(kept, attempt)
 		}
 	}
-	d.open = kept
-	if len(d.open) > 0 {
+	d.unproven = kept
+	if len(d.unproven) > 0 {
 		return d
 	}
 	return NewUndispatched(d.request)
--- a/entry/placementgossip_test.go
+++ b/entry/placementgossip_test.go
@@ -14,12 +14,12 @@
 
 // A prompt with a long beginning is placed here. If the other instances are not
 // told, they send the same beginning elsewhere and it is computed again.
-func TestPlacementsArePassedOn(t *testing.T) {
+func TestPlacementsAreGossiped(t *testing.T) {
 	told := make(chan int, 8)
-	r := newRig(t, func(o *Options) {
+	r := newHarness(t, func(o *Options) {
 		o.GossipPlacements = func(placements []router.PeerPlacement) { told <- len(placements) }
 	})
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		tokens := make(chan engine.Token, 1)
 		tokens <- engine.Token{Index: 0, Text: "one"}
 		close(tokens)
--- a/entry/responsereader.go
+++ b/entry/responsereader.go
@@ -10,68 +10,72 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// stalled means that an endpoint paused for too long within a stream.
-type stalled struct{ after time.Duration }
+// tokenTimeoutError means that an endpoint paused for too long within a stream.
+type tokenTimeoutError struct{ after time.Duration }
 
 // Error says how long it paused.
-func (e *stalled) Error() string { return fmt.Sprintf("no token for %v", e.after) }
+func (e *tokenTimeoutError) Error() string { return fmt.Sprintf("no token for %v", e.after) }
 
-// gap means that an endpoint left out tokens.
-type gap struct{ want, got int }
+// tokenGapError means that an endpoint left out tokens.
+type tokenGapError struct{ want, got int }
 
 // Error says which token came instead of which.
-func (e *gap) Error() string { return fmt.Sprintf("token %d came in place of %d", e.got, e.want) }
+func (e *tokenGapError) Error() string {
+	return fmt.Sprintf("token %d came in place of %d", e.got, e.want)
+}
 
-// tooLong means that an endpoint gave more text than an answer may have. The
+// completionTooLongError means that an endpoint gave more text than an answer may have. The
 // text is kept for a resume, so without a bound one endpoint could take all of
 // the instance's memory.
-type tooLong struct{ limit int }
+type completionTooLongError struct{ limit int }
 
 // Error gives the limit.
-func (e *tooLong) Error() string { return fmt.Sprintf("answer longer than %d bytes", e.limit) }
+func (e *completionTooLongError) Error() string {
+	return fmt.Sprintf("answer longer than %d bytes", e.limit)
+}
 
-// gone means that the caller went away; nobody reads the answer.
-type gone struct{ cause error }
+// callerGoneError means that the caller went away; nobody reads the answer.
+type callerGoneError struct{ cause error }
 
 // Error gives the cause.
-func (e *gone) Error() string { return fmt.Sprintf("caller is gone: %v", e.cause) }
+func (e *callerGoneError) Error() string { return fmt.Sprintf("caller is gone: %v", e.cause) }
 
 // Unwrap gives the cause.
-func (e *gone) Unwrap() error { return e.cause }
+func (e *callerGoneError) Unwrap() error { return e.cause }
 
-// reader gives a flight's tokens in order and without repeats, going on at
+// responseReader gives a flight's tokens in order and without repeats, going on at
 // another endpoint when one fails. One goroutine uses it.
-type reader struct {
-	flight  *flight
-	current *opened
-	// pending is set while current.first is still to be given.
-	pending bool
-	stall   *time.Timer
-	last    tables.Instant
+type responseReader struct {
+	request *inFlight
+	current *startedAttempt
+	// firstPending is set while current.first is still to be given.
+	firstPending bool
+	tokenTimer   *time.Timer
+	lastToken    tables.Instant
 }
 
 // next gives the text of the next token, and io.EOF once the answer is whole.
 // Other errors are *outcome.Failure and *gone.
-func (r *reader) next() (string, error) {
+func (r *responseReader) next() (string, error) {
 	for {
 		if r.current == nil {
-			if err := r.await(); err != nil {
+			if err := r.awaitAttempt(); err != nil {
 				return "", err
 			}
 		}
-		token, err := r.pull()
+		token, err := r.receiveToken()
 		if err == io.EOF {
-			r.complete()
+			r.completeAttempt()
 			return "", io.EOF
 		}
 		if err != nil {
-			r.lose(err)
+			r.failOver(err)
 			continue
 		}
-		text, fresh := r.accept(token)
-		if fresh && r.flight.size > r.flight.server.limits.MaxCompletionBytes {
-			r.lose(&tooLong{limit: r.flight.server.limits.MaxCompletionBytes})
-			return "", elsewhere(r.flight.row.ID, tables.CodeEndpointFailed, 0)
+		text, fresh := r.acceptToken(token)
+		if fresh && r.request.emittedBytes > r.request.server.limits.MaxCompletionBytes {
+			r.failOver(&completionTooLongError{limit: r.request.server.limits.MaxCompletionBytes})
+			return "", unknownOutcome(r.request.spec.ID, tables.CodeEndpointFailed, 0)
 		}
 		if fresh {
 			return text, nil
@@ -79,140 +83,140 @@
 	}
 }
 
-// await takes the next attempt that has something to give.
-func (r *reader) await() error {
-	f := r.flight
+// awaitAttempt takes the next attempt that has something to give.
+func (r *responseReader) awaitAttempt() error {
+	f := r.request
 	select {
 	case failure := <-f.failed:
 		return failure
 	default:
 	}
-	lost := time.NewTimer(f.lostAfter())
+	lost := time.NewTimer(f.untilOverdue())
 	defer lost.Stop()
 	for {
 		select {
-		case o := <-f.opened:
-			r.take(o)
+		case o := <-f.started:
+			r.switchTo(o)
 			return nil
 		case failure := <-f.failed:
 			return failure
 		case <-f.ctx.Done():
-			return &gone{cause: f.ctx.Err()}
+			return &callerGoneError{cause: f.ctx.Err()}
 		case <-lost.C:
-			f.server.tell(overdue{flight: f})
+			f.server.post(requestOverdue{request: f})
 		}
 	}
 }
 
-// take makes an attempt the one that the caller is answered from. The others
+// switchTo makes an attempt the one that the caller is answered from. The others
 // are cancelled by the loop as soon as the router hears of the first token.
-func (r *reader) take(o *opened) {
-	f := r.flight
+func (r *responseReader) switchTo(o *startedAttempt) {
+	f := r.request
 	r.current = o
-	r.pending = !o.whole
-	f.won.Store(o.attempt)
+	r.firstPending = !o.complete
+	f.winner.Store(o.attempt)
 	if o.attempt.dispatch.ResumeFrom > 0 {
-		f.server.metrics.CountResumedStream(f.row.Organisation)
+		f.server.metrics.CountResumedStream(f.spec.Organisation)
 	}
 	a := o.attempt
 	limit := f.server.limits.TokenTimeout
-	r.stall = time.AfterFunc(limit, func() { a.cancel(&stalled{after: limit}) })
-	r.stall.Stop()
+	r.tokenTimer = time.AfterFunc(limit, func() { a.cancel(&tokenTimeoutError{after: limit}) })
+	r.tokenTimer.Stop()
 }
 
-// pull gives the current attempt's next token.
-func (r *reader) pull() (engine.Token, error) {
-	if r.pending {
-		r.pending = false
-		return r.current.first, nil
+// receiveToken gives the current attempt's next token.
+func (r *responseReader) receiveToken() (engine.Token, error) {
+	if r.firstPending {
+		r.firstPending = false
+		return r.current.firstToken, nil
 	}
-	if r.current.whole {
+	if r.current.complete {
 		return engine.Token{}, io.EOF
 	}
-	r.stall.Reset(r.flight.server.limits.TokenTimeout)
+	r.tokenTimer.Reset(r.request.server.limits.TokenTimeout)
 	token, err := r.current.stream.Next()
-	r.stall.Stop()
+	r.tokenTimer.Stop()
 	return token, err
 }
 
-// accept decides whether a token is the one the caller is waiting for. Tokens
+// acceptToken decides whether a token is the one the caller is waiting for. Tokens
 // of another attempt and repeats after a resume are dropped; a token too far
 // ahead ends the attempt, because the caller would miss those between.
-func (r *reader) accept(t engine.Token) (string, bool) {
-	f := r.flight
+func (r *responseReader) acceptToken(t engine.Token) (string, bool) {
+	f := r.request
 	if t.Attempt != "" && t.Attempt != r.current.attempt.dispatch.Attempt {
 		f.server.metrics.CountDropped(DroppedMismatch)
 		return "", false
 	}
-	have := f.delivered
+	have := f.deliveredTokens
 	if t.Index < have {
 		f.server.metrics.CountDropped(DroppedDuplicate)
 		return "", false
 	}
 	if t.Index > have {
-		r.lose(&gap{want: have, got: t.Index})
+		r.failOver(&tokenGapError{want: have, got: t.Index})
 		return "", false
 	}
-	f.advance(t.Text)
-	r.measure(have)
+	f.recordToken(t.Text)
+	r.observeLatency(have)
 	return t.Text, true
 }
 
-func (r *reader) measure(index int) {
-	f := r.flight
+func (r *responseReader) observeLatency(index int) {
+	f := r.request
 	now := f.server.now()
 	if index == 0 {
-		f.server.metrics.ObserveTTFT(f.row.Organisation, f.row.Profile, f.profile.Priority, now-f.row.Arrived)
+		f.server.metrics.ObserveTTFT(f.spec.Organisation, f.spec.Profile, f.profile.Priority, now-f.spec.Arrived)
 	} else {
-		f.server.metrics.ObserveTimeBetweenTokens(f.row.Organisation, f.profile.Priority, now-r.last)
+		f.server.metrics.ObserveTimeBetweenTokens(f.spec.Organisation, f.profile.Priority, now-r.lastToken)
 	}
-	r.last = now
+	r.lastToken = now
 }
 
-// lose gives up the current attempt and leaves it to the router to go on.
-func (r *reader) lose(err error) {
+// failOver gives up the current attempt and leaves it to the router to go on.
+func (r *responseReader) failOver(err error) {
 	lost := r.current
 	r.current = nil
-	r.flight.won.Store(nil)
-	lost.attempt.abandon(lost.stream, err, r.flight.delivered-lost.attempt.dispatch.ResumeFrom)
+	r.request.winner.Store(nil)
+	lost.attempt.abortStream(lost.stream, err, r.request.deliveredTokens-lost.attempt.dispatch.ResumeFrom)
 }
 
-func (r *reader) complete() {
+func (r *responseReader) completeAttempt() {
 	done := r.current
 	r.current = nil
 	if done.stream != nil {
 		_ = done.stream.Close()
 	}
-	tokens := r.flight.delivered - done.attempt.dispatch.ResumeFrom
-	done.attempt.tell(router.AttemptEnded{Result: router.Completed, GeneratedTokens: tokens}, nil)
+	tokens := r.request.deliveredTokens - done.attempt.dispatch.ResumeFrom
+	done.attempt.reportEnd(router.AttemptEnded{Result: router.Completed, GeneratedTokens: tokens}, nil)
 }
 
 // close ends the flight: what still runs for it is cancelled at the endpoints.
-func (r *reader) close() {
-	f := r.flight
+func (r *responseReader) close() {
+	f := r.request
 	f.cancel()
 	if r.current != nil {
-		r.lose(&gone{cause: f.ctx.Err()})
+		r.failOver(&callerGoneError{cause: f.ctx.Err()})
 	}
-	f.server.tell(closed{flight: f})
+	f.server.post(requestClosed{request: f})
 }
 
-// whole waits for a plain service's answer.
-func (r *reader) whole() (tables.StoredResponse, error) {
-	if err := r.await(); err != nil {
+// serviceResponse waits for a plain service's answer.
+func (r *responseReader) serviceResponse() (tables.StoredResponse, error) {
+	if err := r.awaitAttempt(); err != nil {
 		return tables.StoredResponse{}, err
 	}
-	got := r.current.answer
-	r.complete()
+	got := r.current.response
+	r.completeAttempt()
 	return tables.StoredResponse{Status: got.Status, ContentType: got.ContentType, Body: got.Body}, nil
 }
 
-// text collects the whole answer; it is for callers who do not stream.
-func (r *reader) text() (string, int, error) {
+// readAll collects the whole answer; it is for callers who do not stream.
+func (r *responseReader) readAll() (string, int, error) {
 	for {
 		_, err := r.next()
 		if err == io.EOF {
-			tokens, text := r.flight.progress()
+			tokens, text := r.request.progress()
 			return text, tokens, nil
 		}
 		if err != nil {
--- a/entry/server.go
+++ b/entry/server.go
@@ -23,73 +23,73 @@
 
 // Server is the entry of one instance. Its methods are safe for concurrent use.
 type Server struct {
-	instance tables.InstanceID
-	boot     string
-	client   engine.Client
-	claimer  ClaimStore
-	metrics  Metrics
-	log      *zap.Logger
-	now      func() tables.Instant
-	share    func([]quarantine.Suspect) (notified <-chan struct{})
-	limits   Limits
-	handler  http.Handler
+	instance          tables.InstanceID
+	bootID            string
+	client            engine.Client
+	claims            ClaimStore
+	metrics           Metrics
+	log               *zap.Logger
+	now               func() tables.Instant
+	broadcastSuspects func([]quarantine.Suspect) (notified <-chan struct{})
+	limits            Limits
+	handler           http.Handler
 
 	inbox    chan message
 	stopped  chan struct{}
 	stopOnce sync.Once
 	done     sync.WaitGroup
 
-	directory atomic.Pointer[directory]
-	requests  atomic.Uint64
-	// held counts the bytes of request bodies.
-	held  atomic.Int64
-	gate  *gate.Gate
-	quota *quota
+	configIndex    atomic.Pointer[configIndex]
+	requestCounter atomic.Uint64
+	// bufferedBytes counts the bytes of request bodies.
+	bufferedBytes       atomic.Int64
+	gate                *gate.Gate
+	organisationLimiter *concurrencyLimiter
 }
 
 // New returns a Server that runs until Close. It answers requests once it has
 // a configuration.
 func New(o Options) (*Server, error) {
 	s := &Server{
-		instance: o.Instance,
-		boot:     o.BootID,
-		client:   o.Client,
-		claimer:  o.Claims,
-		metrics:  o.Metrics,
-		log:      o.Log,
-		now:      o.Now,
-		share:    o.BroadcastSuspects,
-		limits:   o.Limits.withDefaults(),
-		inbox:    make(chan message, inbox),
-		stopped:  make(chan struct{}),
+		instance:          o.Instance,
+		bootID:            o.BootID,
+		client:            o.Client,
+		claims:            o.Claims,
+		metrics:           o.Metrics,
+		log:               o.Log,
+		now:               o.Now,
+		broadcastSuspects: o.BroadcastSuspects,
+		limits:            o.Limits.withDefaults(),
+		inbox:             make(chan message, inboxCapacity),
+		stopped:           make(chan struct{}),
 	}
 	s.gate = gate.New(s.limits.DrainDelay)
-	s.quota = newQuota(s.limits.MaxInFlightPerOrganisation)
+	s.organisationLimiter = newConcurrencyLimiter(s.limits.MaxInFlightPerOrganisation)
 	if s.metrics == nil {
 		s.metrics = NopMetrics{}
 	}
 	if s.log == nil {
 		s.log = zap.NewNop()
 	}
-	if s.share == nil {
-		s.share = func([]quarantine.Suspect) <-chan struct{} { return closedChannel }
+	if s.broadcastSuspects == nil {
+		s.broadcastSuspects = func([]quarantine.Suspect) <-chan struct{} { return closedChannel }
 	}
 	if s.now == nil {
 		origin := time.Now()
 		s.now = func() tables.Instant { return time.Since(origin) }
 	}
-	server, err := oas.NewServer(&api{server: s}, &security{server: s},
-		oas.WithErrorHandler(s.rejected), oas.WithNotFound(s.notFound), oas.WithMethodNotAllowed(s.notAllowed))
+	server, err := oas.NewServer(&apiHandler{server: s}, &authenticator{server: s},
+		oas.WithErrorHandler(s.handleDecodeError), oas.WithNotFound(s.notFound), oas.WithMethodNotAllowed(s.methodNotAllowed))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	s.handler = s.outer(server)
-	l := &loop{
-		server:  s,
-		router:  o.Router,
-		passOn:  o.GossipPlacements,
-		flights: map[tables.RequestID]*flight{},
-		running: map[tables.AttemptID]*attempt{},
+	s.handler = s.middleware(server)
+	l := &eventLoop{
+		server:           s,
+		router:           o.Router,
+		gossipPlacements: o.GossipPlacements,
+		requests:         map[tables.RequestID]*inFlight{},
+		attempts:         map[tables.AttemptID]*attempt{},
 	}
 	s.done.Add(1)
 	go func() {
@@ -105,12 +105,12 @@
 // Configure puts a configuration in force. One with a lower revision than the
 // present one is ignored by the router; callers hand them in in order.
 func (s *Server) Configure(c *tables.Configuration) {
-	s.directory.Store(newDirectory(c))
-	s.tell(configured{configuration: c})
+	s.configIndex.Store(newConfigIndex(c))
+	s.post(configured{configuration: c})
 }
 
 // Observe hands the router what endpoints and peers say.
-func (s *Server) Observe(in router.Input) { s.tell(observed{input: in}) }
+func (s *Server) Observe(in router.Input) { s.post(inputObserved{input: in}) }
 
 // Close stops the loop. Requests that are open get no more answers; Drain
 // waits for them.
@@ -119,15 +119,15 @@
 	s.done.Wait()
 }
 
-// newID names a request; no other instance and no other life of this one gives
+// newRequestID names a request; no other instance and no other life of this one gives
 // the same name.
-func (s *Server) newID() tables.RequestID {
-	id := string(s.instance) + "-" + s.boot + "-" + strconv.FormatUint(s.requests.Add(1), 36)
+func (s *Server) newRequestID() tables.RequestID {
+	id := string(s.instance) + "-" + s.bootID + "-" + strconv.FormatUint(s.requestCounter.Add(1), 36)
 	return tables.RequestID(id)
 }
 
-// noteFailure logs and counts a final failure.
-func (s *Server) noteFailure(org tables.OrganisationID, failure *outcome.Failure) {
+// recordFailure logs and counts a final failure.
+func (s *Server) recordFailure(org tables.OrganisationID, failure *outcome.Failure) {
 	s.metrics.CountFailure(org, failure.Code, failure.Outcome())
 	events.RequestFailed.Log(s.log,
 		zap.String("request", string(failure.Request)),
@@ -135,38 +135,38 @@
 		zap.String("outcome", string(failure.Outcome())))
 }
 
-// launch submits a flight and gives the reader of its answer.
-func (s *Server) launch(ctx context.Context, f *flight) *reader {
+// submit submits a flight and gives the reader of its answer.
+func (s *Server) submit(ctx context.Context, f *inFlight) *responseReader {
 	f.server = s
-	f.opened = make(chan *opened)
+	f.started = make(chan *startedAttempt)
 	f.failed = make(chan *outcome.Failure, 1)
-	f.state = outcome.NewUndispatched(f.row.ID)
+	f.state = outcome.NewUndispatched(f.spec.ID)
 	f.ctx, f.cancel = context.WithCancel(ctx)
-	s.tell(submitted{flight: f})
-	return &reader{flight: f}
+	s.post(requestSubmitted{request: f})
+	return &responseReader{request: f}
 }
 
 // withDefaults fills the fields that are zero.
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
-	fill(&l.MaxBodyBytes, d.MaxBodyBytes)
-	fill(&l.MaxBufferedBytes, d.MaxBufferedBytes)
-	fill(&l.MaxInFlight, d.MaxInFlight)
-	fill(&l.MaxInFlightPerOrganisation, d.MaxInFlightPerOrganisation)
-	fill(&l.MaxCompletionBytes, d.MaxCompletionBytes)
-	fill(&l.DefaultMaxTokens, d.DefaultMaxTokens)
-	fill(&l.TokenTimeout, d.TokenTimeout)
-	fill(&l.WriteTimeout, d.WriteTimeout)
-	fill(&l.ReadTimeout, d.ReadTimeout)
-	fill(&l.CancelTimeout, d.CancelTimeout)
-	fill(&l.CrashCheckTimeout, d.CrashCheckTimeout)
-	fill(&l.ClaimTimeout, d.ClaimTimeout)
-	fill(&l.DeadlineGrace, d.DeadlineGrace)
-	fill(&l.DrainDelay, d.DrainDelay)
+	setDefault(&l.MaxBodyBytes, d.MaxBodyBytes)
+	setDefault(&l.MaxBufferedBytes, d.MaxBufferedBytes)
+	setDefault(&l.MaxInFlight, d.MaxInFlight)
+	setDefault(&l.MaxInFlightPerOrganisation, d.MaxInFlightPerOrganisation)
+	setDefault(&l.MaxCompletionBytes, d.MaxCompletionBytes)
+	setDefault(&l.DefaultMaxTokens, d.DefaultMaxTokens)
+	setDefault(&l.TokenTimeout, d.TokenTimeout)
+	setDefault(&l.WriteTimeout, d.WriteTimeout)
+	setDefault(&l.ReadTimeout, d.ReadTimeout)
+	setDefault(&l.CancelTimeout, d.CancelTimeout)
+	setDefault(&l.CrashCheckTimeout, d.CrashCheckTimeout)
+	setDefault(&l.ClaimTimeout, d.ClaimTimeout)
+	setDefault(&l.DeadlineGrace, d.DeadlineGrace)
+	setDefault(&l.DrainDelay, d.DrainDelay)
 	return l
 }
 
-func fill[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
--- a/entry/sse.go
+++ b/entry/sse.go
@@ -15,17 +15,17 @@
 	finishLength = "length"
 )
 
-// shape is how the events of one kind of completion look: everything but the
+// eventTemplate is how the events of one kind of completion look: everything but the
 // text is the same in all events of a stream, so it is encoded once.
-type shape struct {
-	before, after string
+type eventTemplate struct {
+	tokenPrefix, tokenSuffix string
 	// opening is sent before the first token; may be empty.
 	opening string
-	// end is followed by the reason for the end and endAfter.
-	end, endAfter string
+	// finishPrefix is followed by the reason for the finishPrefix and finishSuffix.
+	finishPrefix, finishSuffix string
 }
 
-func newShape(id tables.RequestID, model string, created int64, chat bool) shape {
+func newEventTemplate(id tables.RequestID, model string, created int64, chat bool) eventTemplate {
 	object, text, opening := "text_completion", `"text":`, ""
 	head := func(object string) string {
 		var e jx.Encoder
@@ -44,37 +44,37 @@
 	if chat {
 		object, text = "chat.completion.chunk", `"delta":{"content":`
 		opening = head(object) + `"delta":{"role":"assistant","content":""}` + tail
-		return shape{
-			before: head(object) + text, after: "}" + tail, opening: opening,
-			end: head(object) + `"delta":{},"finish_reason":"`, endAfter: `"}]}` + "\n\n",
+		return eventTemplate{
+			tokenPrefix: head(object) + text, tokenSuffix: "}" + tail, opening: opening,
+			finishPrefix: head(object) + `"delta":{},"finish_reason":"`, finishSuffix: `"}]}` + "\n\n",
 		}
 	}
-	return shape{
-		before: head(object) + text, after: tail,
-		end: head(object) + `"text":"","finish_reason":"`, endAfter: `"}]}` + "\n\n",
+	return eventTemplate{
+		tokenPrefix: head(object) + text, tokenSuffix: tail,
+		finishPrefix: head(object) + `"text":"","finish_reason":"`, finishSuffix: `"}]}` + "\n\n",
 	}
 }
 
-const endMark = "data: [DONE]\n\n"
+const doneEvent = "data: [DONE]\n\n"
 
 // eventStream renders a flight's tokens as server-sent events, one event a
 // Read, so that each can be flushed by itself.
 type eventStream struct {
-	source source
-	// failed is told of a failure that ends the stream.
-	failed  func(*outcome.Failure)
-	shape   shape
-	encoder jx.Encoder
-	// waiting is what does not fit the caller's buffer yet.
-	waiting []byte
-	buffer  []byte
-	opened  bool
-	ended   bool
-	closed  bool
+	source completionSource
+	// onFailure is told of a failure that ends the stream.
+	onFailure func(*outcome.Failure)
+	template  eventTemplate
+	encoder   jx.Encoder
+	// unread is what does not fit the caller's buffer yet.
+	unread      []byte
+	buffer      []byte
+	openingSent bool
+	ended       bool
+	closed      bool
 }
 
-// prime renders the first event.
-func (s *eventStream) prime() error {
+// renderFirst renders the first event.
+func (s *eventStream) renderFirst() error {
 	text, err := s.source.next()
 	if err != nil && err != io.EOF {
 		return err
@@ -85,62 +85,62 @@
 
 // Read gives the next event.
 func (s *eventStream) Read(p []byte) (int, error) {
-	if len(s.waiting) == 0 {
+	if len(s.unread) == 0 {
 		if s.ended {
 			return 0, io.EOF
 		}
 		s.render(s.source.next())
 	}
-	n := copy(p, s.waiting)
-	s.waiting = s.waiting[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
 func (s *eventStream) render(text string, err error) {
 	s.buffer = s.buffer[:0]
-	if !s.opened {
-		s.opened = true
-		s.buffer = append(s.buffer, s.shape.opening...)
+	if !s.openingSent {
+		s.openingSent = true
+		s.buffer = append(s.buffer, s.template.opening...)
 	}
 	switch err {
 	case nil:
-		s.token(text)
+		s.renderToken(text)
 	case io.EOF:
-		s.finish()
+		s.renderFinish()
 	default:
-		s.failure(err)
+		s.renderFailure(err)
 	}
-	s.waiting = s.buffer
+	s.unread = s.buffer
 }
 
-func (s *eventStream) token(text string) {
+func (s *eventStream) renderToken(text string) {
 	s.encoder.Reset()
 	s.encoder.Str(text)
-	s.buffer = append(s.buffer, s.shape.before...)
+	s.buffer = append(s.buffer, s.template.tokenPrefix...)
 	s.buffer = append(s.buffer, s.encoder.Bytes()...)
-	s.buffer = append(s.buffer, s.shape.after...)
+	s.buffer = append(s.buffer, s.template.tokenSuffix...)
 }
 
-// finish writes the end mark. It is the only place that does, and it is reached
+// renderFinish writes the end mark. It is the only place that does, and it is reached
 // only when an endpoint has marked the answer as whole.
-func (s *eventStream) finish() {
+func (s *eventStream) renderFinish() {
 	s.ended = true
-	s.buffer = append(s.buffer, s.shape.end...)
+	s.buffer = append(s.buffer, s.template.finishPrefix...)
 	s.buffer = append(s.buffer, s.source.finishReason()...)
-	s.buffer = append(s.buffer, s.shape.endAfter...)
-	s.buffer = append(s.buffer, endMark...)
+	s.buffer = append(s.buffer, s.template.finishSuffix...)
+	s.buffer = append(s.buffer, doneEvent...)
 }
 
-// failure writes an error event and no end mark: a stream that merely stopped
+// renderFailure writes an error event and no end mark: a stream that merely stopped
 // could be taken for a whole answer.
-func (s *eventStream) failure(err error) {
+func (s *eventStream) renderFailure(err error) {
 	s.ended = true
 	var failure *outcome.Failure
 	if !errors.As(err, &failure) {
 		return
 	}
-	s.failed(failure)
-	content := body(failure)
+	s.onFailure(failure)
+	content := failureBody(failure)
 	s.encoder.Reset()
 	content.Encode(&s.encoder)
 	s.buffer = append(s.buffer, "event: error\ndata: "...)
@@ -158,8 +158,8 @@
 }
 
 // finishReason says why the answer ended.
-func (r *reader) finishReason() string {
-	if r.flight.delivered >= r.flight.row.MaxTokens {
+func (r *responseReader) finishReason() string {
+	if r.request.deliveredTokens >= r.request.spec.MaxTokens {
 		return finishLength
 	}
 	return finishStop
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -28,10 +28,10 @@
 	return found
 }
 
-func TestEventsAreFlushedOneByOne(t *testing.T) {
-	r := newRig(t, nil)
+func TestEventsAreFlushedIndividually(t *testing.T) {
+	r := newHarness(t, nil)
 	tokens := make(chan engine.Token)
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return r.client.stream(ctx, req, tokens, nil), nil
 	}}
 	go func() { tokens <- engine.Token{Index: 0, Text: "one"} }()
@@ -52,23 +52,23 @@
 	rest := new(strings.Builder)
 	_, err = lines.WriteTo(rest)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.HasSuffix(rest.String(), endMark), rest)
+	assert.Assert(t, strings.HasSuffix(rest.String(), doneEvent), rest)
 }
 
 // An engine's process dies while a caller's answer is being streamed. The caller
 // sees a pause and then the rest, without a gap or a repeated word.
-func TestStreamGoesOnElsewhereAfterCrash(t *testing.T) {
-	r := newRig(t, nil)
+func TestStreamResumesOnAnotherEndpointAfterCrash(t *testing.T) {
+	r := newHarness(t, nil)
 	words := []string{"a", "b", "c", "d"}
-	r.client.generate = []script{
-		r.client.says(words[:2], &engine.InterruptedError{Tokens: 2, Cause: context.DeadlineExceeded}),
-		r.client.says(words, nil),
+	r.client.generate = []generateFunc{
+		r.client.respondWith(words[:2], &engine.InterruptedError{Tokens: 2, Cause: context.DeadlineExceeded}),
+		r.client.respondWith(words, nil),
 	}
 	resp := r.post(t, t.Context(), "/v1/completions", `{"model":"m","prompt":"p","stream":true}`)
 	got := read(t, resp)
 	assert.DeepEqual(t, texts(t, got), words)
-	assert.Assert(t, strings.HasSuffix(got, endMark), got)
-	requests := r.client.seen()
+	assert.Assert(t, strings.HasSuffix(got, doneEvent), got)
+	requests := r.client.received()
 	assert.Equal(t, len(requests), 2)
 	assert.Equal(t, requests[1].ResumeFrom, 2)
 	assert.Equal(t, requests[1].Emitted, "ab")
