--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -91,12 +91,12 @@
 	r := newHarness(t, nil)
 	r.client.generate = []generateFunc{r.client.respondWith([]string{"Hel", "lo"}, nil)}
 	content := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","max_tokens":2}`))
-	var whole oas.Completion
-	assert.NilError(t, json.Unmarshal([]byte(content), &whole), content)
-	assert.Equal(t, whole.Choices[0].Text, "Hello")
-	assert.Equal(t, whole.Choices[0].FinishReason, finishLength)
-	assert.Equal(t, whole.Usage.CompletionTokens, 2)
-	assert.Equal(t, whole.Model, "m")
+	var completion oas.Completion
+	assert.NilError(t, json.Unmarshal([]byte(content), &completion), content)
+	assert.Equal(t, completion.Choices[0].Text, "Hello")
+	assert.Equal(t, completion.Choices[0].FinishReason, finishLength)
+	assert.Equal(t, completion.Usage.CompletionTokens, 2)
+	assert.Equal(t, completion.Model, "m")
 
 	content = read(t, r.post(t, t.Context(), "/v1/chat/completions",
 		`{"messages":[{"role":"system","content":"style"},{"role":"user","content":"hi"}]}`))
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -153,12 +153,12 @@
 		return
 	}
 	end := router.NotStarted
-	var not *engine.NotStartedError
-	if errors.As(err, &not) {
+	var notStarted *engine.NotStartedError
+	if errors.As(err, &notStarted) {
 		switch {
-		case not.Rejected:
+		case notStarted.Rejected:
 			end = router.Rejected
-		case not.Unreachable:
+		case notStarted.Unreachable:
 			end = router.Unreachable
 		}
 	}
@@ -174,7 +174,7 @@
 		s.metrics.CountDropped(DroppedMismatch)
 		events.AnswerMismatch.Log(s.log, a.logFields(zap.String("field", mismatch.Field))...)
 	}
-	crashed, settling := a.detectCrash(cancel)
+	crashed, crashCheck := a.detectCrash(cancel)
 	end := router.Interrupted
 	switch {
 	case a.cancelledLocally():
@@ -185,7 +185,7 @@
 	if end != router.Cancelled {
 		events.AttemptBroken.Log(s.log, a.logFields(zap.Bool("crashed", crashed), zap.Error(err))...)
 	}
-	a.postEnd(attemptEnded{input: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, crashCheck: settling})
+	a.postEnd(attemptEnded{input: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, crashCheck: crashCheck})
 }
 
 // detectCrash cancels the attempt at its endpoint and says whether the endpoint's
@@ -195,19 +195,19 @@
 // is cut off, does not answer a cancel either, and the caller would sit through
 // every timeout before the next attempt begins. What is not known by then comes on
 // the channel.
-func (a *attempt) detectCrash(cancel func() error) (gone bool, settling <-chan bool) {
-	crashed := make(chan bool, 1)
-	go func() { crashed <- a.cancelAndCheckCrash(cancel) }()
+func (a *attempt) detectCrash(cancel func() error) (crashed bool, pendingResult <-chan bool) {
+	result := make(chan bool, 1)
+	go func() { result <- a.cancelAndCheckCrash(cancel) }()
 	if a.cancelledLocally() {
-		return <-crashed, nil
+		return <-result, nil
 	}
 	grace := time.NewTimer(crashCheckGrace)
 	defer grace.Stop()
 	select {
-	case gone := <-crashed:
+	case gone := <-result:
 		return gone, nil
 	case <-grace.C:
-		return false, crashed
+		return false, result
 	}
 }
 
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -208,7 +208,7 @@
 // retryingRouter is a Decider without judgement: it retries at once, up to most attempts.
 type retryingRouter struct {
 	maxAttempts int
-	waiting     []router.Action
+	actions     []router.Action
 	attempts    map[tables.RequestID]int
 	requests    map[tables.AttemptID]tables.RequestID
 }
@@ -227,7 +227,7 @@
 	d.attempts[id]++
 	attempt := tables.AttemptID(fmt.Sprint(id, "/", d.attempts[id]))
 	d.requests[attempt] = id
-	d.waiting = append(d.waiting, router.Dispatch{Request: id, Attempt: attempt, ResumeFrom: delivered})
+	d.actions = append(d.actions, router.Dispatch{Request: id, Attempt: attempt, ResumeFrom: delivered})
 }
 
 func (d *retryingRouter) Observe(_ tables.Instant, in router.Input) {
@@ -240,12 +240,12 @@
 		d.dispatch(id, ended.DeliveredTokens)
 		return
 	}
-	d.waiting = append(d.waiting, router.Fail{Request: id, Code: tables.CodeStreamBroken})
+	d.actions = append(d.actions, router.Fail{Request: id, Code: tables.CodeStreamBroken})
 }
 
 func (d *retryingRouter) Tick(tables.Instant) []router.Action {
-	actions := d.waiting
-	d.waiting = nil
+	actions := d.actions
+	d.actions = nil
 	return actions
 }
 
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -90,11 +90,11 @@
 }
 
 // discard ends an attempt that was never sent.
-func (a *attempt) discard(final *outcome.Failure) {
+func (a *attempt) discard(requestFailure *outcome.Failure) {
 	a.cancel(nil)
 	proof := a.unsent.Discard()
 	how := router.AttemptEnded{Attempt: a.dispatch.Attempt, Result: router.NotStarted}
-	a.request.server.post(attemptEnded{attempt: a, input: how, proof: &proof, requestFailure: final})
+	a.request.server.post(attemptEnded{attempt: a, input: how, proof: &proof, requestFailure: requestFailure})
 }
 
 // finish stores the answer for resends. The caller gets it also when it could
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -21,10 +21,10 @@
 }
 
 type fakeClaim struct {
-	body   tables.BodyHash
-	state  tables.ClaimState
-	marked bool
-	answer tables.StoredResponse
+	body     tables.BodyHash
+	state    tables.ClaimState
+	marked   bool
+	response tables.StoredResponse
 }
 
 func (c *fakeClaimStore) Claim(_ context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
@@ -42,7 +42,7 @@
 	if known.body != body {
 		return g, &tables.KeyReusedError{Organisation: org, Key: key}
 	}
-	g.State, g.Response = known.state, known.answer
+	g.State, g.Response = known.state, known.response
 	return g, nil
 }
 
@@ -59,7 +59,7 @@
 func (c *fakeClaimStore) Finish(_ context.Context, g tables.ClaimResult, a tables.StoredResponse) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.claims[g.Key].state, c.claims[g.Key].answer = tables.ClaimCompleted, a
+	c.claims[g.Key].state, c.claims[g.Key].response = tables.ClaimCompleted, a
 	return nil
 }
 
@@ -119,7 +119,7 @@
 		}, calls: []callFunc{publishes}, code: tables.CodeKeyReused, outcome: tables.OutcomeNotRun, wantClaimed: true},
 		{name: "resend", setUp: func(f *fakeClaimStore) {
 			f.claims["k"] = &fakeClaim{body: bodyHash("publish", "send", "note"), state: tables.ClaimCompleted,
-				answer: tables.StoredResponse{Status: 201, Body: []byte("published")}}
+				response: tables.StoredResponse{Status: 201, Body: []byte("published")}}
 		}, calls: []callFunc{publishes}, wantClaimed: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -105,11 +105,11 @@
 	if err == nil || !r.weightsChanged(err) {
 		return text, tokens, err
 	}
-	old := r.request
+	broken := r.request
 	r.responseReader.close()
-	fresh := old.server.newCompletion(old.server.configIndex.Load(), old.org, old.profile, r.params)
-	fresh.spec.Arrived, fresh.spec.Deadline = old.spec.Arrived, old.spec.Deadline
-	r.responseReader = old.server.submit(r.ctx, fresh)
+	restarted := broken.server.newCompletion(broken.server.configIndex.Load(), broken.org, broken.profile, r.params)
+	restarted.spec.Arrived, restarted.spec.Deadline = broken.spec.Arrived, broken.spec.Deadline
+	r.responseReader = broken.server.submit(r.ctx, restarted)
 	return r.responseReader.readAll()
 }
 
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -15,12 +15,12 @@
 
 // admit counts a request in, or gives the reason why it is not served.
 func (s *Server) admit() *outcome.Failure {
-	open, admitted := s.gate.Admit()
+	inFlight, admitted := s.gate.Admit()
 	var failure *outcome.Failure
 	switch {
 	case !admitted:
 		failure = notRun("", tables.CodeDraining, retryAfterDraining)
-	case open > int64(s.limits.MaxInFlight):
+	case inFlight > int64(s.limits.MaxInFlight):
 		failure = notRun("", tables.CodeOverloaded, retryAfterOverload)
 	case s.configIndex.Load() == nil:
 		failure = notRun("", tables.CodeNotReady, retryAfterDraining)
--- a/entry/eventloop.go
+++ b/entry/eventloop.go
@@ -216,10 +216,10 @@
 	if len(l.pendingReleases) == 0 {
 		return
 	}
-	reports, releases := slices.Clone(l.pendingBroadcasts()), l.pendingReleases
+	broadcasts, releases := slices.Clone(l.pendingBroadcasts()), l.pendingReleases
 	l.pendingReleases = nil
 	go func() {
-		for _, notified := range reports {
+		for _, notified := range broadcasts {
 			<-notified
 		}
 		for _, release := range releases {
@@ -231,12 +231,12 @@
 // awaitCrashCheck returns a channel that is closed once it is known whether the endpoint of a
 // broken attempt has crashed, and the other instances are notified if it has, or
 // Limits.SettleWait has passed.
-func (s *Server) awaitCrashCheck(a *attempt, settling <-chan bool) <-chan struct{} {
+func (s *Server) awaitCrashCheck(a *attempt, crashCheck <-chan bool) <-chan struct{} {
 	done := make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
 	time.AfterFunc(s.limits.CrashCheckTimeout, release)
 	go func() {
-		if <-settling {
+		if <-crashCheck {
 			s.post(crashDetected{attempt: a, release: release})
 			return
 		}
--- a/entry/gate/gate.go
+++ b/entry/gate/gate.go
@@ -34,9 +34,9 @@
 // Admit counts a request in and returns how many are open. The count comes
 // before the look at the state: a drain that sees no open request can then be
 // sure that none slips in. Whatever it returns, Leave must follow.
-func (g *Gate) Admit() (open int64, admitted bool) {
-	open = g.inFlight.Add(1)
-	return open, g.State().AcceptsRequests()
+func (g *Gate) Admit() (inFlight int64, admitted bool) {
+	inFlight = g.inFlight.Add(1)
+	return inFlight, g.State().AcceptsRequests()
 }
 
 // Done counts a request out.
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -169,15 +169,15 @@
 	http   *http.Client
 }
 
-func newHarness(t *testing.T, change func(*Options)) *harness {
+func newHarness(t *testing.T, configure func(*Options)) *harness {
 	t.Helper()
 	client := &fakeClient{cancelled: make(chan tables.AttemptID, 64)}
 	o := Options{
 		Instance: "i1", BootID: "1", Client: client, Limits: Limits{DrainDelay: time.Nanosecond},
 		Router: router.New(router.Options{Instance: "i1", Seed: 1}),
 	}
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	server, err := New(o)
 	assert.NilError(t, err)
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -104,16 +104,16 @@
 
 // fail hands the final failure to the goroutine that serves the caller, once all of
 // the channels are closed. Only the loop calls it.
-func (f *inFlight) fail(failure *outcome.Failure, after ...<-chan struct{}) {
+func (f *inFlight) fail(failure *outcome.Failure, waitFor ...<-chan struct{}) {
 	if f.ended {
 		return
 	}
 	f.ended = true
 	failure.Request = f.spec.ID
-	if len(after) == 0 {
+	if len(waitFor) == 0 {
 		f.failed <- failure
 	} else {
-		waits := slices.Clone(after)
+		waits := slices.Clone(waitFor)
 		go func() {
 			for _, closed := range waits {
 				<-closed
--- a/entry/looptask.go
+++ b/entry/looptask.go
@@ -12,11 +12,11 @@
 // RunInEventLoop runs look in the goroutine that owns the router and returns when it
 // has run. It says whether it ran; it does not once the server is closed. look
 // must be short: requests wait for it.
-func (s *Server) RunInEventLoop(look func()) bool {
-	i := loopTask{run: look, done: make(chan struct{})}
-	s.post(i)
+func (s *Server) RunInEventLoop(run func()) bool {
+	task := loopTask{run: run, done: make(chan struct{})}
+	s.post(task)
 	select {
-	case <-i.done:
+	case <-task.done:
 		return true
 	case <-s.stopped:
 		return false
--- a/entry/middleware.go
+++ b/entry/middleware.go
@@ -46,13 +46,13 @@
 			return
 		}
 		defer s.gate.Done()
-		leave, failure := s.admitOrganisation(r)
+		release, failure := s.admitOrganisation(r)
 		if failure != nil {
 			s.recordFailure("", failure)
 			writeFailure(w, failure)
 			return
 		}
-		defer leave()
+		defer release()
 		if !s.gate.State().Ready() {
 			// Connections that the balancer keeps open would bring further
 			// requests to an instance that is about to end.
--- a/entry/outcome/outcome.go
+++ b/entry/outcome/outcome.go
@@ -96,13 +96,13 @@
 // NotStarted takes a proof that one attempt did not begin. Once there is one
 // for every attempt the request is Undispatched again.
 func (d *Dispatched) NotStarted(p NotStartedProof) State {
-	kept := d.unproven[:0]
+	unproven := d.unproven[:0]
 	for _, attempt := range d.unproven {
 		if attempt != p.attempt {
-			kept = append(kept, attempt)
+			unproven = append(unproven, attempt)
 		}
 	}
-	d.unproven = kept
+	d.unproven = unproven
 	if len(d.unproven) > 0 {
 		return d
 	}
@@ -122,11 +122,11 @@
 
 // ProofFromError gives the proof that an error of the engine client carries, if any.
 func ProofFromError(err error) (NotStartedProof, bool) {
-	var not *engine.NotStartedError
-	if !errors.As(err, &not) {
+	var notStarted *engine.NotStartedError
+	if !errors.As(err, &notStarted) {
 		return NotStartedProof{}, false
 	}
-	return NotStartedProof{attempt: not.Attempt}, true
+	return NotStartedProof{attempt: notStarted.Attempt}, true
 }
 
 // UnsentAttempt is an attempt that this process has not yet handed to the client.
--- a/entry/responsereader.go
+++ b/entry/responsereader.go
@@ -72,12 +72,12 @@
 			r.failOver(err)
 			continue
 		}
-		text, fresh := r.acceptToken(token)
-		if fresh && r.request.emittedBytes > r.request.server.limits.MaxCompletionBytes {
+		text, isNext := r.acceptToken(token)
+		if isNext && r.request.emittedBytes > r.request.server.limits.MaxCompletionBytes {
 			r.failOver(&completionTooLongError{limit: r.request.server.limits.MaxCompletionBytes})
 			return "", unknownOutcome(r.request.spec.ID, tables.CodeEndpointFailed, 0)
 		}
-		if fresh {
+		if isNext {
 			return text, nil
 		}
 	}
@@ -91,8 +91,8 @@
 		return failure
 	default:
 	}
-	lost := time.NewTimer(f.untilOverdue())
-	defer lost.Stop()
+	overdue := time.NewTimer(f.untilOverdue())
+	defer overdue.Stop()
 	for {
 		select {
 		case o := <-f.started:
@@ -102,7 +102,7 @@
 			return failure
 		case <-f.ctx.Done():
 			return &callerGoneError{cause: f.ctx.Err()}
-		case <-lost.C:
+		case <-overdue.C:
 			f.server.post(requestOverdue{request: f})
 		}
 	}
@@ -148,17 +148,17 @@
 		f.server.metrics.CountDropped(DroppedMismatch)
 		return "", false
 	}
-	have := f.deliveredTokens
-	if t.Index < have {
+	next := f.deliveredTokens
+	if t.Index < next {
 		f.server.metrics.CountDropped(DroppedDuplicate)
 		return "", false
 	}
-	if t.Index > have {
-		r.failOver(&tokenGapError{want: have, got: t.Index})
+	if t.Index > next {
+		r.failOver(&tokenGapError{want: next, got: t.Index})
 		return "", false
 	}
 	f.recordToken(t.Text)
-	r.observeLatency(have)
+	r.observeLatency(next)
 	return t.Text, true
 }
 
@@ -175,10 +175,10 @@
 
 // failOver gives up the current attempt and leaves it to the router to go on.
 func (r *responseReader) failOver(err error) {
-	lost := r.current
+	failed := r.current
 	r.current = nil
 	r.request.winner.Store(nil)
-	lost.attempt.abortStream(lost.stream, err, r.request.deliveredTokens-lost.attempt.dispatch.ResumeFrom)
+	failed.attempt.abortStream(failed.stream, err, r.request.deliveredTokens-failed.attempt.dispatch.ResumeFrom)
 }
 
 func (r *responseReader) completeAttempt() {
