--- a/entry/api.go
+++ b/entry/api.go
@@ -16,18 +16,21 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// organisationKey carries the caller's organisation in a request's context.
+// organisationKey is the context key of the caller's organisation.
 type organisationKey struct{}
 
+// organisationOf returns the caller's organisation, or nil if the request is
+// not authenticated.
 func organisationOf(ctx context.Context) *tables.Organisation {
 	o, _ := ctx.Value(organisationKey{}).(*tables.Organisation)
 	return o
 }
 
-// authenticator turns bearer tokens into organisations.
+// authenticator maps bearer tokens to organisations.
 type authenticator struct{ server *Server }
 
-// HandleBearer finds the organisation of a token.
+// HandleBearer authenticates a request by its bearer token. The returned
+// context carries the caller's organisation.
 func (s *authenticator) HandleBearer(ctx context.Context, _ oas.OperationName, t oas.Bearer) (context.Context, error) {
 	if o := s.server.configIndex.Load().organisationByToken(t.Token); o != nil {
 		return context.WithValue(ctx, organisationKey{}, o), nil
@@ -35,10 +38,10 @@
 	return ctx, notRun("", tables.CodeUnauthorised, 0)
 }
 
-// apiHandler implements the generated interface.
+// apiHandler implements the handler interface of the generated HTTP server.
 type apiHandler struct{ server *Server }
 
-// CreateCompletion answers POST /v1/completions.
+// CreateCompletion handles POST /v1/completions.
 func (a *apiHandler) CreateCompletion(ctx context.Context, req *oas.CompletionRequest, p oas.CreateCompletionParams) (oas.CreateCompletionRes, error) {
 	ask := completionParams{
 		profile: p.XProfile.Or(""), model: req.Model.Or(""), key: p.IdempotencyKey.Or(""),
@@ -68,7 +71,7 @@
 	}, nil
 }
 
-// CreateChatCompletion answers POST /v1/chat/completions.
+// CreateChatCompletion handles POST /v1/chat/completions.
 func (a *apiHandler) CreateChatCompletion(ctx context.Context, req *oas.ChatRequest, p oas.CreateChatCompletionParams) (oas.CreateChatCompletionRes, error) {
 	ask := completionParams{
 		profile: p.XProfile.Or(""), model: req.Model.Or(""), key: p.IdempotencyKey.Or(""),
@@ -99,7 +102,7 @@
 	}, nil
 }
 
-// CallService answers POST /v1/services/{service}/{call}.
+// CallService handles POST /v1/services/{service}/{call}.
 func (a *apiHandler) CallService(ctx context.Context, req oas.CallServiceReq, p oas.CallServiceParams) (*oas.CallServiceOKHeaders, error) {
 	content, err := io.ReadAll(req)
 	if err != nil {
@@ -117,7 +120,8 @@
 	}, nil
 }
 
-// ListModels answers GET /v1/models with what the organisation may use.
+// ListModels handles GET /v1/models. It lists the models that the organisation
+// may use.
 func (a *apiHandler) ListModels(ctx context.Context) (*oas.ModelList, error) {
 	o, index := organisationOf(ctx), a.server.configIndex.Load()
 	names := map[string]bool{}
@@ -134,7 +138,8 @@
 	return list, nil
 }
 
-// NewError renders the failures of the methods above.
+// NewError converts an error of the handlers above to an HTTP response, and
+// logs and counts it.
 func (a *apiHandler) NewError(ctx context.Context, err error) *oas.FailureStatusCodeWithHeaders {
 	failure := a.server.failureOf(err)
 	org := tables.OrganisationID("")
@@ -145,8 +150,8 @@
 	return failureResponse(failure)
 }
 
-// failureOf turns an error into what the caller is told. An error that is not
-// known says nothing about the work, so its outcome is unknown.
+// failureOf converts an error to a failure. An error of an unknown type does
+// not show whether the work ran, so its outcome is unknown.
 func (s *Server) failureOf(err error) *outcome.Failure {
 	var failure *outcome.Failure
 	if errors.As(err, &failure) {
@@ -159,8 +164,8 @@
 	return unknownOutcome("", tables.CodeInternal, 0)
 }
 
-// decodeFailure is for a request whose body could not be read or understood:
-// nothing was started for it.
+// decodeFailure returns the failure for a request whose body could not be read
+// or decoded. No work was started for it.
 func (s *Server) decodeFailure(err error) *outcome.Failure {
 	var full *bufferFullError
 	if errors.As(err, &full) {
@@ -178,8 +183,9 @@
 	return failure
 }
 
-// handleDecodeError answers requests that the generated code could not decode. Failures
-// to write an answer come here too; then nobody is left to tell.
+// handleDecodeError responds to requests that the generated code could not
+// decode. The generated code also calls it when it cannot write a response; no
+// response can reach the caller then.
 func (s *Server) handleDecodeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	var params *ogenerrors.DecodeParamsError
 	var request *ogenerrors.DecodeRequestError
@@ -195,17 +201,20 @@
 	writeFailure(w, failure)
 }
 
+// notFound responds to a request for an unknown path.
 func (s *Server) notFound(w http.ResponseWriter, _ *http.Request) {
 	writeFailure(w, notRun("", tables.CodeUnknownRoute, 0))
 }
 
+// methodNotAllowed responds to a request with a method that the path does not
+// support.
 func (s *Server) methodNotAllowed(w http.ResponseWriter, _ *http.Request, allowed string) {
 	w.Header().Set("Allow", allowed)
 	writeFailure(w, notRun("", tables.CodeUnknownRoute, 0))
 }
 
-// openStream waits for the first event of a stream, so that a failure before
-// it still gets its own HTTP status.
+// openStream waits for the first event of a stream, so that a failure before it
+// still gets its own HTTP status.
 func (s *Server) openStream(source completionSource, f *inFlight, template eventTemplate) (*eventStream, error) {
 	stream := &eventStream{source: source, template: template}
 	stream.onFailure = func(failure *outcome.Failure) { s.recordFailure(f.spec.Organisation, failure) }
@@ -216,7 +225,7 @@
 	return stream, nil
 }
 
-// tokenUsage counts a completion's tokens.
+// tokenUsage returns the token counts of a completion.
 func tokenUsage(f *inFlight, tokens int) oas.Usage {
 	return oas.Usage{
 		PromptTokens:     f.spec.PromptTokens,
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -13,7 +13,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// failureIn decodes the failure of a response.
+// failureIn decodes the failure in a response body.
 func failureIn(t *testing.T, content string) oas.FailureError {
 	t.Helper()
 	var f oas.Failure
@@ -21,6 +21,8 @@
 	return f.Error
 }
 
+// Guards against invalid requests that reach an endpoint or are reported with
+// an outcome other than not run.
 func TestInvalidRequestsAreNotDispatched(t *testing.T) {
 	const completions = "/v1/completions"
 	for _, c := range []struct {
@@ -31,24 +33,24 @@
 		status  int
 		code    tables.ErrorCode
 	}{
-		{"no token", completions, `{"prompt":"p"}`, []string{"Authorization", ""}, 401, tables.CodeUnauthorised},
-		{"other scheme", completions, `{"prompt":"p"}`, []string{"Authorization", "Basic abc"}, 401, tables.CodeUnauthorised},
-		{"wrong token", completions, `{"prompt":"p"}`, []string{"Authorization", "Bearer nobody"}, 401, tables.CodeUnauthorised},
+		{"bearer token missing", completions, `{"prompt":"p"}`, []string{"Authorization", ""}, 401, tables.CodeUnauthorised},
+		{"other authentication scheme", completions, `{"prompt":"p"}`, []string{"Authorization", "Basic abc"}, 401, tables.CodeUnauthorised},
+		{"unknown bearer token", completions, `{"prompt":"p"}`, []string{"Authorization", "Bearer nobody"}, 401, tables.CodeUnauthorised},
 		{"not JSON", completions, `{"prompt":`, nil, 400, tables.CodeMalformed},
-		{"two values", completions, `{"prompt":"p"}{}`, nil, 400, tables.CodeMalformed},
-		{"no prompt", completions, `{"model":"m"}`, nil, 400, tables.CodeMalformed},
-		{"no messages", "/v1/chat/completions", `{"messages":[]}`, nil, 400, tables.CodeMalformed},
+		{"two JSON values", completions, `{"prompt":"p"}{}`, nil, 400, tables.CodeMalformed},
+		{"prompt missing", completions, `{"model":"m"}`, nil, 400, tables.CodeMalformed},
+		{"empty list of messages", "/v1/chat/completions", `{"messages":[]}`, nil, 400, tables.CodeMalformed},
 		{"wrong type", completions, `{"prompt":7}`, nil, 400, tables.CodeMalformed},
-		{"no tokens wanted", completions, `{"prompt":"p","max_tokens":0}`, nil, 400, tables.CodeMalformed},
+		{"max_tokens of zero", completions, `{"prompt":"p","max_tokens":0}`, nil, 400, tables.CodeMalformed},
 		{"empty body", completions, ``, nil, 400, tables.CodeMalformed},
 		{"other content type", completions, `{"prompt":"p"}`, []string{"Content-Type", "text/plain"}, 400, tables.CodeMalformed},
-		{"long key", completions, `{"prompt":"p"}`, []string{"Idempotency-Key", strings.Repeat("k", 300)}, 400, tables.CodeMalformed},
+		{"idempotency key too long", completions, `{"prompt":"p"}`, []string{"Idempotency-Key", strings.Repeat("k", 300)}, 400, tables.CodeMalformed},
 		{"too large", completions, `{"prompt":"` + strings.Repeat("p", 5000) + `"}`, nil, 413, tables.CodeTooLarge},
 		{"unknown profile", completions, `{"prompt":"p"}`, []string{"X-Profile", "x"}, 404, tables.CodeUnknownProfile},
-		{"profile of services", completions, `{"prompt":"p"}`, []string{"X-Profile", "notes"}, 404, tables.CodeUnknownProfile},
+		{"profile of a plain service", completions, `{"prompt":"p"}`, []string{"X-Profile", "notes"}, 404, tables.CodeUnknownProfile},
 		{"unknown model", completions, `{"model":"x","prompt":"p"}`, nil, 404, tables.CodeUnknownModel},
 		{"unknown service", "/v1/services/x/read", `b`, []string{"Content-Type", contentTypeBinary}, 404, tables.CodeUnknownService},
-		{"no key", "/v1/services/press/publish", `b`, []string{"Content-Type", contentTypeBinary}, 400, tables.CodeKeyMissing},
+		{"idempotency key missing", "/v1/services/press/publish", `b`, []string{"Content-Type", contentTypeBinary}, 400, tables.CodeKeyMissing},
 		{"unknown route", "/v2/completions", `{}`, nil, 404, tables.CodeUnknownRoute},
 		{"wrong method", "/v1/models", `{}`, nil, 404, tables.CodeUnknownRoute},
 	} {
@@ -66,6 +68,7 @@
 	}
 }
 
+// Guards against error codes without an HTTP error status or a message.
 func TestEveryErrorCodeHasStatusAndMessage(t *testing.T) {
 	for code, e := range errorResponses {
 		assert.Assert(t, e.status >= 400 && e.message != "", "code %d", code)
@@ -73,8 +76,9 @@
 	assert.Equal(t, errorResponseFor(1).message, errorResponseFor(tables.CodeInternal).message)
 }
 
-// Many callers send large prompts at the same moment. The instance must not run
-// out of memory; those beyond the bound are told to come back.
+// Guards against large prompts that many callers send at the same time and that
+// exhaust the memory of the instance. Requests beyond the limit are rejected
+// with a retry delay.
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	r := newHarness(t, func(o *Options) { o.Limits.MaxBufferedBytes = 1000 })
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"`+strings.Repeat("p", 2000)+`"}`)
@@ -87,6 +91,8 @@
 	assert.Equal(t, r.server.bufferedBytes.Load(), int64(0))
 }
 
+// Guards against wrong formats of completions and chat completions, both
+// streamed and not.
 func TestCompletionResponses(t *testing.T) {
 	r := newHarness(t, nil)
 	r.client.generate = []generateFunc{r.client.respondWith([]string{"Hel", "lo"}, nil)}
@@ -118,6 +124,8 @@
 	}
 }
 
+// Guards against a wrong list of models, and against a plain service whose
+// status replaces that of the HTTP response.
 func TestModelsAndServices(t *testing.T) {
 	r := newHarness(t, nil)
 	req, err := http.NewRequest(http.MethodGet, r.url+"/v1/models", nil)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// cancelRetryInterval is the time between two questions whether an attempt has
-	// ended.
+	// cancelRetryInterval is the time between two cancel requests for the same
+	// attempt.
 	cancelRetryInterval = 100 * time.Millisecond
-	// crashCheckGrace is how long a caller waits for an endpoint's word on the end
-	// of a broken attempt before the next one. A crash shows within it.
+	// crashCheckGrace is how long a retry waits until the endpoint confirms the
+	// end of the interrupted attempt. A crash is detected within this time.
 	crashCheckGrace = 200 * time.Millisecond
 )
 
-// run takes the attempt to its first token, or to a plain service's whole
-// answer, and hands it to the goroutine that serves the caller.
+// run runs the attempt up to its first token, or up to a plain service's
+// complete response, and delivers that to the goroutine that serves the caller.
 func (a *attempt) run() {
 	if !a.mayDispatch() {
 		return
@@ -37,6 +37,8 @@
 	a.runCompletion()
 }
 
+// runCompletion opens a token stream at the endpoint. It resumes after the
+// tokens that the caller already has.
 func (a *attempt) runCompletion() {
 	f := a.request
 	delivered, emitted := f.progress()
@@ -72,6 +74,8 @@
 	a.deliver(&startedAttempt{attempt: a, stream: stream, firstToken: token, complete: err == io.EOF})
 }
 
+// runServiceCall sends a call to a plain service and reads the complete
+// response.
 func (a *attempt) runServiceCall() {
 	f := a.request
 	call := *f.call
@@ -93,9 +97,9 @@
 	a.deliver(&startedAttempt{attempt: a, response: answer, complete: true})
 }
 
-// verifyAccepted compares what the endpoint says of itself with what was asked. Without
-// it an answer that crossed another's, or one from older weights, would reach
-// the caller.
+// verifyAccepted compares the attempt ID and the weights version that the
+// endpoint reports with the requested ones. Without this check, the response to
+// another attempt, or one from older weights, would reach the caller.
 func (a *attempt) verifyAccepted(got engine.AcceptedEvent) error {
 	id := a.dispatch.Attempt
 	if got.Attempt != id {
@@ -107,7 +111,8 @@
 	return nil
 }
 
-// deliver hands the attempt over, unless another has won or the caller is gone.
+// deliver passes the attempt's output to the caller's goroutine, unless another
+// attempt has won or the caller has disconnected.
 func (a *attempt) deliver(o *startedAttempt) {
 	if o.stream == nil {
 		a.deliverServiceResponse(o)
@@ -123,10 +128,11 @@
 	}
 }
 
-// deliverServiceResponse hands over a plain service's answer, which is whole, even if the
-// attempt was aborted meanwhile. The router takes the end of the attempt for
-// that of the request: were the answer dropped because it crossed an abort, the
-// router would give no other, and the caller would wait for ever.
+// deliverServiceResponse passes on a plain service's complete response even if
+// the attempt has been aborted in the meantime. The router treats the
+// completion of the attempt as that of the request. If a response that races
+// with an abort were dropped, the router would not send another, and the caller
+// would wait forever.
 func (a *attempt) deliverServiceResponse(o *startedAttempt) {
 	f := a.request
 	select {
@@ -140,12 +146,13 @@
 }
 
 // abortStream closes a stream, which cancels the attempt at the endpoint, and
-// reports its end.
+// reports the attempt's end.
 func (a *attempt) abortStream(stream engine.Stream, err error, tokens int) {
 	a.reportInterrupted(err, tokens, stream.Close)
 }
 
-// failWithoutStream reports the end of an attempt that gave no stream.
+// failWithoutStream reports the end of an attempt that returned neither a
+// stream nor a response.
 func (a *attempt) failWithoutStream(err error) {
 	proof, ok := outcome.ProofFromError(err)
 	if !ok {
@@ -165,8 +172,9 @@
 	a.reportEnd(router.AttemptEnded{Result: end}, &proof)
 }
 
-// reportInterrupted reports the end of an attempt that may have run, after cancel has
-// ended it at the endpoint as far as that can be done in time.
+// reportInterrupted reports the end of an attempt that may have run. It first
+// calls cancel to end the attempt at the endpoint, as far as that is possible
+// in time.
 func (a *attempt) reportInterrupted(err error, tokens int, cancel func() error) {
 	s := a.request.server
 	var mismatch *engine.MismatchError
@@ -188,13 +196,14 @@
 	a.postEnd(attemptEnded{input: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, crashCheck: crashCheck})
 }
 
-// detectCrash cancels the attempt at its endpoint and says whether the endpoint's
-// process is gone. An attempt that nobody wants any more waits for the
-// endpoint's word, so that its slot stays accounted until then. One whose
-// caller waits for another try does not wait long: an endpoint that hangs, or
-// is cut off, does not answer a cancel either, and the caller would sit through
-// every timeout before the next attempt begins. What is not known by then comes on
-// the channel.
+// detectCrash cancels the attempt at its endpoint and reports whether the
+// endpoint's process has crashed. If this process has cancelled the attempt,
+// detectCrash waits for the endpoint's confirmation, so that the attempt's slot
+// counts as used until then. Otherwise the caller waits for the next attempt,
+// and detectCrash waits at most crashCheckGrace. An endpoint that hangs or is
+// cut off does not respond to a cancel either, and the caller would wait for
+// all of these timeouts before the next attempt starts. A result that is not
+// known by then is sent on the returned channel.
 func (a *attempt) detectCrash(cancel func() error) (crashed bool, pendingResult <-chan bool) {
 	result := make(chan bool, 1)
 	go func() { result <- a.cancelAndCheckCrash(cancel) }()
@@ -211,8 +220,9 @@
 	}
 }
 
-// cancelAndCheckCrash cancels until the endpoint confirms or is known to be gone. A port
-// that refuses connections is how a crash shows first.
+// cancelAndCheckCrash cancels the attempt until the endpoint confirms or is
+// known to have crashed, and reports whether it has crashed. A refused
+// connection is the first sign of a crash.
 func (a *attempt) cancelAndCheckCrash(cancel func() error) bool {
 	err := cancel()
 	if err == nil {
@@ -221,8 +231,9 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || a.retryCancel()
 }
 
-// retryCancel asks the endpoint again to cancel the attempt until it confirms
-// or CancelWait has passed. It says whether the port refuses connections.
+// retryCancel repeats the cancel request until the endpoint confirms it or
+// Limits.CancelTimeout has passed. It reports whether the endpoint refuses
+// connections.
 func (a *attempt) retryCancel() bool {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
@@ -246,14 +257,15 @@
 	}
 }
 
+// cancelAtEndpoint sends one cancel request and waits for its confirmation.
 func (a *attempt) cancelAtEndpoint() error {
 	ctx, cancel := context.WithTimeout(context.Background(), a.request.server.limits.CancelTimeout)
 	defer cancel()
 	return a.request.server.client.Cancel(ctx, a.dispatch.Endpoint.Address, a.dispatch.Attempt)
 }
 
-// cancelledLocally says whether the attempt was cancelled on this side for a reason
-// other than a stall of the endpoint.
+// cancelledLocally reports whether this process has cancelled the attempt for a
+// reason other than a token timeout.
 func (a *attempt) cancelledLocally() bool {
 	if a.ctx.Err() == nil {
 		return false
@@ -262,11 +274,14 @@
 	return !errors.As(context.Cause(a.ctx), &stall)
 }
 
-// reportEnd reports the end of the attempt to the loop.
+// reportEnd posts the end of the attempt to the event loop. The proof is nil
+// unless the attempt provably did not start.
 func (a *attempt) reportEnd(how router.AttemptEnded, proof *outcome.NotStartedProof) {
 	a.postEnd(attemptEnded{input: how, proof: proof})
 }
 
+// postEnd fills in the attempt's ID and the number of delivered tokens, and
+// posts the message to the event loop.
 func (a *attempt) postEnd(end attemptEnded) {
 	a.cancel(nil)
 	end.attempt = a
@@ -275,6 +290,7 @@
 	a.request.server.post(end)
 }
 
+// logFields returns the given log fields and those that identify the attempt.
 func (a *attempt) logFields(more ...zap.Field) []zap.Field {
 	return append(more,
 		zap.String("request", string(a.request.spec.ID)),
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -17,8 +17,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// hedgingRouter is a Decider that dispatches two attempts of each request at once and
-// keeps a record of how they ended.
+// hedgingRouter is a Router that dispatches two attempts of each request at
+// once and records how they end.
 type hedgingRouter struct {
 	actions        []router.Action
 	ends           chan router.AttemptEnded
@@ -57,9 +57,10 @@
 	return actions
 }
 
-// Two attempts run because the first is slow. The caller gets one of them,
-// whole; of the other it sees nothing, the endpoint is told to stop it, and its
-// slot counts as taken until the endpoint has confirmed.
+// Guards against a hedged request whose losing attempt reaches the caller or
+// keeps running. The caller gets one attempt completely and nothing of the
+// other. The losing attempt is cancelled at its endpoint, and its slot counts
+// as used until the endpoint has confirmed.
 func TestHedgeLoserIsCancelled(t *testing.T) {
 	p := &hedgingRouter{ends: make(chan router.AttemptEnded, 2)}
 	r := newHarness(t, func(o *Options) { o.Router = p })
@@ -91,8 +92,8 @@
 	assert.Equal(t, how["slow"], router.Cancelled)
 }
 
-// The caller closes its connection in the middle of a stream. The engine must
-// be told at once; otherwise it goes on computing for nobody.
+// Guards against an engine that keeps computing after the caller has closed its
+// connection in the middle of a stream.
 func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	r := newHarness(t, nil)
 	tokens := make(chan engine.Token, 1)
@@ -108,9 +109,10 @@
 	assert.Equal(t, attempt, r.client.received()[0].Attempt)
 }
 
-// A caller opens a stream and stops reading. The engine must not go on for it
-// without end, and the instance must not hold what it produces: the stream stops
-// and after a while the caller is cut off.
+// Guards against a caller that opens a stream and does not read it. The engine
+// must not produce tokens for it without end, and the instance must not buffer
+// them: the stream stops, and the caller is disconnected after the write
+// timeout.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	r := newHarness(t, func(o *Options) {
 		o.Limits.WriteTimeout = 200 * time.Millisecond
@@ -135,11 +137,11 @@
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`)
 	assert.Equal(t, resp.StatusCode, 200)
 	<-r.client.cancelled
-	assert.Assert(t, produced.Load() < 4096, "%d events for a caller who reads none", produced.Load())
+	assert.Assert(t, produced.Load() < 4096, "engine produced %d events for a caller that does not read", produced.Load())
 }
 
-// An engine answers without end. The instance gives the request up before the
-// text takes its memory.
+// Guards against an engine whose endless completion uses up the memory of the
+// instance.
 func TestOversizedCompletionIsAborted(t *testing.T) {
 	r := newHarness(t, func(o *Options) { o.Limits.MaxCompletionBytes = 10 })
 	r.client.generate = []generateFunc{r.client.respondWith(strings.Split(strings.Repeat("word,", 10), ","), nil)}
@@ -149,8 +151,9 @@
 	assert.Assert(t, !strings.Contains(got, "[DONE]"), got)
 }
 
-// All engines break off, each after a few tokens. The caller must not take what
-// it has for a whole answer: it gets an error event and no end mark.
+// Guards against an incomplete stream that the caller takes for a complete
+// response. All engines fail after a few tokens; the caller must get an error
+// event and no done event.
 func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
 	r := newHarness(t, nil)
 	r.client.generate = []generateFunc{r.client.respondWith([]string{"a"}, &engine.InterruptedError{Cause: context.DeadlineExceeded})}
@@ -161,10 +164,11 @@
 	assert.Assert(t, !strings.Contains(got, "[DONE]"), got)
 }
 
-// An engine dies with half an answer, and meanwhile newer weights were put in
-// force everywhere, so nobody can go on with the old ones. A caller who waits for
-// the whole answer has seen nothing: it gets one of the new weights alone. A
-// caller who streams has seen the beginning, and is told that it broke.
+// Guards against a response that mixes weights versions. An engine crashes in
+// the middle of a response, and meanwhile a new weights version is in use
+// everywhere, so no engine can resume under the old one. A caller that does not
+// stream has seen nothing and gets a response from the new version alone. A
+// caller that streams has seen the beginning and gets an error.
 func TestCompletionRestartsUnderNewWeights(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		r := newHarness(t, func(o *Options) { o.Router = newRetryingRouter(1) })
@@ -188,8 +192,9 @@
 	}
 }
 
-// Every engine refuses before it begins; then nothing has run and the caller is
-// told so.
+// Guards against a wrong outcome of failed work. If every engine declines
+// before it starts, the outcome is not run. If an engine is interrupted, the
+// outcome is unknown.
 func TestNotStartedProofGivesNotRunOutcome(t *testing.T) {
 	r := newHarness(t, nil)
 	r.client.generate = []generateFunc{func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
@@ -205,7 +210,8 @@
 	assert.Equal(t, string(failureIn(t, got).Outcome), string(tables.OutcomeUnknown))
 }
 
-// retryingRouter is a Decider without judgement: it retries at once, up to most attempts.
+// retryingRouter is a Router that retries each request at once, up to
+// maxAttempts attempts in total.
 type retryingRouter struct {
 	maxAttempts int
 	actions     []router.Action
@@ -249,9 +255,10 @@
 	return actions
 }
 
-// Streams of engines that repeat, skip, cross and break off are compared with
-// the true answer: what the caller sees is always its beginning, and the end
-// mark comes exactly when it is whole.
+// Guards against streams with repeated, missing or foreign tokens. Engines
+// repeat, skip and mix up tokens and fail at random points. The caller must
+// always see a prefix of the true response, and the done event exactly if the
+// response is complete.
 func TestStreamIsAlwaysPrefixOfTrueAnswer(t *testing.T) {
 	truth := strings.Split("abcdefghij", "")
 	r := newHarness(t, func(o *Options) {
@@ -305,7 +312,7 @@
 		seen := strings.Join(texts(t, got), "")
 		if strings.HasSuffix(got, doneEvent) {
 			if seen != strings.Join(truth, "") {
-				rt.Fatalf("end mark after %q: %s", seen, got)
+				rt.Fatalf("done event after %q: %s", seen, got)
 			}
 			return
 		}
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -13,25 +13,28 @@
 )
 
 const (
-	// retryAfterInProgress is when a resend should ask again for the answer of a run
-	// that has not ended.
+	// retryAfterInProgress is the retry delay for a resend while the first run
+	// under its key is in progress.
 	retryAfterInProgress = time.Second
-	// retryAfterNoQuorum is when the control state may be reachable again.
+	// retryAfterNoQuorum is the retry delay while the control state has no
+	// quorum.
 	retryAfterNoQuorum = 2 * time.Second
 )
 
-// claim is the right to run one flight's work once.
+// claim is the exclusive right to run one request's work under its idempotency
+// key, which makes the work run at most once.
 type claim struct {
 	store   ClaimStore
 	timeout time.Duration
 	grant   tables.ClaimResult
-	// dispatchMarked is set once the work may have been handed to an endpoint. Attempts
-	// of one flight follow each other, so nothing guards it.
+	// dispatchMarked is set once the work may have been sent to an endpoint.
+	// The attempts of one request run one after the other, so it needs no lock.
 	dispatchMarked bool
 }
 
-// acquire asks for the claim. It gives the stored answer if the work has run, a
-// failure if it must not run now, and neither if it may.
+// acquire claims the idempotency key. It returns the stored response if the
+// work has completed, a failure if the work must not run now, and neither if it
+// may run.
 func (c *claim) acquire(ctx context.Context, f *inFlight, key tables.IdempotencyKey, body tables.BodyHash) (*tables.StoredResponse, *outcome.Failure) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -52,7 +55,8 @@
 	}
 }
 
-// claimFailure is for a claim that was not made: this request did not run.
+// claimFailure returns the failure for a claim that was not granted. The work
+// of this request did not run.
 func claimFailure(id tables.RequestID, err error) *outcome.Failure {
 	var reused *tables.KeyReusedError
 	if errors.As(err, &reused) {
@@ -61,15 +65,16 @@
 	return notRun(id, tables.CodeNoQuorum, retryAfterNoQuorum)
 }
 
-// unknownOutcome is for work that another request under the same key has begun.
+// unknownOutcome returns a failure for work that may have run, for example
+// under the same idempotency key for an earlier request.
 func unknownOutcome(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
 	return outcome.NewUndispatched(id).Dispatch("").Fail(code, outcome.MayHaveRun, retryAfter)
 }
 
-// mayDispatch says whether the attempt may be handed to the client. Work that
-// must run once needs the control state to have recorded the dispatch first: a
-// router that died between would otherwise leave a claim that looks unused,
-// and a resend would run the work again.
+// mayDispatch reports whether the attempt may be sent to its endpoint. For work
+// that must run at most once, the control state must record the dispatch
+// before. Otherwise, if the instance crashed after sending the attempt, the
+// claim would look unused, and a resend would run the work again.
 func (a *attempt) mayDispatch() bool {
 	c := a.request.claim
 	if a.ctx.Err() != nil {
@@ -89,7 +94,8 @@
 	return true
 }
 
-// discard ends an attempt that was never sent.
+// discard ends an attempt that was never sent. If final is not nil, it also
+// ends the request with this failure.
 func (a *attempt) discard(requestFailure *outcome.Failure) {
 	a.cancel(nil)
 	proof := a.unsent.Discard()
@@ -97,8 +103,8 @@
 	a.request.server.post(attemptEnded{attempt: a, input: how, proof: &proof, requestFailure: requestFailure})
 }
 
-// finish stores the answer for resends. The caller gets it also when it could
-// not be stored; a resend is then told that the outcome is unknown.
+// finish stores the response for resends. The caller gets the response even if
+// it could not be stored; a resend is then told that the outcome is unknown.
 func (c *claim) finish(f *inFlight, answer tables.StoredResponse) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
@@ -107,7 +113,8 @@
 	}
 }
 
-// release gives the claim back if the work did not run.
+// release gives up the claim if the work did not run, so that a resend can run
+// it.
 func (c *claim) release(f *inFlight, failure *outcome.Failure) {
 	if failure.Outcome() != tables.OutcomeNotRun || c.grant.State != tables.ClaimGranted {
 		return
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -11,7 +11,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// fakeClaimStore is a control state of one process.
+// fakeClaimStore is an in-memory ClaimStore.
 type fakeClaimStore struct {
 	mu       sync.Mutex
 	claims   map[tables.IdempotencyKey]*fakeClaim
@@ -84,6 +84,8 @@
 	return engine.CallResponse{}, &engine.NotStartedError{Attempt: q.Attempt, Unreachable: true}
 }
 
+// Guards against work that runs twice under one idempotency key, and against
+// failures with a wrong outcome.
 func TestAtMostOnceWork(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -92,20 +94,21 @@
 		code      tables.ErrorCode
 		outcome   tables.Outcome
 		wantCalls int
-		// wantClaimed says whether the key is still claimed afterwards.
+		// wantClaimed is whether the key is still claimed afterwards.
 		wantClaimed bool
 	}{
 		{name: "runs", calls: []callFunc{publishes}, wantCalls: 1, wantClaimed: true},
-		// The service answers, the answer is lost on its way. Whether the note
-		// is published is not known, and it must not be published again.
-		{name: "answer lost", calls: []callFunc{interrupted, publishes},
+		// The response of the service is lost. It is unknown whether the note
+		// was published, and it must not be published again.
+		{name: "response lost", calls: []callFunc{interrupted, publishes},
 			code: tables.CodeOutcomeUnknown, outcome: tables.OutcomeUnknown, wantCalls: 1, wantClaimed: true},
-		// The first server does not listen: nothing has run, the next may.
-		{name: "first server down", calls: []callFunc{unreachable, publishes}, wantCalls: 2, wantClaimed: true},
-		// The zone is cut off from the other replicas of the control state.
+		// The first endpoint refuses the connection. The work has not run, so
+		// the next endpoint may run it.
+		{name: "first endpoint down", calls: []callFunc{unreachable, publishes}, wantCalls: 2, wantClaimed: true},
+		// The instance is cut off from the majority of the control state.
 		{name: "no quorum", setUp: func(f *fakeClaimStore) { f.noQuorum = true }, calls: []callFunc{publishes},
 			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
-		// It is cut off between the claim and the call.
+		// The instance is cut off between the claim and the call.
 		{name: "quorum lost after claim", setUp: func(f *fakeClaimStore) { f.markFails = true }, calls: []callFunc{publishes},
 			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
 		{name: "first run in progress", setUp: func(f *fakeClaimStore) {
@@ -149,8 +152,9 @@
 	}
 }
 
-// The caller's connection breaks while its note is being published. The note is
-// published all the same, and the caller's resend gets the answer.
+// Guards against a caller's disconnect that interrupts work that must run at
+// most once. The note is still published, and the caller's resend gets the
+// response.
 func TestCallerDisconnectDoesNotCancelAtMostOnceWork(t *testing.T) {
 	claims := &fakeClaimStore{claims: map[tables.IdempotencyKey]*fakeClaim{}}
 	r := newHarness(t, func(o *Options) { o.Claims = claims })
@@ -171,7 +175,7 @@
 	assert.Assert(t, err != nil)
 	close(goOn)
 	<-done
-	// The resend may come before the answer is stored.
+	// The resend can arrive before the response is stored.
 	for {
 		resp := r.post(t, t.Context(), "/v1/services/press/send", "note", "Content-Type", contentTypeBinary, "Idempotency-Key", "k")
 		content := read(t, resp)
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// callPathPrefix is where plain services answer calls; the name of the call
-	// follows.
+	// callPathPrefix is the path at plain services under which calls are
+	// served; the name of the call follows.
 	callPathPrefix    = "/v1/call/"
 	contentTypeText   = "text/plain; charset=utf-8"
 	contentTypeBinary = "application/octet-stream"
-	// atMostOnceMargin is how much longer than a profile's timeout the entry waits
-	// for work that must run once.
+	// atMostOnceMargin is how much longer than the profile's timeout the entry
+	// waits for work that must run at most once.
 	atMostOnceMargin = 5 * time.Second
 )
 
-// completionParams is a completion as a caller asked for it.
+// completionParams are the parameters of a completion or chat completion
+// request.
 type completionParams struct {
 	profile, model, key string
 	prompt              string
@@ -37,23 +38,25 @@
 	stream              bool
 }
 
-// serviceCallParams is a call to a plain service as a caller asked for it.
+// serviceCallParams are the parameters of a call to a plain service.
 type serviceCallParams struct {
 	profile, service, call, key string
 	body                        []byte
 }
 
-// completionSource gives the text of an answer, in pieces or whole.
+// completionSource provides the text of a completion, in pieces or as a whole.
 type completionSource interface {
+	// next returns the next piece of text, and io.EOF after the last one.
 	next() (string, error)
-	// readAll gives the whole readAll and the number of its tokens.
+	// readAll returns the complete text and its number of tokens.
 	readAll() (string, int, error)
+	// finishReason returns why the completion ended.
 	finishReason() string
 	close()
 }
 
-// startCompletion starts a completion and gives the source of its answer. Work that
-// must run once has ended when it returns.
+// startCompletion starts a completion and returns the source of its text. Work
+// that must run at most once has completed when it returns.
 func (s *Server) startCompletion(ctx context.Context, params completionParams) (completionSource, *inFlight, error) {
 	org := organisationOf(ctx)
 	index := s.configIndex.Load()
@@ -76,8 +79,8 @@
 	return &storedSource{response: answer, limit: params.maxTokens}, f, nil
 }
 
-// newCompletion makes the flight of a completion under the weights that are
-// wanted now.
+// newCompletion returns a completion request that is bound to the weights
+// version of the current configuration.
 func (s *Server) newCompletion(index *configIndex, org *tables.Organisation, p *tables.Profile, params completionParams) *inFlight {
 	f := s.newInFlight(org, p)
 	f.prompt = params.prompt
@@ -90,16 +93,16 @@
 	return f
 }
 
-// restartingSource gives the text of an answer that is not streamed. When the answer
-// cannot be completed because its weights are not in force any more, it begins
-// again under the new ones: the caller has seen nothing of the old answer.
+// restartingSource provides a completion that is not streamed. If the
+// completion fails because its weights version is no longer in use, it restarts
+// once under the new version: the caller has not seen any of the old text.
 type restartingSource struct {
 	*responseReader
 	ctx    context.Context
 	params completionParams
 }
 
-// readAll gives the whole answer and the number of its tokens.
+// readAll returns the complete text and its number of tokens.
 func (r *restartingSource) readAll() (string, int, error) {
 	text, tokens, err := r.responseReader.readAll()
 	if err == nil || !r.weightsChanged(err) {
@@ -113,7 +116,8 @@
 	return r.responseReader.readAll()
 }
 
-// weightsChanged says whether a stream broke and other weights are wanted by now.
+// weightsChanged reports whether a stream broke and the configuration has
+// another weights version by now.
 func (r *restartingSource) weightsChanged(err error) bool {
 	var failure *outcome.Failure
 	if !errors.As(err, &failure) || failure.Code != tables.CodeStreamBroken {
@@ -123,7 +127,7 @@
 	return f.weights != f.server.configIndex.Load().weightsVersion(f.profile.Model)
 }
 
-// callService runs a call to a plain service to its end.
+// callService runs a call to a plain service and returns the complete response.
 func (s *Server) callService(ctx context.Context, params serviceCallParams) (tables.StoredResponse, error) {
 	org := organisationOf(ctx)
 	p, code := s.configIndex.Load().resolveProfile(org, profileQuery{kind: tables.PlainService, profile: params.profile, service: params.service})
@@ -141,6 +145,8 @@
 	return s.runAtMostOnce(ctx, f, params.key, bodyHash(string(p.Name), params.call, string(params.body)))
 }
 
+// newInFlight returns a request with a new ID and a deadline after the
+// profile's timeout.
 func (s *Server) newInFlight(org *tables.Organisation, p *tables.Profile) *inFlight {
 	f := &inFlight{org: org, profile: p}
 	f.spec = tables.Request{
@@ -155,8 +161,8 @@
 	return f
 }
 
-// runAtMostOnce runs work that must run at most runAtMostOnce. It goes on when its caller goes
-// away, so that the answer is there for the resend.
+// runAtMostOnce runs work that must run at most once. It continues when its
+// caller disconnects, so that the response is available to a resend.
 func (s *Server) runAtMostOnce(ctx context.Context, f *inFlight, key string, body tables.BodyHash) (tables.StoredResponse, error) {
 	if key == "" {
 		return tables.StoredResponse{}, notRun(f.spec.ID, tables.CodeKeyMissing, 0)
@@ -181,7 +187,8 @@
 	return got, nil
 }
 
-// storedResponse gives the whole answer in the form that is stored.
+// storedResponse reads the complete response in the form in which it is stored
+// for resends.
 func (r *responseReader) storedResponse() (tables.StoredResponse, error) {
 	if r.request.call != nil {
 		return r.serviceResponse()
@@ -193,7 +200,8 @@
 	return tables.StoredResponse{ContentType: contentTypeText, Body: []byte(text), Tokens: tokens}, nil
 }
 
-// failClaimed ends work that must run once and gave no answer.
+// failClaimed ends claimed work that gave no response, and releases the claim
+// if the work did not run.
 func (f *inFlight) failClaimed(err error) error {
 	failure, ok := err.(*outcome.Failure)
 	if !ok {
@@ -203,7 +211,7 @@
 	return failure
 }
 
-// storedSource gives a storedSource completion as one piece.
+// storedSource provides a stored completion as one piece.
 type storedSource struct {
 	response tables.StoredResponse
 	limit    int
@@ -231,8 +239,8 @@
 
 func (s *storedSource) close() {}
 
-// chatPrompt renders messages as one text. Equal leading messages give equal
-// leading text, so that they share cached prefixes.
+// chatPrompt renders chat messages as one prompt. Equal leading messages give
+// equal leading text, so that requests share cached prefixes.
 func chatPrompt(messages []oas.Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -245,8 +253,8 @@
 	return b.String()
 }
 
-// fingerprint hashes the parts of a request; equal work of one organisation
-// gives equal fingerprints at every instance.
+// fingerprint hashes the parts of a request. Equal requests of one organisation
+// have equal fingerprints at every instance.
 func fingerprint(org tables.OrganisationID, p tables.ProfileName, parts ...string) tables.Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
@@ -257,8 +265,9 @@
 	return tables.Fingerprint(d.Sum64())
 }
 
-// bodyHash identifies the exact content of work that must run once. Lengths
-// keep two different requests from running together into one text.
+// bodyHash identifies the exact content of work that must run at most once.
+// Each part is preceded by its length, so that different parts never
+// concatenate to the same hashed text.
 func bodyHash(parts ...string) tables.BodyHash {
 	h := sha256.New()
 	for _, part := range parts {
--- a/entry/concurrencylimit.go
+++ b/entry/concurrencylimit.go
@@ -9,9 +9,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// concurrencyLimiter counts open requests by organisation. The limit over all organisations
-// alone would let one of them, by a mistake in its own retries, take every
-// place of an instance before the router can weigh its shares.
+// concurrencyLimiter limits the requests in flight of each organisation. With
+// only the limit on all requests, one organisation could use up an instance,
+// for example by a bug in its retries, before the router's fair queueing takes
+// effect.
 type concurrencyLimiter struct {
 	limit int
 
@@ -19,11 +20,14 @@
 	inFlight map[tables.OrganisationID]int
 }
 
+// newConcurrencyLimiter returns a limiter that allows limit requests per
+// organisation.
 func newConcurrencyLimiter(limit int) *concurrencyLimiter {
 	return &concurrencyLimiter{limit: limit, inFlight: make(map[tables.OrganisationID]int)}
 }
 
-// acquire counts a request in and says whether there was room for it.
+// acquire counts a request as in flight. It reports whether the organisation
+// was below its limit.
 func (l *concurrencyLimiter) acquire(id tables.OrganisationID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,8 +38,8 @@
 	return true
 }
 
-// release counts a request out. Organisations without open requests take no
-// memory.
+// release ends the count of a request. Organisations without requests in flight
+// use no memory.
 func (l *concurrencyLimiter) release(id tables.OrganisationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,9 +48,9 @@
 	}
 }
 
-// admitOrganisation counts the request in for its organisation, before its body
-// is read. The function it returns counts it out. Callers who are not known are
-// let through to the refusal that they get behind.
+// admitOrganisation counts the request towards its organisation's limit, before
+// its body is read. The returned function ends the count. Requests with an
+// unknown token pass, because authentication rejects them afterwards.
 func (s *Server) admitOrganisation(r *http.Request) (func(), *outcome.Failure) {
 	token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found {
--- a/entry/concurrencylimit_test.go
+++ b/entry/concurrencylimit_test.go
@@ -9,9 +9,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// One organisation's client opens requests without end. Its further requests
-// must be refused at once as not run, while there is room for other
-// organisations, and it must be served again as soon as one has ended.
+// Guards against one organisation that opens requests without end and uses up
+// the instance. Its further requests are rejected as not run while other
+// organisations have capacity, and it is served again as soon as one of its
+// requests has ended.
 func TestConcurrencyLimitPerOrganisation(t *testing.T) {
 	r := newHarness(t, func(o *Options) { o.Limits.MaxInFlightPerOrganisation = 1 })
 	r.client.generate = []generateFunc{r.client.respondWith([]string{"a"}, nil)}
--- a/entry/configindex.go
+++ b/entry/configindex.go
@@ -7,8 +7,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// configIndex is one configuration arranged for looking up callers and profiles.
-// It is immutable.
+// configIndex is an immutable index of one configuration, by bearer token,
+// profile name and model name.
 type configIndex struct {
 	tokens      map[[sha256.Size]byte]*tables.Organisation
 	profiles    map[tables.ProfileName]*tables.Profile
@@ -16,6 +16,8 @@
 	profileList []*tables.Profile
 }
 
+// newConfigIndex returns the index of a configuration. It skips token hashes
+// that are not hexadecimal SHA-256 hashes.
 func newConfigIndex(c *tables.Configuration) *configIndex {
 	index := &configIndex{
 		tokens:   map[[sha256.Size]byte]*tables.Organisation{},
@@ -40,8 +42,8 @@
 	return index
 }
 
-// weightsVersion gives the version that is wanted for a model, empty if it is not
-// known.
+// weightsVersion returns the configured weights version of a model, or an empty
+// version if the model is unknown.
 func (index *configIndex) weightsVersion(name tables.ModelName) tables.WeightsVersion {
 	if m := index.models[name]; m != nil {
 		return m.Weights
@@ -49,12 +51,15 @@
 	return ""
 }
 
-// organisationByToken finds the holder of a bearer token. The lookup is by hash, so
-// that the time it takes tells nothing about tokens that exist.
+// organisationByToken returns the organisation of a bearer token, or nil if
+// there is none. The lookup is by hash, so that its duration reveals nothing
+// about valid tokens.
 func (index *configIndex) organisationByToken(token string) *tables.Organisation {
 	return index.tokens[sha256.Sum256([]byte(token))]
 }
 
+// mayUseProfile reports whether the organisation may use the profile. An empty
+// list of profiles allows all.
 func mayUseProfile(o *tables.Organisation, name tables.ProfileName) bool {
 	if len(o.Profiles) == 0 {
 		return true
@@ -67,8 +72,8 @@
 	return false
 }
 
-// modelName is how callers name a profile's model: the model alone, or with
-// its adapter after a colon.
+// modelName returns the name of a profile's model in the callers' API: the
+// model alone, or the model, a colon and the adapter.
 func modelName(p *tables.Profile) string {
 	if p.Adapter == "" {
 		return string(p.Model)
@@ -76,7 +81,8 @@
 	return string(p.Model) + ":" + string(p.Adapter)
 }
 
-// profileQuery is what a caller asks for.
+// profileQuery describes the profile that a request needs. An empty profile or
+// model means that the caller did not name one.
 type profileQuery struct {
 	kind    tables.EndpointKind
 	profile string
@@ -84,7 +90,7 @@
 	service string
 }
 
-// matches says whether the profile serves the target.
+// matches reports whether the profile satisfies the query.
 func (q profileQuery) matches(p *tables.Profile) bool {
 	if p.Kind != q.kind {
 		return false
@@ -95,9 +101,9 @@
 	return q.model == "" || q.model == modelName(p)
 }
 
-// resolveProfile finds the profile that a request is treated by: the named one, or
-// the only one of the organisation's that fits. It gives the code of the
-// failure otherwise.
+// resolveProfile returns the profile that applies to a request: the named one,
+// or else the only matching one that the organisation may use. If there is no
+// such profile, it returns the error code of the failure.
 func (index *configIndex) resolveProfile(o *tables.Organisation, q profileQuery) (*tables.Profile, tables.ErrorCode) {
 	if q.profile != "" {
 		return index.resolveNamed(o, q)
@@ -118,6 +124,8 @@
 	return found, 0
 }
 
+// resolveNamed returns the profile that the query names, or an error code if
+// the profile is unknown, forbidden or does not match.
 func (index *configIndex) resolveNamed(o *tables.Organisation, q profileQuery) (*tables.Profile, tables.ErrorCode) {
 	p := index.profiles[tables.ProfileName(q.profile)]
 	if p == nil || p.Kind != q.kind {
@@ -132,7 +140,7 @@
 	return p, 0
 }
 
-// notFoundCode is the code for a target that nothing fits.
+// notFoundCode returns the error code for a query that no profile matches.
 func (q profileQuery) notFoundCode() tables.ErrorCode {
 	switch {
 	case q.kind == tables.PlainService:
--- a/entry/crashbroadcast_test.go
+++ b/entry/crashbroadcast_test.go
@@ -12,8 +12,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// failRequestAfter has an attempt of one request end, a crash reported, and the request fail. It
-// returns where the failure arrives.
+// failRequestAfter ends the only attempt of a request with the given result,
+// while a crash broadcast is under way until notified is closed, and then fails
+// the request. It returns the channel that receives the failure.
 func failRequestAfter(end router.AttemptResult, notified <-chan struct{}) chan *outcome.Failure {
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
 	s := &Server{broadcastSuspects: func([]quarantine.Suspect) <-chan struct{} { return notified }}
@@ -36,23 +37,25 @@
 	return f.failed
 }
 
-// Guards against a request that crashes endpoints being sent again by its caller to an
-// instance that was not notified of the crash yet.
+// Guards against a request that crashes endpoints and that its caller resends
+// to an instance that does not know of the crash yet.
 func TestFailureWaitsForCrashBroadcast(t *testing.T) {
 	notified := make(chan struct{})
 	failed := failRequestAfter(router.Crashed, notified)
-	assert.Equal(t, len(failed), 0, "answered before the other instances were notified")
+	assert.Equal(t, len(failed), 0, "failure delivered before the other instances were notified")
 	close(notified)
 	assert.Equal(t, (<-failed).Code, tables.CodeEndpointFailed)
 }
 
-// Guards against requests that crashed nothing waiting for reports of other crashes.
+// Guards against requests that crashed nothing and wait for the broadcasts of
+// other crashes.
 func TestFailureWithoutCrashDoesNotWaitForBroadcasts(t *testing.T) {
 	failed := failRequestAfter(router.Interrupted, make(chan struct{}))
 	assert.Equal(t, len(failed), 1)
 }
 
-// lateCrashRouter is a Decider that reports a crash that showed late to the others.
+// lateCrashRouter is a Router that broadcasts a suspect when a crash is
+// detected after the end of its attempt.
 type lateCrashRouter struct{ scriptedRouter }
 
 func (c *lateCrashRouter) Observe(_ tables.Instant, in router.Input) {
@@ -61,8 +64,9 @@
 	}
 }
 
-// Guards against a failing answer that goes out before it is known that the endpoint has
-// crashed: on a busy machine that may take longer than the next attempt.
+// Guards against a failure that is delivered before it is known whether the
+// endpoint has crashed. On a busy machine, that can take longer than the next
+// attempt.
 func TestFailureWaitsForCrashCheck(t *testing.T) {
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
 	notified, shared := make(chan struct{}), make(chan struct{}, 1)
@@ -89,13 +93,13 @@
 	l.endAttempt(0, attemptEnded{attempt: a, input: router.AttemptEnded{Attempt: attemptID, Result: router.Interrupted}, crashCheck: settling})
 	decider.enqueue(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
 	l.tick(0)
-	assert.Equal(t, len(f.failed), 0, "answered before it was known whether the endpoint has crashed")
+	assert.Equal(t, len(f.failed), 0, "failure delivered before it was known whether the endpoint has crashed")
 
 	settling <- true
 	l.handle(<-s.inbox)
 	l.tick(0)
 	<-shared
-	assert.Equal(t, len(f.failed), 0, "answered before the other instances were notified")
+	assert.Equal(t, len(f.failed), 0, "failure delivered before the other instances were notified")
 	close(notified)
 	assert.Equal(t, (<-f.failed).Code, tables.CodeEndpointFailed)
 }
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -10,10 +10,12 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Ready says whether the balancer should send callers here.
+// Ready reports whether the load balancer should send requests to this
+// instance.
 func (s *Server) Ready() bool { return s.gate.State().Ready() && s.configIndex.Load() != nil }
 
-// admit counts a request in, or gives the reason why it is not served.
+// admit counts a request as in flight, or returns the failure with which the
+// request is rejected.
 func (s *Server) admit() *outcome.Failure {
 	inFlight, admitted := s.gate.Admit()
 	var failure *outcome.Failure
@@ -31,8 +33,8 @@
 	return failure
 }
 
-// Drain takes the instance out of service without cutting a request. It returns
-// early when the context ends.
+// Drain takes the instance out of service without interrupting a request. If
+// the context ends first, Drain returns early with an error.
 func (s *Server) Drain(ctx context.Context) error {
 	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 	if err := s.gate.Drain(ctx, s.now); err != nil {
--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -13,6 +13,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
+// ready reports whether the readiness probe succeeds.
 func (r *harness) ready(t *testing.T) bool {
 	t.Helper()
 	resp, err := r.http.Get(r.url + "/readyz")
@@ -21,9 +22,9 @@
 	return resp.StatusCode == http.StatusNoContent
 }
 
-// An instance is stopped for an update while a caller's stream is running. The
-// caller gets its whole answer; a request that the balancer sends late is served
-// too; only then, and after the stream, does the instance end.
+// Guards against a drain that interrupts a stream. A request that the load
+// balancer sends late is still served. The drain ends only after its delay and
+// after the stream, which the caller gets completely.
 func TestDrainWaitsForOpenStreams(t *testing.T) {
 	now := make(chan tables.Instant, 1)
 	now <- 0
@@ -54,7 +55,7 @@
 	assert.Assert(t, !r.ready(t))
 	late := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p"}`)
 	assert.Equal(t, late.StatusCode, 200)
-	assert.Assert(t, late.Close, "the connection must not be used again")
+	assert.Assert(t, late.Close, "the response must close the connection")
 
 	<-now
 	now <- time.Second
@@ -68,7 +69,7 @@
 
 	select {
 	case <-done:
-		t.Fatal("the drain ended before the stream")
+		t.Fatal("drain ended before the stream")
 	default:
 	}
 	tokens <- engine.Token{Index: 1, Text: "b"}
@@ -77,6 +78,8 @@
 	assert.NilError(t, <-done)
 }
 
+// Guards against a drain that ignores the end of its context, as after a second
+// signal, and waits for an open stream.
 func TestSecondSignalAbortsDrain(t *testing.T) {
 	r := newHarness(t, nil)
 	tokens := make(chan engine.Token, 1)
@@ -92,8 +95,8 @@
 	stop()
 }
 
-// An instance has just started and knows no configuration yet. Callers must not
-// be told that their tokens are wrong.
+// Guards against an instance without a configuration that rejects valid tokens
+// as unknown.
 func TestNotReadyBeforeFirstConfiguration(t *testing.T) {
 	r := newHarness(t, nil)
 	r.server.configIndex.Store(nil)
--- a/entry/eventloop.go
+++ b/entry/eventloop.go
@@ -16,38 +16,42 @@
 )
 
 const (
-	// inboxCapacity is how many messages may wait for the loop.
+	// inboxCapacity is the number of messages that the queue of the event loop
+	// holds.
 	inboxCapacity = 4096
-	// maxMessagesPerTick bounds how many messages share one tick, so that a flood of load
-	// reports cannot hold back a request for long.
+	// maxMessagesPerTick bounds the number of queued messages that share one
+	// tick, so that a burst of load reports cannot delay a request for long.
 	maxMessagesPerTick = 256
 )
 
-// message is something that the loop is told.
+// message is an input of the event loop.
 type message interface{ message() }
 
 type (
 	requestSubmitted struct{ request *inFlight }
-	// requestClosed: the caller has its answer or is gone.
+	// requestClosed: the caller has its response or has disconnected.
 	requestClosed struct{ request *inFlight }
 	configured    struct{ configuration *tables.Configuration }
 	inputObserved struct{ input router.Input }
-	// requestOverdue: the router let the flight's timeout pass without an end.
+	// requestOverdue: the request's timeout has passed, and the router has not
+	// ended it.
 	requestOverdue struct{ request *inFlight }
-	// attemptEnded is the end of an attempt, with a proof if it never began.
+	// attemptEnded is the end of an attempt, with a proof if the attempt did
+	// not start.
 	attemptEnded struct {
 		attempt *attempt
 		input   router.AttemptEnded
 		proof   *outcome.NotStartedProof
-		// requestFailure ends the whole request with this failure; set when the control
-		// state did not let the attempt go.
+		// requestFailure, if not nil, ends the whole request. It is set when
+		// the control state did not record the dispatch, so that the attempt
+		// could not be sent.
 		requestFailure *outcome.Failure
-		// crashCheck yields whether the endpoint of a broken attempt has crashed, where
-		// that was not known in time; else it is nil.
+		// crashCheck delivers whether the endpoint of an interrupted attempt
+		// has crashed. It is nil if that was known in time.
 		crashCheck <-chan bool
 	}
-	// crashDetected: the endpoint of an attempt that ended earlier turned out to be gone.
-	// release is called once the other instances are notified.
+	// crashDetected: the endpoint of an attempt that ended earlier turned out
+	// to have crashed. release is called once the other instances are notified.
 	crashDetected struct {
 		attempt *attempt
 		release func()
@@ -62,28 +66,34 @@
 func (attemptEnded) message()     {}
 func (crashDetected) message()    {}
 
-// eventLoop owns the router and the flights.
+// eventLoop is a single goroutine that owns the router and the requests in
+// flight. Other goroutines reach them only by messages.
 type eventLoop struct {
-	server           *Server
-	router           Router
-	requests         map[tables.RequestID]*inFlight
+	server   *Server
+	router   Router
+	requests map[tables.RequestID]*inFlight
+	// attempts are the attempts that have not ended, including those of
+	// requests that are closed.
 	attempts         map[tables.AttemptID]*attempt
 	gossipPlacements func([]router.PeerPlacement)
 	placements       []router.PeerPlacement
-	// broadcasts are the crash reports on their way to other instances.
+	// broadcasts are the crash broadcasts that have not reached the other
+	// instances yet.
 	broadcasts []<-chan struct{}
-	// pendingReleases are called once those that the next tick adds have arrived.
+	// pendingReleases are called once the broadcasts of the next tick have
+	// arrived.
 	pendingReleases []func()
 }
 
-// closedChannel stands for a report that nobody waits for.
+// closedChannel stands for a broadcast that nobody needs to wait for.
 var closedChannel = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// post hands a message to the loop; it is lost only when the server is closed.
+// post sends a message to the event loop. The message is lost only if the
+// server is closed.
 func (s *Server) post(m message) {
 	select {
 	case s.inbox <- m:
@@ -91,7 +101,7 @@
 	}
 }
 
-// run takes messages until the server is closed.
+// run handles messages and runs the router until the server is closed.
 func (l *eventLoop) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -110,7 +120,8 @@
 	}
 }
 
-// handleQueued takes the messages that are there already, up to a batch.
+// handleQueued handles the messages that are already queued, up to
+// maxMessagesPerTick.
 func (l *eventLoop) handleQueued() {
 	for range maxMessagesPerTick {
 		select {
@@ -122,6 +133,7 @@
 	}
 }
 
+// handle applies one message.
 func (l *eventLoop) handle(m message) {
 	now := l.server.now()
 	switch m := m.(type) {
@@ -149,15 +161,15 @@
 	}
 }
 
-// closeRequest forgets a flight. Its attempts stay in running, and thereby in the
-// router's account of slots, until each has ended.
+// closeRequest removes a request. Its attempts stay in attempts, and so in the
+// router's count of used slots, until each has ended.
 func (l *eventLoop) closeRequest(now tables.Instant, f *inFlight) {
 	f.ended = true
 	delete(l.requests, f.spec.ID)
 	l.router.Cancel(now, f.spec.ID)
 }
 
-// failOverdue ends a flight that the router has lost sight of.
+// failOverdue ends a request that the router has lost track of.
 func (l *eventLoop) failOverdue(now tables.Instant, f *inFlight) {
 	if f.ended {
 		return
@@ -167,6 +179,7 @@
 	l.fail(router.Fail{Request: f.spec.ID, Code: tables.CodeTimeout})
 }
 
+// endAttempt applies the end of an attempt to its request and to the router.
 func (l *eventLoop) endAttempt(now tables.Instant, m attemptEnded) {
 	id := m.attempt.dispatch.Attempt
 	if _, known := l.attempts[id]; !known {
@@ -191,7 +204,7 @@
 	}
 }
 
-// tick lets the router decide and carries its actions out.
+// tick runs the router and executes the resulting actions.
 func (l *eventLoop) tick(now tables.Instant) {
 	for _, action := range l.router.Tick(now) {
 		switch a := action.(type) {
@@ -211,7 +224,8 @@
 	l.drainPlacements()
 }
 
-// releaseAfterBroadcasts lets go on what waits for reports of crashes that came late.
+// releaseAfterBroadcasts calls the pending releases once all current crash
+// broadcasts have arrived.
 func (l *eventLoop) releaseAfterBroadcasts() {
 	if len(l.pendingReleases) == 0 {
 		return
@@ -228,9 +242,10 @@
 	}()
 }
 
-// awaitCrashCheck returns a channel that is closed once it is known whether the endpoint of a
-// broken attempt has crashed, and the other instances are notified if it has, or
-// Limits.SettleWait has passed.
+// awaitCrashCheck returns a channel that is closed once it is known whether the
+// endpoint of an interrupted attempt has crashed. If it has, the channel is
+// closed only after the other instances are notified. The channel is closed
+// after Limits.CrashCheckTimeout at the latest.
 func (s *Server) awaitCrashCheck(a *attempt, crashCheck <-chan bool) <-chan struct{} {
 	done := make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
@@ -245,12 +260,13 @@
 	return done
 }
 
-// broadcastSuspects notifies the other instances of a crash, and remembers that it is under way.
+// broadcastSuspects notifies the other instances of a crash and keeps track of
+// the broadcast.
 func (l *eventLoop) broadcastSuspects(suspects []quarantine.Suspect) {
 	l.broadcasts = append(l.pendingBroadcasts(), l.server.broadcastSuspects(suspects))
 }
 
-// pendingBroadcasts lists the reports that are still on their way.
+// pendingBroadcasts returns the broadcasts that have not arrived yet.
 func (l *eventLoop) pendingBroadcasts() []<-chan struct{} {
 	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(c <-chan struct{}) bool {
 		select {
@@ -263,15 +279,17 @@
 	return l.broadcasts
 }
 
-// placementSource is a Decider that has placements to pass on; *router.Router is one.
+// placementSource is a Router that queues placements to gossip; *router.Router
+// implements it.
 type placementSource interface {
 	DrainPlacements(dst []router.PeerPlacement, limit int) []router.PeerPlacement
 }
 
-// maxPlacementsPerTick bounds the placements that are passed on after one tick.
+// maxPlacementsPerTick bounds the placements that are gossiped after one tick.
 const maxPlacementsPerTick = 32
 
-// drainPlacements tells the other instances of placements that are new.
+// drainPlacements moves new placements from the router's queue to the gossip
+// function.
 func (l *eventLoop) drainPlacements() {
 	source, ok := l.router.(placementSource)
 	if !ok || l.gossipPlacements == nil {
@@ -283,6 +301,8 @@
 	}
 }
 
+// dispatch starts an attempt. If the request has ended, the attempt is reported
+// as not started.
 func (l *eventLoop) dispatch(now tables.Instant, d router.Dispatch) {
 	f := l.requests[d.Request]
 	if f == nil || f.ended {
@@ -301,8 +321,9 @@
 	go a.run()
 }
 
-// refuse ends a request as not run. The router says so only of requests it did
-// not dispatch; were it wrong, the state would not let the caller be told so.
+// refuse ends a request as not run. The router refuses only requests that it
+// did not dispatch. If it refused another one, the outcome state would make the
+// failure an unknown outcome.
 func (l *eventLoop) refuse(r router.Refuse) {
 	f := l.requests[r.Request]
 	if f == nil {
@@ -317,6 +338,7 @@
 	}
 }
 
+// fail ends a request that cannot be completed.
 func (l *eventLoop) fail(a router.Fail) {
 	f := l.requests[a.Request]
 	if f == nil {
@@ -334,9 +356,10 @@
 	}
 }
 
-// failDispatched ends a request that may have run. One that has crashed an endpoint is
-// answered only after the other instances were notified: its caller sends it again at
-// once, and an instance that knows nothing of the crash would run it at further endpoints.
+// failDispatched ends a request that may have run. If the request has crashed
+// an endpoint, its failure is delivered only after the other instances are
+// notified. The caller resends the request at once, and an instance that does
+// not know of the crash would run it at further endpoints.
 func (l *eventLoop) failDispatched(f *inFlight, failure *outcome.Failure) {
 	waits := slices.Clone(f.crashChecks)
 	if f.endpointCrashed {
@@ -345,6 +368,7 @@
 	f.fail(failure, waits...)
 }
 
+// abort cancels an attempt.
 func (l *eventLoop) abort(a router.Abort) {
 	if attempt := l.attempts[a.Attempt]; attempt != nil {
 		attempt.cancel(nil)
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -9,14 +9,14 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// errorResponse is how a code looks to a caller.
+// errorResponse is the HTTP status and the message of an error code.
 type errorResponse struct {
 	status  int
 	message string
 }
 
-// errorResponses holds every code that a caller can meet. The sentences are
-// explained further in docs/operating/requests.md.
+// errorResponses contains every error code that a caller can receive.
+// docs/operating/requests.md explains the messages further.
 var errorResponses = map[tables.ErrorCode]errorResponse{
 	tables.CodeMalformed:         {http.StatusBadRequest, "The request is not well formed."},
 	tables.CodeUnauthorised:      {http.StatusUnauthorized, "The bearer token is missing or not known."},
@@ -45,7 +45,8 @@
 	tables.CodeOutcomeUnknown:    {http.StatusBadGateway, "The work may have run; it will not be run again under this key."},
 }
 
-// errorResponseFor gives the status and sentence of a code.
+// errorResponseFor returns the status and message of an error code. An unknown
+// code counts as an internal error.
 func errorResponseFor(code tables.ErrorCode) errorResponse {
 	if e, ok := errorResponses[code]; ok {
 		return e
@@ -53,7 +54,7 @@
 	return errorResponses[tables.CodeInternal]
 }
 
-// failureBody is the failure as callers see it.
+// failureBody returns the response body of a failure.
 func failureBody(f *outcome.Failure) oas.Failure {
 	message := errorResponseFor(f.Code).message
 	if f.Detail != "" {
@@ -73,7 +74,8 @@
 	return oas.Failure{Error: e}
 }
 
-// failureResponse is the failure with its status and headers.
+// failureResponse returns the HTTP response of a failure: status, headers and
+// body.
 func failureResponse(f *outcome.Failure) *oas.FailureStatusCodeWithHeaders {
 	r := &oas.FailureStatusCodeWithHeaders{StatusCode: errorResponseFor(f.Code).status, Response: failureBody(f)}
 	if f.RetryAfter > 0 {
--- a/entry/gate/gate.go
+++ b/entry/gate/gate.go
@@ -1,5 +1,6 @@
-// Package gate counts requests in and out of an entry instance and takes it out
-// of service without cutting one, in the steps of package drain.
+// Package gate is the admission gate of a server. It counts the requests in
+// flight and shuts the server down gracefully, in the steps of package drain,
+// without interrupting a request.
 package gate
 
 import (
@@ -14,32 +15,34 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Gate is safe for concurrent use.
+// Gate counts requests in flight and drains them. It is safe for concurrent
+// use.
 type Gate struct {
 	mu      sync.Mutex
 	machine drain.Machine
-	// state is machine's, for reading without the lock.
+	// state is the state of machine, for reading without the lock.
 	state    atomic.Uint32
 	inFlight atomic.Int64
-	// idle is signalled when the last open request ends.
+	// idle is signalled when the last request in flight ends.
 	idle chan struct{}
 }
 
-// New returns an open gate. Serve is how long new requests are still served
-// after a drain has begun.
+// New returns an open gate. After a drain has begun, the gate admits new
+// requests for the duration serve.
 func New(serve time.Duration) *Gate {
 	return &Gate{machine: drain.Machine{LameDuckPeriod: serve}, idle: make(chan struct{}, 1)}
 }
 
-// Admit counts a request in and returns how many are open. The count comes
-// before the look at the state: a drain that sees no open request can then be
-// sure that none slips in. Whatever it returns, Leave must follow.
+// Admit counts a request as in flight, returns the number in flight and reports
+// whether the request is admitted. It counts before it reads the state, so that
+// a drain that sees no request in flight can be sure that none is admitted
+// afterwards. In either case, Done must follow.
 func (g *Gate) Admit() (inFlight int64, admitted bool) {
 	inFlight = g.inFlight.Add(1)
 	return inFlight, g.State().AcceptsRequests()
 }
 
-// Done counts a request out.
+// Done ends the count of a request.
 func (g *Gate) Done() {
 	if g.inFlight.Add(-1) == 0 {
 		select {
@@ -49,15 +52,16 @@
 	}
 }
 
-// State is how far the drain has come.
+// State returns the state of the drain.
 func (g *Gate) State() drain.State { return drain.State(g.state.Load()) }
 
-// InFlight is the number of open requests.
+// InFlight returns the number of requests in flight.
 func (g *Gate) InFlight() int64 { return g.inFlight.Load() }
 
-// Drain stops the gate being ready, goes on admitting for a while until the
-// balancer has noticed, then admits nothing and returns when every open request
-// has ended. When the context ends first it gives up and returns its failure.
+// Drain makes the server not ready, admits requests until the load balancer
+// must have noticed, and then admits none. It returns when the last request in
+// flight has ended. If the context ends first, Drain gives up and returns the
+// context's error.
 func (g *Gate) Drain(ctx context.Context, now func() tables.Instant) error {
 	g.update(func(m *drain.Machine) { m.Begin(now()) })
 	timer := time.NewTimer(0)
@@ -80,13 +84,14 @@
 	}
 }
 
+// update changes the drain state machine under the lock.
 func (g *Gate) update(f func(*drain.Machine)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(&g.machine)
 }
 
-// tick moves the drain on.
+// tick advances the drain and returns its state.
 func (g *Gate) tick(now tables.Instant) drain.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,6 +100,8 @@
 	return state
 }
 
+// untilClosing returns how long the drain still admits requests; zero if it
+// admits none or has not begun.
 func (g *Gate) untilClosing(now tables.Instant) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -26,10 +26,11 @@
 	testWait  = 10 * time.Second
 )
 
-// generateFunc says what the fake engine at one address does with an attempt.
+// generateFunc is the fake implementation of one attempt at a completion.
 type generateFunc func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error)
 
-// fakeClient answers attempts by scripts, in order of dispatch.
+// fakeClient is an engine client that runs its functions in order of dispatch.
+// The last function runs for all further attempts.
 type fakeClient struct {
 	mu        sync.Mutex
 	generate  []generateFunc
@@ -70,18 +71,20 @@
 	return c.cancelErr
 }
 
+// received returns the completion attempts so far.
 func (c *fakeClient) received() []engine.GenerateRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]engine.GenerateRequest(nil), c.requests...)
 }
 
-// fakeStream gives tokens from a channel until it is closed.
+// fakeStream returns tokens from a channel until the channel is closed.
 type fakeStream struct {
 	accepted engine.AcceptedEvent
 	ctx      context.Context
 	tokens   <-chan engine.Token
-	// err ends the stream once tokens is closed; nil means the end mark.
+	// err is returned once tokens is closed; nil means that the stream is
+	// complete.
 	err    error
 	cancel func()
 }
@@ -108,8 +111,8 @@
 	return nil
 }
 
-// respondWith is a script that gives tokens from the offset asked for up to the end,
-// and then fails with err or ends whole.
+// respondWith returns a function that streams the words from the requested
+// offset on, and then fails with err or completes.
 func (c *fakeClient) respondWith(words []string, err error) generateFunc {
 	return func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		tokens := make(chan engine.Token, len(words))
@@ -132,6 +135,8 @@
 	}
 }
 
+// testConfiguration returns a configuration with one organisation, five engines
+// and three plain services.
 func testConfiguration() *tables.Configuration {
 	hash := sha256.Sum256([]byte(testToken))
 	c := &tables.Configuration{
@@ -161,7 +166,8 @@
 	return c
 }
 
-// harness is an entry over a real router and a scripted client.
+// harness is a Server over a real router, unless a test replaces it, and a fake
+// client.
 type harness struct {
 	server *Server
 	client *fakeClient
@@ -169,6 +175,7 @@
 	http   *http.Client
 }
 
+// newHarness starts a Server; change adjusts its options.
 func newHarness(t *testing.T, configure func(*Options)) *harness {
 	t.Helper()
 	client := &fakeClient{cancelled: make(chan tables.AttemptID, 64)}
@@ -190,7 +197,8 @@
 	return &harness{server: server, client: client, url: listener.URL, http: listener.Client()}
 }
 
-// post sends a JSON body and returns the response; headers come in pairs.
+// post sends a POST request, by default with a JSON body. Headers are pairs of
+// name and value.
 func (r *harness) post(t *testing.T, ctx context.Context, path, body string, headers ...string) *http.Response {
 	t.Helper()
 	resp, err := r.http.Do(r.request(t, ctx, path, body, headers...))
@@ -211,6 +219,7 @@
 	return req
 }
 
+// read returns the body of a response.
 func read(t *testing.T, resp *http.Response) string {
 	t.Helper()
 	content, err := io.ReadAll(resp.Body)
--- a/entry/hungendpoint_test.go
+++ b/entry/hungendpoint_test.go
@@ -12,7 +12,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// hangingClient never confirms a cancel, like an endpoint that hangs or is cut off.
+// hangingClient is a client whose cancel requests are not confirmed, as with an
+// endpoint that hangs or is cut off.
 type hangingClient struct {
 	*fakeClient
 	testDone chan struct{}
@@ -23,9 +24,9 @@
 	return nil
 }
 
-// An engine hangs, and so it does not answer the cancel of its attempt either.
-// The caller's next attempt must not wait for that word; a writer would sit
-// through the timeout of the attempt and that of its cancel on top.
+// Guards against a retry that waits for a hung engine to confirm the cancel of
+// the previous attempt. The caller would wait for the timeout of the attempt
+// and then for that of the cancel.
 func TestRetryDoesNotWaitForHungEndpoint(t *testing.T) {
 	over := make(chan struct{})
 	r := newHarness(t, func(o *Options) { o.Client = &hangingClient{fakeClient: o.Client.(*fakeClient), testDone: over} })
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -14,52 +14,60 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// inFlight is one request from its submission until its caller has the answer.
+// inFlight is a request in flight, from its submission until its caller has the
+// response.
 type inFlight struct {
-	server  *Server
+	server *Server
+	// spec holds the attributes of the request that the router needs.
 	spec    tables.Request
 	org     *tables.Organisation
 	profile *tables.Profile
-	// weights is the version that was wanted when the request came.
+	// weights is the weights version that was configured when the request
+	// arrived.
 	weights tables.WeightsVersion
-	// prompt is what engines get; call is what plain services get.
+	// prompt is the input of an engine; call is the input of a plain service
+	// and nil for completions.
 	prompt string
 	call   *engine.CallRequest
 
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// started hands over an attempt whose first token or whole answer is there.
+	// started delivers an attempt whose first token or complete response has
+	// arrived.
 	started chan *startedAttempt
-	// failed carries the final failure; the loop sends at most one.
+	// failed delivers the final failure; the event loop sends at most one.
 	failed chan *outcome.Failure
 
-	// Fields of the loop alone.
+	// Only the event loop uses the fields from state to crashChecks.
 	state    outcome.State
 	attempts []*attempt
 	queued   bool
 	ended    bool
-	// endpointCrashed is set once an attempt has ended with a crash of its endpoint.
+	// endpointCrashed is set once an attempt has ended with a crash of its
+	// endpoint.
 	endpointCrashed bool
-	// crashChecks are closed once it is known of broken attempts whether their endpoints have
-	// crashed.
+	// crashChecks has a channel for each interrupted attempt for which it was
+	// unknown whether its endpoint had crashed. The channel is closed once that
+	// is known.
 	crashChecks []<-chan struct{}
 
 	// claim is set for work that must run at most once.
 	claim *claim
 
-	// mu guards what an attempt that starts needs to know of the answer so far.
+	// mu guards the text and the number of tokens so far, which the next
+	// attempt needs for a resume.
 	mu              sync.Mutex
 	emitted         strings.Builder
 	deliveredTokens int
-	// emittedBytes is the length of emitted in bytes.
+	// emittedBytes is the length of emitted.
 	emittedBytes int
 
-	// winner holds the attempt that the caller is being answered from.
+	// winner is the attempt that the caller is being answered from.
 	winner atomic.Pointer[attempt]
 }
 
-// attempt is one try at running a flight.
+// attempt is one try to run a request at an endpoint.
 type attempt struct {
 	request  *inFlight
 	dispatch router.Dispatch
@@ -68,32 +76,33 @@
 	unsent   *outcome.UnsentAttempt
 }
 
-// startedAttempt is an attempt that has something for the caller.
+// startedAttempt is an attempt that has output for the caller.
 type startedAttempt struct {
 	attempt    *attempt
 	stream     engine.Stream
 	firstToken engine.Token
-	// complete is set when the stream ended before any token.
+	// complete is set if no further token follows: the stream ended before its
+	// first token, or the response is that of a plain service.
 	complete bool
 	response engine.CallResponse
 }
 
-// progress gives how many tokens the caller has, and their text.
+// progress returns the number of tokens that the caller has, and their text.
 func (f *inFlight) progress() (int, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.deliveredTokens, f.emitted.String()
 }
 
-// untilOverdue is how long from now the router has to end the flight. Its timeout
-// ends every request; this is for the case that the router and the flight
-// disagree on whether the request is open. A caller would notice it by a request
-// that never ends, also past its timeout.
+// untilOverdue returns how much longer the router may take to end the request.
+// The router's timeout ends every request. The additional bound covers the case
+// that the router and the entry disagree on whether the request is open; the
+// caller would then wait without end, even past its timeout.
 func (f *inFlight) untilOverdue() time.Duration {
 	return f.spec.Deadline - f.server.now() + f.server.limits.DeadlineGrace
 }
 
-// recordToken records a token that is about to be given to the caller.
+// recordToken records a token that is about to be sent to the caller.
 func (f *inFlight) recordToken(text string) {
 	f.mu.Lock()
 	f.deliveredTokens++
@@ -102,8 +111,8 @@
 	f.mu.Unlock()
 }
 
-// fail hands the final failure to the goroutine that serves the caller, once all of
-// the channels are closed. Only the loop calls it.
+// fail delivers the final failure to the caller's goroutine once all of the
+// given channels are closed. Only the event loop calls it.
 func (f *inFlight) fail(failure *outcome.Failure, waitFor ...<-chan struct{}) {
 	if f.ended {
 		return
@@ -126,7 +135,7 @@
 	}
 }
 
-// removeAttempt forgets an attempt that has ended.
+// removeAttempt removes an attempt that has ended.
 func (f *inFlight) removeAttempt(id tables.AttemptID) {
 	for i, a := range f.attempts {
 		if a.dispatch.Attempt == id {
@@ -136,7 +145,8 @@
 	}
 }
 
-// notRun ends a flight that was never submitted.
+// notRun returns a failure for a request that was never submitted, so that its
+// work did not run.
 func notRun(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
 	return outcome.NewUndispatched(id).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter})
 }
--- a/entry/looptask.go
+++ b/entry/looptask.go
@@ -1,7 +1,7 @@
 package entry
 
-// loopTask lets another goroutine look at the router, which one goroutine
-// owns.
+// loopTask is a function that the event loop runs for another goroutine, with
+// access to the router.
 type loopTask struct {
 	run  func()
 	done chan struct{}
@@ -9,9 +9,10 @@
 
 func (loopTask) message() {}
 
-// RunInEventLoop runs look in the goroutine that owns the router and returns when it
-// has run. It says whether it ran; it does not once the server is closed. look
-// must be short: requests wait for it.
+// RunInEventLoop runs a function in the goroutine of the event loop, which owns
+// the router, and returns when the function has returned. It reports whether
+// the function ran; after Close it does not. The function must be short,
+// because requests wait for it.
 func (s *Server) RunInEventLoop(run func()) bool {
 	task := loopTask{run: run, done: make(chan struct{})}
 	s.post(task)
--- a/entry/lostrequest_test.go
+++ b/entry/lostrequest_test.go
@@ -13,7 +13,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// scriptedRouter is a Decider that does what the test tells it, once for each tick.
+// scriptedRouter is a Router that returns the actions that the test has
+// enqueued.
 type scriptedRouter struct {
 	mu        sync.Mutex
 	actions   []router.Action
@@ -48,10 +49,11 @@
 	s.actions = append(s.actions, a)
 }
 
-// A plain service is slow, the router gives the attempt up, and its whole answer
-// arrives at that moment. The answer was dropped and the attempt reported as
-// completed, so that nobody ended the request: its caller waited for ever. Found
-// by four demos at once on a busy machine.
+// Guards against a caller that waits forever. The router aborts the attempt at
+// a slow plain service, and the complete response arrives at the same moment.
+// The response was dropped while the attempt was reported as completed, so
+// nothing ended the request. Found when four demos ran at once on a busy
+// machine.
 func TestServiceResponseRacingAbortIsDelivered(t *testing.T) {
 	for range 20 {
 		s := &scriptedRouter{onSubmit: func(s *scriptedRouter, r *tables.Request) {
@@ -74,19 +76,20 @@
 		<-called
 		s.enqueue(router.Abort{Attempt: "a1"})
 		assert.Assert(t, r.server.RunInEventLoop(func() {}))
-		assert.Assert(t, r.server.RunInEventLoop(func() {}), "the tick after the first is over")
+		assert.Assert(t, r.server.RunInEventLoop(func() {}), "the tick after the first call has ended")
 		close(release)
 		select {
 		case answer := <-got:
 			assert.Equal(t, answer, "found")
 		case <-time.After(testWait):
-			t.Fatal("the caller waits for ever")
+			t.Fatal("the caller got no response")
 		}
 	}
 }
 
-// The router and the entry disagree on whether a request is open. Whatever the
-// cause, the caller must be told after the timeout, and truthfully.
+// Guards against a request that never ends because the router and the entry
+// disagree on whether it is open. Whatever the cause, the caller gets a failure
+// with the true outcome after the timeout.
 func TestRequestLostByRouterTimesOut(t *testing.T) {
 	s := &scriptedRouter{onSubmit: func(*scriptedRouter, *tables.Request) {}}
 	r := newHarness(t, func(o *Options) {
--- a/entry/middleware.go
+++ b/entry/middleware.go
@@ -14,22 +14,27 @@
 )
 
 const (
-	// retryAfterOverload is when an instance that holds too much may have room again.
+	// retryAfterOverload is the retry delay while a limit of the instance is
+	// reached.
 	retryAfterOverload = time.Second
-	// retryAfterDraining is when another instance will get the request.
+	// retryAfterDraining is the retry delay while the instance is not ready.
+	// The load balancer sends the retry to another instance.
 	retryAfterDraining = 100 * time.Millisecond
 
 	eventStreamType = "text/event-stream"
 )
 
-// bufferFullError means that the instance holds too many request bodies.
+// bufferFullError reports that request bodies use all of
+// Limits.MaxBufferedBytes.
 type bufferFullError struct{}
 
-// Error says so.
-func (*bufferFullError) Error() string { return "too many request bodies are held" }
+// Error returns a constant text.
+func (*bufferFullError) Error() string {
+	return "request bodies exceed the memory limit of the instance"
+}
 
-// middleware is the handler around the generated server: health, admission, bounds
-// on what a request may hold, and flushing of events.
+// middleware wraps the generated server. It adds health checks, admission
+// control, limits on request bodies and the flushing of server-sent events.
 func (s *Server) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -54,8 +59,8 @@
 		}
 		defer release()
 		if !s.gate.State().Ready() {
-			// Connections that the balancer keeps open would bring further
-			// requests to an instance that is about to end.
+			// The load balancer would use an open keep-alive connection for
+			// further requests to an instance that is about to stop.
 			w.Header().Set("Connection", "close")
 		}
 		control := http.NewResponseController(w)
@@ -67,6 +72,7 @@
 	})
 }
 
+// serveReady answers the readiness probe.
 func (s *Server) serveReady(w http.ResponseWriter) {
 	if s.Ready() {
 		w.WriteHeader(http.StatusNoContent)
@@ -75,20 +81,22 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// limitedBody bounds one request's body and accounts it against what all
-// requests may hold together.
+// limitedBody limits the size of one request body, and counts its bytes towards
+// the limit on all request bodies together.
 type limitedBody struct {
-	server    *Server
-	body      io.ReadCloser
-	control   *http.ResponseController
+	server  *Server
+	body    io.ReadCloser
+	control *http.ResponseController
+	// remaining is the number of bytes that the body may still have.
 	remaining int64
-	// contentLength is the length that the caller announced, -1 if none.
+	// contentLength is the length that the caller declared, -1 if none.
 	contentLength int64
-	buffered      int64
-	readFinished  bool
+	// buffered is the number of bytes read so far.
+	buffered     int64
+	readFinished bool
 }
 
-// Read fails with *http.MaxBytesError or *heldFull beyond the bounds.
+// Read fails with *http.MaxBytesError or *bufferFullError beyond the limits.
 func (b *limitedBody) Read(p []byte) (int, error) {
 	if b.contentLength > b.server.limits.MaxBodyBytes {
 		return 0, &http.MaxBytesError{Limit: b.server.limits.MaxBodyBytes}
@@ -103,8 +111,8 @@
 		return 0, &bufferFullError{}
 	}
 	if err != nil && !b.readFinished {
-		// A deadline left in place would end the connection under a long
-		// stream and look like a caller who has gone.
+		// A remaining read deadline would end the connection during a long
+		// stream, as if the caller had disconnected.
 		b.readFinished = true
 		_ = b.control.SetReadDeadline(time.Time{})
 	}
@@ -114,11 +122,12 @@
 // Close closes the body.
 func (b *limitedBody) Close() error { return b.body.Close() }
 
+// release returns the bytes of the body to the shared limit.
 func (b *limitedBody) release() { b.server.bufferedBytes.Add(-b.buffered) }
 
-// flushWriter sends each event of a stream at once. Generated code copies a
-// stream to it one Read, and so one event, at a time; net/http alone would hold
-// events back until four kilobytes have come together.
+// flushWriter flushes each event of a stream. The generated code copies a
+// stream one Read, and so one event, at a time. net/http alone would buffer
+// events until four kilobytes have accumulated.
 type flushWriter struct {
 	http.ResponseWriter
 	control   *http.ResponseController
@@ -126,7 +135,7 @@
 	streaming bool
 }
 
-// WriteHeader notes whether events follow.
+// WriteHeader records whether the response is an event stream.
 func (w *flushWriter) WriteHeader(status int) {
 	header := w.Header()
 	w.streaming = strings.HasPrefix(header.Get("Content-Type"), eventStreamType)
@@ -137,8 +146,8 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write fails once the caller has taken nothing for the stall time, so that a
-// caller who does not read cannot hold an engine's slot for ever.
+// Write fails if the caller reads nothing for the timeout, so that a caller
+// that does not read cannot occupy an engine's slot forever.
 func (w *flushWriter) Write(p []byte) (int, error) {
 	_ = w.control.SetWriteDeadline(time.Now().Add(w.timeout))
 	n, err := w.ResponseWriter.Write(p)
@@ -148,11 +157,12 @@
 	return n, w.control.Flush()
 }
 
-// eventBufferBytes holds one event of a stream, which is seldom longer.
+// eventBufferBytes is the size of the copy buffer for events. Few events are
+// longer.
 const eventBufferBytes = 2 << 10
 
-// ReadFrom copies events through a small buffer. io.Copy would take one of
-// 32 KiB for as long as the stream is open.
+// ReadFrom copies events through a small buffer. io.Copy would use one of 32
+// KiB for as long as the stream is open.
 func (w *flushWriter) ReadFrom(r io.Reader) (int64, error) {
 	to := struct{ io.Writer }{w}
 	if !w.streaming {
@@ -161,10 +171,10 @@
 	return io.CopyBuffer(to, r, make([]byte, eventBufferBytes))
 }
 
-// Unwrap lets net/http find the writer below.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *flushWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// writeFailure answers with a failure outside the generated code.
+// writeFailure writes the response of a failure outside the generated code.
 func writeFailure(w http.ResponseWriter, f *outcome.Failure) {
 	r := failureResponse(f)
 	header := w.Header()
--- a/entry/nopmetrics.go
+++ b/entry/nopmetrics.go
@@ -6,7 +6,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// NopMetrics is a Metrics that keeps nothing.
+// NopMetrics is a Metrics that discards all measurements.
 type NopMetrics struct{}
 
 // ObserveTTFT does nothing.
--- a/entry/options.go
+++ b/entry/options.go
@@ -1,10 +1,12 @@
-// Package entry is the callers' side of an instance: it authenticates, checks
-// and bounds requests, lets the router place them, streams the answers, resumes
-// them elsewhere when an endpoint fails, and tells the truth about what ran.
+// Package entry is the API gateway of an instance. It authenticates callers,
+// validates requests and limits what they may use. It lets the router place the
+// requests, streams the responses and resumes a stream at another endpoint when
+// one fails. For every request that fails it reports whether the work ran.
 //
-// One goroutine owns the router. Requests and whatever endpoints say arrive
-// there as messages; several that wait share one tick. Tokens do not pass
-// through it: the goroutine that serves a caller reads them from the endpoint.
+// The router runs in an event loop: one goroutine owns it, and requests and
+// reports from endpoints reach it as messages. Queued messages share one tick.
+// Tokens do not pass through the event loop: the goroutine that serves a caller
+// reads them from the endpoint.
 package entry
 
 import (
@@ -19,103 +21,113 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Router decides where and when requests run; *router.Router is one. It is
-// called by one goroutine.
+// Router decides where and when requests run; *router.Router implements it. It
+// is called by one goroutine.
 type Router interface {
 	Configure(now tables.Instant, c *tables.Configuration)
 	Submit(now tables.Instant, r *tables.Request)
 	Observe(now tables.Instant, in router.Input)
 	Cancel(now tables.Instant, id tables.RequestID)
 	Tick(now tables.Instant) []router.Action
-	// NextTick is when a tick is due though nothing arrives.
+	// NextTick returns when the next tick is due if no input arrives before.
 	NextTick(now tables.Instant) tables.Instant
 }
 
-// ClaimStore grants the right to run work that must run at most once. Its errors
-// are *tables.KeyReused, *tables.NoQuorum and *tables.GrantLost.
+// ClaimStore is the store of claims on idempotency keys. A claim is the
+// exclusive right to run work that must run at most once. The errors of a
+// ClaimStore are *tables.KeyReusedError, *tables.NoQuorumError and
+// *tables.ClaimLostError.
 type ClaimStore interface {
-	// Claim asks for the organisation's key. The same key with another body is
-	// *tables.KeyReused.
+	// Claim claims a key of the organisation. If the key was used with another
+	// body, the error is a *tables.KeyReusedError.
 	Claim(ctx context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error)
 	// MarkDispatched records that the work may run from now on. Nothing may be
 	// sent to an endpoint unless it returned nil.
 	MarkDispatched(ctx context.Context, g tables.ClaimResult) error
-	// Finish stores the answer that resends get.
+	// Finish stores the response that resends receive.
 	Finish(ctx context.Context, g tables.ClaimResult, a tables.StoredResponse) error
-	// Release gives the claim back; the caller knows that the work did not run.
+	// Release gives up the claim. The caller of Release knows that the work did
+	// not run.
 	Release(ctx context.Context, g tables.ClaimResult) error
 }
 
-// Metrics takes the measurements of requests. Calls come from many goroutines.
+// Metrics records measurements of requests. Many goroutines call it
+// concurrently.
 type Metrics interface {
-	// ObserveTTFT takes the time from arrival to the first token.
+	// ObserveTTFT records the time from arrival to the first token.
 	ObserveTTFT(org tables.OrganisationID, profile tables.ProfileName, p tables.Priority, d time.Duration)
-	// ObserveTimeBetweenTokens takes the time between two tokens of one stream.
+	// ObserveTimeBetweenTokens records the time between two tokens of one
+	// stream.
 	ObserveTimeBetweenTokens(org tables.OrganisationID, p tables.Priority, d time.Duration)
-	// ObserveQueueWait takes the time from arrival to the first dispatch.
+	// ObserveQueueWait records the time from arrival to the first dispatch.
 	ObserveQueueWait(org tables.OrganisationID, p tables.Priority, d time.Duration)
-	// ObservePrefixHitRatio takes how many prompt tokens came from a cache, of how many.
+	// ObservePrefixHitRatio records how many of the prompt tokens, of a total,
+	// the endpoint found in its prefix cache.
 	ObservePrefixHitRatio(org tables.OrganisationID, p tables.Priority, cached, total int)
-	// CountFailure counts failures by number and outcome.
+	// CountFailure counts final failures by error code and outcome.
 	CountFailure(org tables.OrganisationID, code tables.ErrorCode, o tables.Outcome)
-	// CountDropped counts answers and tokens that were dropped.
+	// CountDropped counts responses and tokens that were dropped, by reason.
 	CountDropped(d DropReason)
-	// CountResumedStream counts streams that went on at another endpoint.
+	// CountResumedStream counts streams that were resumed at another endpoint.
 	CountResumedStream(org tables.OrganisationID)
 }
 
-// DropReason names why a part of an answer was dropped.
+// DropReason is the reason for dropping a response or a token.
 type DropReason uint8
 
-// The reasons for dropping a part of an answer.
+// The reasons for dropping a response or a token.
 const (
-	// DroppedMismatch: it names another attempt or other weights.
+	// DroppedMismatch: it names another attempt or another weights version.
 	DroppedMismatch DropReason = iota
 	// DroppedDuplicate: the caller already has this token.
 	DroppedDuplicate
-	// DroppedLate: another attempt had already won.
+	// DroppedLate: another attempt has already won.
 	DroppedLate
 )
 
-// Limits bound the memory and time that callers can take.
+// Limits bound the memory and the time that requests can use.
 type Limits struct {
 	// MaxBodyBytes is the largest request body in bytes.
 	MaxBodyBytes int64
-	// MaxBufferedBytes is how many bytes of request bodies are held at once.
+	// MaxBufferedBytes is the total size of the request bodies that are held in
+	// memory at the same time.
 	MaxBufferedBytes int64
-	// MaxInFlight is how many requests are open at once, MaxOpenOrganisation how
-	// many of one organisation.
+	// MaxInFlight bounds the requests in flight, MaxInFlightPerOrganisation
+	// those of one organisation.
 	MaxInFlight                int
 	MaxInFlightPerOrganisation int
-	// MaxCompletionBytes is the largest completion in bytes of text. It is held in memory
-	// until the request ends, because a resume has to repeat it.
+	// MaxCompletionBytes is the largest text of a completion in bytes. The text
+	// is held in memory until the request ends, because a resumed attempt needs
+	// it.
 	MaxCompletionBytes int
-	// DefaultMaxTokens is used when a caller names no limit.
+	// DefaultMaxTokens is the max_tokens of requests that do not set it.
 	DefaultMaxTokens int
 	// TokenTimeout is how long an endpoint may pause within a stream before the
-	// attempt counts as broken.
+	// attempt counts as interrupted.
 	TokenTimeout time.Duration
-	// WriteTimeout is how long a caller may take no data before it is cut off.
+	// WriteTimeout is how long a caller may read nothing before it is
+	// disconnected.
 	WriteTimeout time.Duration
 	// ReadTimeout bounds how long a caller may take to send its request.
 	ReadTimeout time.Duration
-	// CancelTimeout bounds how long a cancelled attempt's slot stays accounted
-	// when the endpoint does not confirm.
+	// CancelTimeout bounds how long a cancelled attempt's slot counts as used
+	// if the endpoint does not confirm the cancel.
 	CancelTimeout time.Duration
-	// CrashCheckTimeout bounds how long a failing answer waits until it is known whether an
-	// endpoint has crashed: one that hangs, or is cut off, answers nothing.
+	// CrashCheckTimeout bounds how long a failure is held back until it is
+	// known whether the endpoint has crashed. An endpoint that hangs or is cut
+	// off does not respond at all.
 	CrashCheckTimeout time.Duration
-	// ClaimTimeout bounds each question to the control state.
+	// ClaimTimeout bounds each call to the control state.
 	ClaimTimeout time.Duration
-	// DeadlineGrace is how long after its timeout a request is ended that the
-	// router did not end.
+	// DeadlineGrace is the time after the deadline of a request at which the
+	// entry ends the request if the router has not.
 	DeadlineGrace time.Duration
-	// DrainDelay is how long new requests are still served after the balancer
-	// is told that the instance is not ready.
+	// DrainDelay is how long new requests are still served after the load
+	// balancer is told that the instance is not ready.
 	DrainDelay time.Duration
 }
 
-// DefaultLimits are the limits used for fields that are zero.
+// DefaultLimits returns the limits that replace zero fields.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxBodyBytes:               8 << 20,
@@ -135,22 +147,24 @@
 	}
 }
 
-// Options are what a Server is made of.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	Instance tables.InstanceID
-	// BootID tells this life of the instance from others in request identities.
+	// BootID distinguishes this run of the instance from its other runs in
+	// request IDs.
 	BootID  string
 	Router  Router
 	Client  engine.Client
 	Claims  ClaimStore
 	Metrics Metrics
 	Log     *zap.Logger
-	// BroadcastSuspects notifies the other instances of what the router suspects; nil means
-	// that there are none. It must not block. The channel that it returns is closed
-	// once they are notified, or after a bounded time.
+	// BroadcastSuspects sends the suspects of a crash to the other instances;
+	// nil means that there are none. It must not block. The returned channel is
+	// closed once the instances are notified, or after a bounded time.
 	BroadcastSuspects func([]quarantine.Suspect) (notified <-chan struct{})
-	// GossipPlacements tells the other instances where prefixes were placed; nil means
-	// that there are none. The slice is reused. It must not block.
+	// GossipPlacements tells the other instances where prefixes were placed;
+	// nil means that there are none. The slice is reused after the call. It
+	// must not block.
 	GossipPlacements func([]router.PeerPlacement)
 	// Now reads the process's monotonic clock.
 	Now    func() tables.Instant
--- a/entry/outcome/outcome.go
+++ b/entry/outcome/outcome.go
@@ -1,10 +1,12 @@
-// Package outcome keeps what an entry tells callers about their work true. A
-// request is either Undispatched or Dispatched, and only the former can be
-// refused as not run. A Dispatched request returns to Undispatched only on a
-// proof, for each of its attempts, that the endpoint did not begin.
+// Package outcome tracks whether the work of a request can have run, and
+// enforces by its types that callers are told the truth. A request is either
+// Undispatched or Dispatched, and only an Undispatched one can be refused as
+// not run. A Dispatched request becomes Undispatched again only by a proof, for
+// each of its attempts, that the endpoint did not start the work.
 //
-// Without it a lost answer could be reported as work that did not run; the
-// caller would send it again, and a licence would be issued twice.
+// Without this package, lost responses could be reported as work that did not
+// run. The caller would send the request again, and a licence would be issued
+// twice.
 package outcome
 
 import (
@@ -16,56 +18,60 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Failure is the final answer to a request that got no whole answer. Its
-// outcome can be set by this package only.
+// Failure is the final result of a request that got no complete response. Only
+// this package can set its outcome.
 type Failure struct {
 	Request tables.RequestID
 	Code    tables.ErrorCode
-	// RetryAfter is when it is worth asking again; zero means never.
+	// RetryAfter is the delay after which a retry can succeed; zero means
+	// never.
 	RetryAfter time.Duration
-	// Detail adds a short sentence for malformed requests; may be empty.
+	// Detail is an additional sentence for malformed requests; may be empty.
 	Detail  string
 	outcome tables.Outcome
 }
 
-// Error gives the number and the outcome.
+// Error includes the error code and the outcome.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("request %s failed with %d, %s", f.Request, f.Code, f.outcome)
 }
 
-// Outcome says whether the work ran.
+// Outcome returns whether the work ran.
 func (f *Failure) Outcome() tables.Outcome { return f.outcome }
 
-// DispatchedOutcome is an outcome of work that has been handed to an endpoint. There is
-// no value of it that means not run.
+// DispatchedOutcome is the outcome of work that was sent to an endpoint. It has
+// no value for work that did not run.
 type DispatchedOutcome struct{ outcome tables.Outcome }
 
-// The outcomes of work that has been handed to an endpoint.
+// The outcomes of work that was sent to an endpoint.
 var (
+	// MayHaveRun means that it is unknown whether the work ran.
 	MayHaveRun = DispatchedOutcome{tables.OutcomeUnknown}
-	HasRun     = DispatchedOutcome{tables.OutcomeRan}
+	// HasRun means that the work ran.
+	HasRun = DispatchedOutcome{tables.OutcomeRan}
 )
 
-// State is Undispatched or Dispatched.
+// State is either *Undispatched or *Dispatched.
 type State interface {
 	// Dispatch records that an attempt may be on its way to an endpoint.
 	Dispatch(tables.AttemptID) *Dispatched
 	state()
 }
 
-// Undispatched is a request of which nothing can have reached an endpoint.
+// Undispatched is a request of which no attempt can have reached an endpoint.
 type Undispatched struct {
 	request tables.RequestID
-	// dispatched is set once the request was dispatched through this value, so that
-	// a copy that was kept cannot be refused.
+	// dispatched is set once the request was dispatched through this value, so
+	// that a retained copy cannot be refused as not run.
 	dispatched bool
 }
 
-// NewUndispatched begins a request of which nothing has left this process.
+// NewUndispatched returns the state of a request that this process has not sent
+// anywhere.
 func NewUndispatched(request tables.RequestID) *Undispatched { return &Undispatched{request: request} }
 
-// Refuse ends the request as not run. A value that has been dispatched gives
-// an unknown outcome instead.
+// Refuse ends the request as not run. If the value was dispatched, the outcome
+// is unknown instead.
 func (u *Undispatched) Refuse(r tables.Refusal) *Failure {
 	f := &Failure{Request: u.request, Code: r.Code, RetryAfter: r.RetryAfter, outcome: tables.OutcomeNotRun}
 	if u.dispatched {
@@ -74,27 +80,28 @@
 	return f
 }
 
-// Dispatch gives up the right to refuse.
+// Dispatch returns the dispatched state. From then on, u cannot be refused as
+// not run.
 func (u *Undispatched) Dispatch(attempt tables.AttemptID) *Dispatched {
 	u.dispatched = true
 	return &Dispatched{request: u.request, unproven: []tables.AttemptID{attempt}}
 }
 
-// Dispatched is a request that an endpoint may have begun to run.
+// Dispatched is a request that an endpoint may have started to run.
 type Dispatched struct {
 	request tables.RequestID
-	// unproven are the attempts without a proof that they never started.
+	// unproven are the attempts without a proof that they did not start.
 	unproven []tables.AttemptID
 }
 
-// Dispatch adds a further attempt.
+// Dispatch adds another attempt.
 func (d *Dispatched) Dispatch(attempt tables.AttemptID) *Dispatched {
 	d.unproven = append(d.unproven, attempt)
 	return d
 }
 
-// NotStarted takes a proof that one attempt did not begin. Once there is one
-// for every attempt the request is Undispatched again.
+// NotStarted applies a proof that one attempt did not start. Once every attempt
+// has one, the request is Undispatched again.
 func (d *Dispatched) NotStarted(p NotStartedProof) State {
 	unproven := d.unproven[:0]
 	for _, attempt := range d.unproven {
@@ -117,10 +124,12 @@
 func (*Undispatched) state() {}
 func (*Dispatched) state()   {}
 
-// NotStartedProof shows that an attempt did not begin.
+// NotStartedProof proves that an attempt did not start. Only this package can
+// create a valid one.
 type NotStartedProof struct{ attempt tables.AttemptID }
 
-// ProofFromError gives the proof that an error of the engine client carries, if any.
+// ProofFromError returns the proof that an error of the engine client contains,
+// if any.
 func ProofFromError(err error) (NotStartedProof, bool) {
 	var notStarted *engine.NotStartedError
 	if !errors.As(err, &notStarted) {
@@ -129,14 +138,15 @@
 	return NotStartedProof{attempt: notStarted.Attempt}, true
 }
 
-// UnsentAttempt is an attempt that this process has not yet handed to the client.
+// UnsentAttempt is an attempt that this process has not yet passed to the
+// engine client.
 type UnsentAttempt struct{ attempt tables.AttemptID }
 
-// NewUnsentAttempt is called before the attempt can be sent.
+// NewUnsentAttempt must be called before the attempt can be sent.
 func NewUnsentAttempt(attempt tables.AttemptID) *UnsentAttempt {
 	return &UnsentAttempt{attempt: attempt}
 }
 
-// Discard gives the proof that the attempt was never sent. The value must not be
-// used to send it afterwards.
+// Discard returns the proof that the attempt was never sent. The attempt must
+// not be sent afterwards.
 func (u *UnsentAttempt) Discard() NotStartedProof { return NotStartedProof{attempt: u.attempt} }
--- a/entry/placementgossip_test.go
+++ b/entry/placementgossip_test.go
@@ -12,8 +12,9 @@
 	"github.com/carawaystile/carawaystile/router"
 )
 
-// A prompt with a long beginning is placed here. If the other instances are not
-// told, they send the same beginning elsewhere and it is computed again.
+// Guards against placements that are not gossiped. The other instances would
+// then send requests with the same prefix to other endpoints, which compute the
+// prefix again.
 func TestPlacementsAreGossiped(t *testing.T) {
 	told := make(chan int, 8)
 	r := newHarness(t, func(o *Options) {
--- a/entry/responsereader.go
+++ b/entry/responsereader.go
@@ -10,52 +10,57 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// tokenTimeoutError means that an endpoint paused for too long within a stream.
+// tokenTimeoutError reports that an endpoint sent no token within the time
+// limit of a stream.
 type tokenTimeoutError struct{ after time.Duration }
 
-// Error says how long it paused.
+// Error names the time limit.
 func (e *tokenTimeoutError) Error() string { return fmt.Sprintf("no token for %v", e.after) }
 
-// tokenGapError means that an endpoint left out tokens.
+// tokenGapError reports that an endpoint skipped at least one token.
 type tokenGapError struct{ want, got int }
 
-// Error says which token came instead of which.
+// Error names both token indexes.
 func (e *tokenGapError) Error() string {
-	return fmt.Sprintf("token %d came in place of %d", e.got, e.want)
+	return fmt.Sprintf("received token %d, expected token %d", e.got, e.want)
 }
 
-// completionTooLongError means that an endpoint gave more text than an answer may have. The
-// text is kept for a resume, so without a bound one endpoint could take all of
-// the instance's memory.
+// completionTooLongError reports that an endpoint produced more text than
+// Limits.MaxCompletionBytes. The text is kept in memory for a resume, so
+// without a bound one endpoint could use up all memory of the instance.
 type completionTooLongError struct{ limit int }
 
-// Error gives the limit.
+// Error names the limit.
 func (e *completionTooLongError) Error() string {
-	return fmt.Sprintf("answer longer than %d bytes", e.limit)
+	return fmt.Sprintf("completion is longer than %d bytes", e.limit)
 }
 
-// callerGoneError means that the caller went away; nobody reads the answer.
+// callerGoneError reports that the caller has disconnected, so that nobody
+// reads the response.
 type callerGoneError struct{ cause error }
 
-// Error gives the cause.
-func (e *callerGoneError) Error() string { return fmt.Sprintf("caller is gone: %v", e.cause) }
+// Error includes the cause.
+func (e *callerGoneError) Error() string { return fmt.Sprintf("caller disconnected: %v", e.cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *callerGoneError) Unwrap() error { return e.cause }
 
-// responseReader gives a flight's tokens in order and without repeats, going on at
-// another endpoint when one fails. One goroutine uses it.
+// responseReader reads the response to one request, with failover: it returns
+// tokens in order and without duplicates, and when an attempt fails it
+// continues with the next attempt. It is used by one goroutine.
 type responseReader struct {
 	request *inFlight
 	current *startedAttempt
-	// firstPending is set while current.first is still to be given.
+	// firstPending is set while current.firstToken has not been returned.
 	firstPending bool
-	tokenTimer   *time.Timer
-	lastToken    tables.Instant
+	// tokenTimer cancels the current attempt if its next token is late.
+	tokenTimer *time.Timer
+	// lastToken is when the previous token was returned.
+	lastToken tables.Instant
 }
 
-// next gives the text of the next token, and io.EOF once the answer is whole.
-// Other errors are *outcome.Failure and *gone.
+// next returns the text of the next token, and io.EOF after the last one. Other
+// errors are *outcome.Failure and *callerGoneError.
 func (r *responseReader) next() (string, error) {
 	for {
 		if r.current == nil {
@@ -83,7 +88,7 @@
 	}
 }
 
-// awaitAttempt takes the next attempt that has something to give.
+// awaitAttempt waits for the next attempt that has output and switches to it.
 func (r *responseReader) awaitAttempt() error {
 	f := r.request
 	select {
@@ -108,8 +113,8 @@
 	}
 }
 
-// switchTo makes an attempt the one that the caller is answered from. The others
-// are cancelled by the loop as soon as the router hears of the first token.
+// switchTo makes an attempt the one that the caller is answered from. The event
+// loop cancels the others as soon as the router observes the first token.
 func (r *responseReader) switchTo(o *startedAttempt) {
 	f := r.request
 	r.current = o
@@ -124,7 +129,8 @@
 	r.tokenTimer.Stop()
 }
 
-// receiveToken gives the current attempt's next token.
+// receiveToken returns the current attempt's next token, or io.EOF after the
+// last one.
 func (r *responseReader) receiveToken() (engine.Token, error) {
 	if r.firstPending {
 		r.firstPending = false
@@ -139,9 +145,10 @@
 	return token, err
 }
 
-// acceptToken decides whether a token is the one the caller is waiting for. Tokens
-// of another attempt and repeats after a resume are dropped; a token too far
-// ahead ends the attempt, because the caller would miss those between.
+// acceptToken returns the text of a token and reports whether it is the next
+// one for the caller. It drops tokens of another attempt and duplicates after a
+// resume. A token beyond the next one fails the attempt, because the caller
+// would miss the tokens in between.
 func (r *responseReader) acceptToken(t engine.Token) (string, bool) {
 	f := r.request
 	if t.Attempt != "" && t.Attempt != r.current.attempt.dispatch.Attempt {
@@ -162,6 +169,8 @@
 	return t.Text, true
 }
 
+// observeLatency records the time to first token, or the time between two
+// tokens.
 func (r *responseReader) observeLatency(index int) {
 	f := r.request
 	now := f.server.now()
@@ -173,7 +182,8 @@
 	r.lastToken = now
 }
 
-// failOver gives up the current attempt and leaves it to the router to go on.
+// failOver ends the current attempt with an error. The router decides whether
+// another attempt follows.
 func (r *responseReader) failOver(err error) {
 	failed := r.current
 	r.current = nil
@@ -181,6 +191,7 @@
 	failed.attempt.abortStream(failed.stream, err, r.request.deliveredTokens-failed.attempt.dispatch.ResumeFrom)
 }
 
+// completeAttempt reports to the router that the current attempt has completed.
 func (r *responseReader) completeAttempt() {
 	done := r.current
 	r.current = nil
@@ -191,7 +202,7 @@
 	done.attempt.reportEnd(router.AttemptEnded{Result: router.Completed, GeneratedTokens: tokens}, nil)
 }
 
-// close ends the flight: what still runs for it is cancelled at the endpoints.
+// close ends the request and cancels its remaining attempts at their endpoints.
 func (r *responseReader) close() {
 	f := r.request
 	f.cancel()
@@ -201,7 +212,7 @@
 	f.server.post(requestClosed{request: f})
 }
 
-// serviceResponse waits for a plain service's answer.
+// serviceResponse waits for a plain service's complete response.
 func (r *responseReader) serviceResponse() (tables.StoredResponse, error) {
 	if err := r.awaitAttempt(); err != nil {
 		return tables.StoredResponse{}, err
@@ -211,7 +222,8 @@
 	return tables.StoredResponse{Status: got.Status, ContentType: got.ContentType, Body: got.Body}, nil
 }
 
-// readAll collects the whole answer; it is for callers who do not stream.
+// readAll returns the complete text and its number of tokens, for a caller that
+// does not stream.
 func (r *responseReader) readAll() (string, int, error) {
 	for {
 		_, err := r.next()
--- a/entry/server.go
+++ b/entry/server.go
@@ -21,7 +21,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Server is the entry of one instance. Its methods are safe for concurrent use.
+// Server is the API gateway of one instance. Its methods are safe for
+// concurrent use.
 type Server struct {
 	instance          tables.InstanceID
 	bootID            string
@@ -41,14 +42,14 @@
 
 	configIndex    atomic.Pointer[configIndex]
 	requestCounter atomic.Uint64
-	// bufferedBytes counts the bytes of request bodies.
+	// bufferedBytes is the total size of the request bodies in memory.
 	bufferedBytes       atomic.Int64
 	gate                *gate.Gate
 	organisationLimiter *concurrencyLimiter
 }
 
-// New returns a Server that runs until Close. It answers requests once it has
-// a configuration.
+// New returns a Server that runs until Close. Until it has a configuration, it
+// rejects requests as not ready.
 func New(o Options) (*Server, error) {
 	s := &Server{
 		instance:          o.Instance,
@@ -99,28 +100,28 @@
 	return s, nil
 }
 
-// Handler serves the callers' interface, /healthz and /readyz.
+// Handler returns the HTTP handler of the callers' API, /healthz and /readyz.
 func (s *Server) Handler() http.Handler { return s.handler }
 
-// Configure puts a configuration in force. One with a lower revision than the
-// present one is ignored by the router; callers hand them in in order.
+// Configure applies a configuration. It must be called in the order of the
+// revisions. The router ignores a revision lower than the current one.
 func (s *Server) Configure(c *tables.Configuration) {
 	s.configIndex.Store(newConfigIndex(c))
 	s.post(configured{configuration: c})
 }
 
-// Observe hands the router what endpoints and peers say.
+// Observe passes reports from endpoints and peers to the router.
 func (s *Server) Observe(in router.Input) { s.post(inputObserved{input: in}) }
 
-// Close stops the loop. Requests that are open get no more answers; Drain
+// Close stops the event loop. Open requests get no further response; Drain
 // waits for them.
 func (s *Server) Close() {
 	s.stopOnce.Do(func() { close(s.stopped) })
 	s.done.Wait()
 }
 
-// newRequestID names a request; no other instance and no other life of this one gives
-// the same name.
+// newRequestID returns an ID that no other instance and no other run of this
+// instance uses.
 func (s *Server) newRequestID() tables.RequestID {
 	id := string(s.instance) + "-" + s.bootID + "-" + strconv.FormatUint(s.requestCounter.Add(1), 36)
 	return tables.RequestID(id)
@@ -135,7 +136,8 @@
 		zap.String("outcome", string(failure.Outcome())))
 }
 
-// submit submits a flight and gives the reader of its answer.
+// submit sends a request to the event loop and returns the reader of its
+// response.
 func (s *Server) submit(ctx context.Context, f *inFlight) *responseReader {
 	f.server = s
 	f.started = make(chan *startedAttempt)
@@ -146,7 +148,7 @@
 	return &responseReader{request: f}
 }
 
-// withDefaults fills the fields that are zero.
+// withDefaults replaces zero fields by their defaults.
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
 	setDefault(&l.MaxBodyBytes, d.MaxBodyBytes)
@@ -166,6 +168,7 @@
 	return l
 }
 
+// setDefault sets a field that is zero.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/entry/sse.go
+++ b/entry/sse.go
@@ -15,16 +15,20 @@
 	finishLength = "length"
 )
 
-// eventTemplate is how the events of one kind of completion look: everything but the
-// text is the same in all events of a stream, so it is encoded once.
+// eventTemplate contains the constant parts of the server-sent events of one
+// completion. Only the text differs between the events of a stream, so the rest
+// is encoded once.
 type eventTemplate struct {
+	// tokenPrefix and tokenSuffix enclose the text of a token.
 	tokenPrefix, tokenSuffix string
 	// opening is sent before the first token; may be empty.
 	opening string
-	// finishPrefix is followed by the reason for the finishPrefix and finishSuffix.
+	// finishPrefix and finishSuffix enclose the finish reason.
 	finishPrefix, finishSuffix string
 }
 
+// newEventTemplate returns the template of a text completion or, if chat is
+// set, of a chat completion.
 func newEventTemplate(id tables.RequestID, model string, created int64, chat bool) eventTemplate {
 	object, text, opening := "text_completion", `"text":`, ""
 	head := func(object string) string {
@@ -55,17 +59,19 @@
 	}
 }
 
+// doneEvent ends a stream that is complete.
 const doneEvent = "data: [DONE]\n\n"
 
-// eventStream renders a flight's tokens as server-sent events, one event a
-// Read, so that each can be flushed by itself.
+// eventStream renders a completion as server-sent events, one event per Read,
+// so that each event can be flushed separately.
 type eventStream struct {
 	source completionSource
-	// onFailure is told of a failure that ends the stream.
+	// onFailure is called with the failure that ends the stream.
 	onFailure func(*outcome.Failure)
 	template  eventTemplate
 	encoder   jx.Encoder
-	// unread is what does not fit the caller's buffer yet.
+	// unread is the part of an event that did not fit the buffer of the last
+	// Read.
 	unread      []byte
 	buffer      []byte
 	openingSent bool
@@ -83,7 +89,7 @@
 	return nil
 }
 
-// Read gives the next event.
+// Read reads the next event.
 func (s *eventStream) Read(p []byte) (int, error) {
 	if len(s.unread) == 0 {
 		if s.ended {
@@ -96,6 +102,8 @@
 	return n, nil
 }
 
+// render renders a token, the end of the completion if err is io.EOF, or a
+// failure.
 func (s *eventStream) render(text string, err error) {
 	s.buffer = s.buffer[:0]
 	if !s.openingSent {
@@ -113,6 +121,7 @@
 	s.unread = s.buffer
 }
 
+// renderToken renders the event of a token.
 func (s *eventStream) renderToken(text string) {
 	s.encoder.Reset()
 	s.encoder.Str(text)
@@ -121,8 +130,9 @@
 	s.buffer = append(s.buffer, s.template.tokenSuffix...)
 }
 
-// renderFinish writes the end mark. It is the only place that does, and it is reached
-// only when an endpoint has marked the answer as whole.
+// renderFinish renders the finish reason and the done event. It is the only
+// function that does, and it is reached only if an endpoint has marked the
+// response as complete.
 func (s *eventStream) renderFinish() {
 	s.ended = true
 	s.buffer = append(s.buffer, s.template.finishPrefix...)
@@ -131,8 +141,8 @@
 	s.buffer = append(s.buffer, doneEvent...)
 }
 
-// renderFailure writes an error event and no end mark: a stream that merely stopped
-// could be taken for a whole answer.
+// renderFailure renders an error event without a done event. Callers could take
+// a stream that merely stopped for a complete response.
 func (s *eventStream) renderFailure(err error) {
 	s.ended = true
 	var failure *outcome.Failure
@@ -148,7 +158,7 @@
 	s.buffer = append(s.buffer, "\n\n"...)
 }
 
-// Close ends the flight. It may be called more than once.
+// Close ends the request. It may be called more than once.
 func (s *eventStream) Close() error {
 	if !s.closed {
 		s.closed = true
@@ -157,7 +167,8 @@
 	return nil
 }
 
-// finishReason says why the answer ended.
+// finishReason returns why the completion ended: at its token limit or by
+// itself.
 func (r *responseReader) finishReason() string {
 	if r.request.deliveredTokens >= r.request.spec.MaxTokens {
 		return finishLength
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/carawaystile/carawaystile/engine"
 )
 
-// texts gives the text of each event of a completion stream.
+// texts returns the text of each event of a completion stream.
 func texts(t *testing.T, body string) []string {
 	t.Helper()
 	var found []string
@@ -28,6 +28,7 @@
 	return found
 }
 
+// Guards against events that are buffered until later ones follow.
 func TestEventsAreFlushedIndividually(t *testing.T) {
 	r := newHarness(t, nil)
 	tokens := make(chan engine.Token)
@@ -42,7 +43,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(line, `"text":"one"`), line)
 
-	// Only now does the engine produce the second token.
+	// The engine produces the second token only after the first has arrived.
 	tokens <- engine.Token{Index: 1, Text: "two"}
 	_, _ = lines.ReadString('\n')
 	line, err = lines.ReadString('\n')
@@ -55,8 +56,8 @@
 	assert.Assert(t, strings.HasSuffix(rest.String(), doneEvent), rest)
 }
 
-// An engine's process dies while a caller's answer is being streamed. The caller
-// sees a pause and then the rest, without a gap or a repeated word.
+// Guards against missing or repeated tokens after an engine crashes in the
+// middle of a stream. The caller sees a pause and then the rest.
 func TestStreamResumesOnAnotherEndpointAfterCrash(t *testing.T) {
 	r := newHarness(t, nil)
 	words := []string{"a", "b", "c", "d"}
