--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -113,18 +113,18 @@
 
 // deliver passes the attempt's output to the caller's goroutine, unless another
 // attempt has won or the caller has disconnected.
-func (a *attempt) deliver(o *startedAttempt) {
-	if o.stream == nil {
-		a.deliverServiceResponse(o)
+func (a *attempt) deliver(started *startedAttempt) {
+	if started.stream == nil {
+		a.deliverServiceResponse(started)
 		return
 	}
 	select {
-	case a.request.started <- o:
+	case a.request.started <- started:
 	case <-a.ctx.Done():
 		if a.request.winner.Load() != nil {
 			a.request.server.metrics.CountDropped(DroppedLate)
 		}
-		a.abortStream(o.stream, context.Cause(a.ctx), 0)
+		a.abortStream(started.stream, context.Cause(a.ctx), 0)
 	}
 }
 
@@ -133,10 +133,10 @@
 // completion of the attempt as that of the request. If a response that races
 // with an abort were dropped, the router would not send another, and the caller
 // would wait forever.
-func (a *attempt) deliverServiceResponse(o *startedAttempt) {
+func (a *attempt) deliverServiceResponse(started *startedAttempt) {
 	f := a.request
 	select {
-	case f.started <- o:
+	case f.started <- started:
 	case <-f.ctx.Done():
 		if f.winner.Load() != nil {
 			f.server.metrics.CountDropped(DroppedLate)
@@ -213,8 +213,8 @@
 	grace := time.NewTimer(crashCheckGrace)
 	defer grace.Stop()
 	select {
-	case gone := <-result:
-		return gone, nil
+	case crashed := <-result:
+		return crashed, nil
 	case <-grace.C:
 		return false, result
 	}
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -64,22 +64,22 @@
 func TestHedgeLoserIsCancelled(t *testing.T) {
 	p := &hedgingRouter{ends: make(chan router.AttemptEnded, 2)}
 	r := newHarness(t, func(o *Options) { o.Router = p })
-	begun := make(chan struct{})
+	slowStarted := make(chan struct{})
 	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		if req.Attempt == "fast" {
-			<-begun
+			<-slowStarted
 			return r.client.respondWith([]string{"a", "b"}, nil)(ctx, req)
 		}
-		close(begun)
+		close(slowStarted)
 		<-ctx.Done()
 		return nil, &engine.InterruptedError{Attempt: req.Attempt, Cause: ctx.Err()}
 	}}
 	got := read(t, r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`))
 	assert.DeepEqual(t, texts(t, got), []string{"a", "b"})
-	how := map[tables.AttemptID]router.AttemptResult{}
+	results := map[tables.AttemptID]router.AttemptResult{}
 	for range 2 {
 		end := <-p.ends
-		how[end.Attempt] = end.Result
+		results[end.Attempt] = end.Result
 		if end.Attempt == "slow" {
 			cancelled := []tables.AttemptID{<-r.client.cancelled, ""}
 			if cancelled[0] != "slow" {
@@ -88,8 +88,8 @@
 			assert.Assert(t, cancelled[0] == "slow" || cancelled[1] == "slow")
 		}
 	}
-	assert.Equal(t, how["fast"], router.Completed)
-	assert.Equal(t, how["slow"], router.Cancelled)
+	assert.Equal(t, results["fast"], router.Completed)
+	assert.Equal(t, results["slow"], router.Cancelled)
 }
 
 // Guards against an engine that keeps computing after the caller has closed its
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -158,22 +158,22 @@
 func TestCallerDisconnectDoesNotCancelAtMostOnceWork(t *testing.T) {
 	claims := &fakeClaimStore{claims: map[tables.IdempotencyKey]*fakeClaim{}}
 	r := newHarness(t, func(o *Options) { o.Claims = claims })
-	gone, goOn, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	called, release, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	r.client.call = []callFunc{func(q engine.CallRequest) (engine.CallResponse, error) {
 		defer close(done)
-		close(gone)
-		<-goOn
+		close(called)
+		<-release
 		return publishes(q)
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-gone
+		<-called
 		cancel()
 	}()
 	req := r.request(t, ctx, "/v1/services/press/send", "note", "Content-Type", contentTypeBinary, "Idempotency-Key", "k")
 	_, err := r.http.Do(req)
 	assert.Assert(t, err != nil)
-	close(goOn)
+	close(release)
 	<-done
 	// The resend can arrive before the response is stored.
 	for {
--- a/entry/crashbroadcast_test.go
+++ b/entry/crashbroadcast_test.go
@@ -69,12 +69,12 @@
 // attempt.
 func TestFailureWaitsForCrashCheck(t *testing.T) {
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
-	notified, shared := make(chan struct{}), make(chan struct{}, 1)
+	notified, broadcast := make(chan struct{}), make(chan struct{}, 1)
 	s := &Server{
 		inbox: make(chan message, 8), stopped: make(chan struct{}), limits: Limits{CrashCheckTimeout: time.Hour},
 		now: func() tables.Instant { return 0 },
 		broadcastSuspects: func([]quarantine.Suspect) <-chan struct{} {
-			shared <- struct{}{}
+			broadcast <- struct{}{}
 			return notified
 		},
 	}
@@ -98,7 +98,7 @@
 	settling <- true
 	l.handle(<-s.inbox)
 	l.tick(0)
-	<-shared
+	<-broadcast
 	assert.Equal(t, len(f.failed), 0, "failure delivered before the other instances were notified")
 	close(notified)
 	assert.Equal(t, (<-f.failed).Code, tables.CodeEndpointFailed)
--- a/entry/middleware.go
+++ b/entry/middleware.go
@@ -161,8 +161,8 @@
 // longer.
 const eventBufferBytes = 2 << 10
 
-// ReadFrom copies events through a small buffer. io.Copy would use one of 32
-// KiB for as long as the stream is open.
+// ReadFrom copies events through a small buffer. io.Copy would use one of
+// 32 KiB for as long as the stream is open.
 func (w *flushWriter) ReadFrom(r io.Reader) (int64, error) {
 	to := struct{ io.Writer }{w}
 	if !w.streaming {
--- a/entry/placementgossip_test.go
+++ b/entry/placementgossip_test.go
@@ -16,9 +16,9 @@
 // then send requests with the same prefix to other endpoints, which compute the
 // prefix again.
 func TestPlacementsAreGossiped(t *testing.T) {
-	told := make(chan int, 8)
+	gossiped := make(chan int, 8)
 	r := newHarness(t, func(o *Options) {
-		o.GossipPlacements = func(placements []router.PeerPlacement) { told <- len(placements) }
+		o.GossipPlacements = func(placements []router.PeerPlacement) { gossiped <- len(placements) }
 	})
 	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		tokens := make(chan engine.Token, 1)
@@ -29,5 +29,5 @@
 	prompt := strings.Repeat("a", 2*prefix.BlockBytes+10)
 	resp := r.post(t, t.Context(), "/v1/completions", `{"model":"m","prompt":"`+prompt+`"}`)
 	assert.Equal(t, resp.StatusCode, 200)
-	assert.Equal(t, <-told, 2)
+	assert.Equal(t, <-gossiped, 2)
 }
--- a/entry/responsereader.go
+++ b/entry/responsereader.go
@@ -100,8 +100,8 @@
 	defer overdue.Stop()
 	for {
 		select {
-		case o := <-f.started:
-			r.switchTo(o)
+		case started := <-f.started:
+			r.switchTo(started)
 			return nil
 		case failure := <-f.failed:
 			return failure
@@ -115,15 +115,15 @@
 
 // switchTo makes an attempt the one that the caller is answered from. The event
 // loop cancels the others as soon as the router observes the first token.
-func (r *responseReader) switchTo(o *startedAttempt) {
+func (r *responseReader) switchTo(started *startedAttempt) {
 	f := r.request
-	r.current = o
-	r.firstPending = !o.complete
-	f.winner.Store(o.attempt)
-	if o.attempt.dispatch.ResumeFrom > 0 {
+	r.current = started
+	r.firstPending = !started.complete
+	f.winner.Store(started.attempt)
+	if started.attempt.dispatch.ResumeFrom > 0 {
 		f.server.metrics.CountResumedStream(f.spec.Organisation)
 	}
-	a := o.attempt
+	a := started.attempt
 	limit := f.server.limits.TokenTimeout
 	r.tokenTimer = time.AfterFunc(limit, func() { a.cancel(&tokenTimeoutError{after: limit}) })
 	r.tokenTimer.Stop()
@@ -193,13 +193,13 @@
 
 // completeAttempt reports to the router that the current attempt has completed.
 func (r *responseReader) completeAttempt() {
-	done := r.current
+	completed := r.current
 	r.current = nil
-	if done.stream != nil {
-		_ = done.stream.Close()
+	if completed.stream != nil {
+		_ = completed.stream.Close()
 	}
-	tokens := r.request.deliveredTokens - done.attempt.dispatch.ResumeFrom
-	done.attempt.reportEnd(router.AttemptEnded{Result: router.Completed, GeneratedTokens: tokens}, nil)
+	tokens := r.request.deliveredTokens - completed.attempt.dispatch.ResumeFrom
+	completed.attempt.reportEnd(router.AttemptEnded{Result: router.Completed, GeneratedTokens: tokens}, nil)
 }
 
 // close ends the request and cancels its remaining attempts at their endpoints.
