--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -27,7 +27,7 @@
 // run runs the attempt up to its first token, or up to a plain service's
 // complete response, and delivers that to the goroutine that serves the caller.
 func (a *attempt) run() {
-	if !a.mayDispatch() {
+	if !a.prepareDispatch() {
 		return
 	}
 	if a.request.call != nil {
@@ -131,8 +131,8 @@
 // deliverServiceResponse passes on a plain service's complete response even if
 // the attempt has been aborted in the meantime. The router treats the
 // completion of the attempt as that of the request. If a response that races
-// with an abort were dropped, the router would not send another, and the caller
-// would wait forever.
+// with an abort were dropped, the router would start no other attempt, and the
+// caller would wait forever.
 func (a *attempt) deliverServiceResponse(started *startedAttempt) {
 	f := a.request
 	select {
@@ -201,9 +201,9 @@
 // detectCrash waits for the endpoint's confirmation, so that the attempt's slot
 // counts as used until then. Otherwise the caller waits for the next attempt,
 // and detectCrash waits at most crashCheckGrace. An endpoint that hangs or is
-// cut off does not respond to a cancel either, and the caller would wait for
-// all of these timeouts before the next attempt starts. A result that is not
-// known by then is sent on the returned channel.
+// behind a network partition does not respond to a cancel either, and the
+// caller would wait for all of these timeouts before the next attempt starts. A
+// result that is not known by then is sent on the returned channel.
 func (a *attempt) detectCrash(cancel func() error) (crashed bool, pendingResult <-chan bool) {
 	result := make(chan bool, 1)
 	go func() { result <- a.cancelAndCheckCrash(cancel) }()
@@ -270,14 +270,14 @@
 	if a.ctx.Err() == nil {
 		return false
 	}
-	var stall *tokenTimeoutError
-	return !errors.As(context.Cause(a.ctx), &stall)
+	var timeout *tokenTimeoutError
+	return !errors.As(context.Cause(a.ctx), &timeout)
 }
 
 // reportEnd posts the end of the attempt to the event loop. The proof is nil
 // unless the attempt provably did not start.
-func (a *attempt) reportEnd(how router.AttemptEnded, proof *outcome.NotStartedProof) {
-	a.postEnd(attemptEnded{input: how, proof: proof})
+func (a *attempt) reportEnd(end router.AttemptEnded, proof *outcome.NotStartedProof) {
+	a.postEnd(attemptEnded{input: end, proof: proof})
 }
 
 // postEnd fills in the attempt's ID and the number of delivered tokens, and
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -71,11 +71,12 @@
 	return outcome.NewUndispatched(id).Dispatch("").Fail(code, outcome.MayHaveRun, retryAfter)
 }
 
-// mayDispatch reports whether the attempt may be sent to its endpoint. For work
-// that must run at most once, the control state must record the dispatch
-// before. Otherwise, if the instance crashed after sending the attempt, the
-// claim would look unused, and a resend would run the work again.
-func (a *attempt) mayDispatch() bool {
+// prepareDispatch reports whether the attempt may be sent to its endpoint, and
+// otherwise ends the attempt. For work that must run at most once, the control
+// state must record the dispatch before. Otherwise, if the instance crashed
+// after sending the attempt, the claim would look unused, and a resend would
+// run the work again.
+func (a *attempt) prepareDispatch() bool {
 	c := a.request.claim
 	if a.ctx.Err() != nil {
 		a.discard(nil)
@@ -94,13 +95,13 @@
 	return true
 }
 
-// discard ends an attempt that was never sent. If final is not nil, it also
-// ends the request with this failure.
+// discard ends an attempt that was never sent. If requestFailure is not nil, it
+// also ends the request with this failure.
 func (a *attempt) discard(requestFailure *outcome.Failure) {
 	a.cancel(nil)
 	proof := a.unsent.Discard()
-	how := router.AttemptEnded{Attempt: a.dispatch.Attempt, Result: router.NotStarted}
-	a.request.server.post(attemptEnded{attempt: a, input: how, proof: &proof, requestFailure: requestFailure})
+	end := router.AttemptEnded{Attempt: a.dispatch.Attempt, Result: router.NotStarted}
+	a.request.server.post(attemptEnded{attempt: a, input: end, proof: &proof, requestFailure: requestFailure})
 }
 
 // finish stores the response for resends. The caller gets the response even if
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -105,10 +105,11 @@
 		// The first endpoint refuses the connection. The work has not run, so
 		// the next endpoint may run it.
 		{name: "first endpoint down", calls: []callFunc{unreachable, publishes}, wantCalls: 2, wantClaimed: true},
-		// The instance is cut off from the majority of the control state.
+		// A network partition separates the instance from the majority of the
+		// control state.
 		{name: "no quorum", setUp: func(f *fakeClaimStore) { f.noQuorum = true }, calls: []callFunc{publishes},
 			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
-		// The instance is cut off between the claim and the call.
+		// The partition begins between the claim and the call.
 		{name: "quorum lost after claim", setUp: func(f *fakeClaimStore) { f.markFails = true }, calls: []callFunc{publishes},
 			code: tables.CodeNoQuorum, outcome: tables.OutcomeNotRun},
 		{name: "first run in progress", setUp: func(f *fakeClaimStore) {
--- a/entry/crashbroadcast_test.go
+++ b/entry/crashbroadcast_test.go
@@ -18,7 +18,7 @@
 func failRequestAfter(end router.AttemptResult, notified <-chan struct{}) chan *outcome.Failure {
 	const id, attemptID = tables.RequestID("r1"), tables.AttemptID("a1")
 	s := &Server{broadcastSuspects: func([]quarantine.Suspect) <-chan struct{} { return notified }}
-	decider := &scriptedRouter{}
+	fakeRouter := &scriptedRouter{}
 	f := &inFlight{
 		server: s, spec: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
 		state: outcome.NewUndispatched(id).Dispatch(attemptID),
@@ -26,12 +26,12 @@
 	a := &attempt{request: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
 	f.attempts = []*attempt{a}
 	l := &eventLoop{
-		server: s, router: decider,
+		server: s, router: fakeRouter,
 		requests: map[tables.RequestID]*inFlight{id: f},
 		attempts: map[tables.AttemptID]*attempt{attemptID: a},
 	}
-	decider.enqueue(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
-	decider.enqueue(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
+	fakeRouter.enqueue(router.BroadcastSuspects{Suspects: []quarantine.Suspect{{Fingerprint: 1}}})
+	fakeRouter.enqueue(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
 	l.endAttempt(0, attemptEnded{attempt: a, input: router.AttemptEnded{Attempt: attemptID, Result: end}})
 	l.tick(0)
 	return f.failed
@@ -78,24 +78,24 @@
 			return notified
 		},
 	}
-	decider := &lateCrashRouter{}
+	fakeRouter := &lateCrashRouter{}
 	f := &inFlight{
 		server: s, spec: tables.Request{ID: id}, failed: make(chan *outcome.Failure, 1),
 		state: outcome.NewUndispatched(id).Dispatch(attemptID),
 	}
 	a := &attempt{request: f, dispatch: router.Dispatch{Request: id, Attempt: attemptID}}
 	l := &eventLoop{
-		server: s, router: decider,
+		server: s, router: fakeRouter,
 		requests: map[tables.RequestID]*inFlight{id: f},
 		attempts: map[tables.AttemptID]*attempt{attemptID: a},
 	}
-	settling := make(chan bool, 1)
-	l.endAttempt(0, attemptEnded{attempt: a, input: router.AttemptEnded{Attempt: attemptID, Result: router.Interrupted}, crashCheck: settling})
-	decider.enqueue(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
+	crashCheck := make(chan bool, 1)
+	l.endAttempt(0, attemptEnded{attempt: a, input: router.AttemptEnded{Attempt: attemptID, Result: router.Interrupted}, crashCheck: crashCheck})
+	fakeRouter.enqueue(router.Fail{Request: id, Code: tables.CodeEndpointFailed})
 	l.tick(0)
 	assert.Equal(t, len(f.failed), 0, "failure delivered before it was known whether the endpoint has crashed")
 
-	settling <- true
+	crashCheck <- true
 	l.handle(<-s.inbox)
 	l.tick(0)
 	<-broadcast
--- a/entry/eventloop.go
+++ b/entry/eventloop.go
@@ -322,8 +322,8 @@
 }
 
 // refuse ends a request as not run. The router refuses only requests that it
-// did not dispatch. If it refused another one, the outcome state would make the
-// failure an unknown outcome.
+// did not dispatch. If it refused a dispatched one, the type of its state would
+// permit only an unknown outcome.
 func (l *eventLoop) refuse(r router.Refuse) {
 	f := l.requests[r.Request]
 	if f == nil {
--- a/entry/hungendpoint_test.go
+++ b/entry/hungendpoint_test.go
@@ -13,7 +13,7 @@
 )
 
 // hangingClient is a client whose cancel requests are not confirmed, as with an
-// endpoint that hangs or is cut off.
+// endpoint that hangs or is behind a network partition.
 type hangingClient struct {
 	*fakeClient
 	testDone chan struct{}
@@ -28,9 +28,9 @@
 // the previous attempt. The caller would wait for the timeout of the attempt
 // and then for that of the cancel.
 func TestRetryDoesNotWaitForHungEndpoint(t *testing.T) {
-	over := make(chan struct{})
-	r := newHarness(t, func(o *Options) { o.Client = &hangingClient{fakeClient: o.Client.(*fakeClient), testDone: over} })
-	t.Cleanup(func() { close(over) })
+	testDone := make(chan struct{})
+	r := newHarness(t, func(o *Options) { o.Client = &hangingClient{fakeClient: o.Client.(*fakeClient), testDone: testDone} })
+	t.Cleanup(func() { close(testDone) })
 	r.client.generate = []generateFunc{
 		func(_ context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 			return nil, &engine.InterruptedError{Attempt: req.Attempt, Cause: &engine.ReadTimeoutError{After: time.Second}}
--- a/entry/options.go
+++ b/entry/options.go
@@ -24,10 +24,15 @@
 // Router decides where and when requests run; *router.Router implements it. It
 // is called by one goroutine.
 type Router interface {
+	// Configure applies a configuration.
 	Configure(now tables.Instant, c *tables.Configuration)
+	// Submit adds a request.
 	Submit(now tables.Instant, r *tables.Request)
+	// Observe applies a report from an endpoint, a peer or an attempt.
 	Observe(now tables.Instant, in router.Input)
+	// Cancel ends a request that its caller no longer wants.
 	Cancel(now tables.Instant, id tables.RequestID)
+	// Tick makes the decisions that are due and returns the resulting actions.
 	Tick(now tables.Instant) []router.Action
 	// NextTick returns when the next tick is due if no input arrives before.
 	NextTick(now tables.Instant) tables.Instant
@@ -114,8 +119,8 @@
 	// if the endpoint does not confirm the cancel.
 	CancelTimeout time.Duration
 	// CrashCheckTimeout bounds how long a failure is held back until it is
-	// known whether the endpoint has crashed. An endpoint that hangs or is cut
-	// off does not respond at all.
+	// known whether the endpoint has crashed. An endpoint that hangs or is
+	// behind a network partition does not respond at all.
 	CrashCheckTimeout time.Duration
 	// ClaimTimeout bounds each call to the control state.
 	ClaimTimeout time.Duration
