--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -175,7 +175,7 @@
 	http   *http.Client
 }
 
-// newHarness starts a Server; change adjusts its options.
+// newHarness starts a Server; configure, if not nil, adjusts its options.
 func newHarness(t *testing.T, configure func(*Options)) *harness {
 	t.Helper()
 	client := &fakeClient{cancelled: make(chan tables.AttemptID, 64)}
