--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -16,29 +16,31 @@
 )
 
 const (
-	// cancelPause is the time between two questions whether an attempt has
-	// ended.
-	cancelPause = 100 * time.Millisecond
-	// cancelGrace is how long a caller waits for an endpoint's word on the end
-	// of a broken attempt before the next one. A crash shows within it.
-	cancelGrace = 200 * time.Millisecond
+	// cancelRetryInterval is the time between two cancel requests for the same
+	// attempt.
+	cancelRetryInterval = 100 * time.Millisecond
+	// crashCheckGrace is how long a retry waits until the endpoint confirms the
+	// end of the interrupted attempt. A crash is detected within this time.
+	crashCheckGrace = 200 * time.Millisecond
 )
 
-// run takes the attempt to its first token, or to a plain service's whole
-// answer, and hands it to the goroutine that serves the caller.
+// run runs the attempt up to its first token, or up to a plain service's
+// complete response, and delivers that to the goroutine that serves the caller.
 func (a *attempt) run() {
-	if !a.permitted() {
+	if !a.prepareDispatch() {
 		return
 	}
-	if a.flight.call != nil {
-		a.runCall()
+	if a.request.call != nil {
+		a.runServiceCall()
 		return
 	}
-	a.runGenerate()
+	a.runCompletion()
 }
 
-func (a *attempt) runGenerate() {
-	f := a.flight
+// runCompletion opens a token stream at the endpoint. It resumes after the
+// tokens that the caller already has.
+func (a *attempt) runCompletion() {
+	f := a.request
 	delivered, emitted := f.progress()
 	stream, err := f.server.client.Generate(a.ctx, a.dispatch.Endpoint.Address, engine.GenerateRequest{
 		Attempt:    a.dispatch.Attempt,
@@ -46,43 +48,45 @@
 		Adapter:    f.profile.Adapter,
 		Weights:    a.dispatch.Weights,
 		Prompt:     f.prompt,
-		MaxTokens:  f.row.MaxTokens,
+		MaxTokens:  f.spec.MaxTokens,
 		Priority:   a.dispatch.Priority,
-		Salt:       string(f.row.Organisation),
+		Salt:       string(f.spec.Organisation),
 		ResumeFrom: delivered,
 		Emitted:    emitted,
 	})
 	if err != nil {
-		a.fail(err)
+		a.failWithoutStream(err)
 		return
 	}
 	accepted := stream.Accepted()
-	if err := a.check(accepted); err != nil {
-		a.abandon(stream, err, 0)
+	if err := a.verifyAccepted(accepted); err != nil {
+		a.abortStream(stream, err, 0)
 		return
 	}
 	f.server.Observe(router.AttemptStarted{Attempt: accepted.Attempt, Boot: accepted.Boot, Weights: accepted.Weights})
 	token, err := stream.Next()
 	if err != nil && err != io.EOF {
-		a.abandon(stream, err, 0)
+		a.abortStream(stream, err, 0)
 		return
 	}
 	f.server.Observe(router.FirstToken{Attempt: accepted.Attempt, CachedTokens: accepted.CachedTokens})
-	f.server.metrics.ObserveHit(f.row.Organisation, f.profile.Priority, accepted.CachedTokens, f.row.PromptTokens)
-	a.offer(&opened{attempt: a, stream: stream, first: token, whole: err == io.EOF})
+	f.server.metrics.ObservePrefixHitRatio(f.spec.Organisation, f.profile.Priority, accepted.CachedTokens, f.spec.PromptTokens)
+	a.deliver(&startedAttempt{attempt: a, stream: stream, firstToken: token, complete: err == io.EOF})
 }
 
-func (a *attempt) runCall() {
-	f := a.flight
+// runServiceCall sends a call to a plain service and reads the complete
+// response.
+func (a *attempt) runServiceCall() {
+	f := a.request
 	call := *f.call
 	call.Attempt = a.dispatch.Attempt
 	answer, err := f.server.client.Call(a.ctx, a.dispatch.Endpoint.Address, call)
 	if err != nil {
-		a.fail(err)
+		a.failWithoutStream(err)
 		return
 	}
 	if answer.Attempt != a.dispatch.Attempt {
-		a.fail(&engine.MismatchError{
+		a.failWithoutStream(&engine.MismatchError{
 			Attempt: a.dispatch.Attempt, Field: "attempt",
 			Want: string(a.dispatch.Attempt), Got: string(answer.Attempt),
 		})
@@ -90,13 +94,13 @@
 	}
 	f.server.Observe(router.AttemptStarted{Attempt: a.dispatch.Attempt, Boot: answer.Boot})
 	f.server.Observe(router.FirstToken{Attempt: a.dispatch.Attempt})
-	a.offer(&opened{attempt: a, answer: answer, whole: true})
+	a.deliver(&startedAttempt{attempt: a, response: answer, complete: true})
 }
 
-// check compares what the endpoint says of itself with what was asked. Without
-// it an answer that crossed another's, or one from older weights, would reach
-// the caller.
-func (a *attempt) check(got engine.AcceptedEvent) error {
+// verifyAccepted compares the attempt ID and the weights version that the
+// endpoint reports with the requested ones. Without this check, the response to
+// another attempt, or one from older weights, would reach the caller.
+func (a *attempt) verifyAccepted(got engine.AcceptedEvent) error {
 	id := a.dispatch.Attempt
 	if got.Attempt != id {
 		return &engine.MismatchError{Attempt: id, Field: "attempt", Want: string(id), Got: string(got.Attempt)}
@@ -107,131 +111,138 @@
 	return nil
 }
 
-// offer hands the attempt over, unless another has won or the caller is gone.
-func (a *attempt) offer(o *opened) {
-	if o.stream == nil {
-		a.offerAnswer(o)
+// deliver passes the attempt's output to the caller's goroutine, unless another
+// attempt has won or the caller has disconnected.
+func (a *attempt) deliver(started *startedAttempt) {
+	if started.stream == nil {
+		a.deliverServiceResponse(started)
 		return
 	}
 	select {
-	case a.flight.opened <- o:
+	case a.request.started <- started:
 	case <-a.ctx.Done():
-		if a.flight.won.Load() != nil {
-			a.flight.server.metrics.CountDropped(DroppedLate)
+		if a.request.winner.Load() != nil {
+			a.request.server.metrics.CountDropped(DroppedLate)
 		}
-		a.abandon(o.stream, context.Cause(a.ctx), 0)
+		a.abortStream(started.stream, context.Cause(a.ctx), 0)
 	}
 }
 
-// offerAnswer hands over a plain service's answer, which is whole, even if the
-// attempt was aborted meanwhile. The router takes the end of the attempt for
-// that of the request: were the answer dropped because it crossed an abort, the
-// router would give no other, and the caller would wait for ever.
-func (a *attempt) offerAnswer(o *opened) {
-	f := a.flight
+// deliverServiceResponse passes on a plain service's complete response even if
+// the attempt has been aborted in the meantime. The router treats the
+// completion of the attempt as that of the request. If a response that races
+// with an abort were dropped, the router would start no other attempt, and the
+// caller would wait forever.
+func (a *attempt) deliverServiceResponse(started *startedAttempt) {
+	f := a.request
 	select {
-	case f.opened <- o:
+	case f.started <- started:
 	case <-f.ctx.Done():
-		if f.won.Load() != nil {
+		if f.winner.Load() != nil {
 			f.server.metrics.CountDropped(DroppedLate)
 		}
-		a.tell(router.AttemptEnded{Result: router.Completed}, nil)
+		a.reportEnd(router.AttemptEnded{Result: router.Completed}, nil)
 	}
 }
 
-// abandon closes a stream, which cancels the attempt at the endpoint, and
-// reports its end.
-func (a *attempt) abandon(stream engine.Stream, err error, tokens int) {
-	a.broken(err, tokens, stream.Close)
+// abortStream closes a stream, which cancels the attempt at the endpoint, and
+// reports the attempt's end.
+func (a *attempt) abortStream(stream engine.Stream, err error, tokens int) {
+	a.reportInterrupted(err, tokens, stream.Close)
 }
 
-// fail reports the end of an attempt that gave no stream.
-func (a *attempt) fail(err error) {
-	proof, ok := outcome.ProofOf(err)
+// failWithoutStream reports the end of an attempt that returned neither a
+// stream nor a response.
+func (a *attempt) failWithoutStream(err error) {
+	proof, ok := outcome.ProofFromError(err)
 	if !ok {
-		a.broken(err, 0, a.cancelAtEndpoint)
+		a.reportInterrupted(err, 0, a.cancelAtEndpoint)
 		return
 	}
 	end := router.NotStarted
-	var not *engine.NotStartedError
-	if errors.As(err, &not) {
+	var notStarted *engine.NotStartedError
+	if errors.As(err, &notStarted) {
 		switch {
-		case not.Rejected:
+		case notStarted.Rejected:
 			end = router.Rejected
-		case not.Unreachable:
+		case notStarted.Unreachable:
 			end = router.Unreachable
 		}
 	}
-	a.tell(router.AttemptEnded{Result: end}, &proof)
+	a.reportEnd(router.AttemptEnded{Result: end}, &proof)
 }
 
-// broken reports the end of an attempt that may have run, after cancel has
-// ended it at the endpoint as far as that can be done in time.
-func (a *attempt) broken(err error, tokens int, cancel func() error) {
-	s := a.flight.server
+// reportInterrupted reports the end of an attempt that may have run. It first
+// calls cancel to end the attempt at the endpoint, as far as that is possible
+// in time.
+func (a *attempt) reportInterrupted(err error, tokens int, cancel func() error) {
+	s := a.request.server
 	var mismatch *engine.MismatchError
 	if errors.As(err, &mismatch) {
 		s.metrics.CountDropped(DroppedMismatch)
-		events.AnswerMismatch.Log(s.log, a.fields(zap.String("field", mismatch.Field))...)
+		events.AnswerMismatch.Log(s.log, a.logFields(zap.String("field", mismatch.Field))...)
 	}
-	crashed, settling := a.crashes(cancel)
+	crashed, crashCheck := a.detectCrash(cancel)
 	end := router.Interrupted
 	switch {
-	case a.unwanted():
+	case a.cancelledLocally():
 		end = router.Cancelled
 	case crashed:
 		end = router.Crashed
 	}
 	if end != router.Cancelled {
-		events.AttemptBroken.Log(s.log, a.fields(zap.Bool("crashed", crashed), zap.Error(err))...)
+		events.AttemptBroken.Log(s.log, a.logFields(zap.Bool("crashed", crashed), zap.Error(err))...)
 	}
-	a.report(ended{how: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, settling: settling})
+	a.postEnd(attemptEnded{input: router.AttemptEnded{Result: end, GeneratedTokens: tokens}, crashCheck: crashCheck})
 }
 
-// crashes cancels the attempt at its endpoint and says whether the endpoint's
-// process is gone. An attempt that nobody wants any more waits for the
-// endpoint's word, so that its slot stays accounted until then. One whose
-// caller waits for another try does not wait long: an endpoint that hangs, or
-// is cut off, does not answer a cancel either, and the caller would sit through
-// every timeout before the next attempt begins. What is not known by then comes on
-// the channel.
-func (a *attempt) crashes(cancel func() error) (gone bool, settling <-chan bool) {
-	crashed := make(chan bool, 1)
-	go func() { crashed <- a.settle(cancel) }()
-	if a.unwanted() {
-		return <-crashed, nil
+// detectCrash cancels the attempt at its endpoint and reports whether the
+// endpoint's process has crashed. If this process has cancelled the attempt,
+// detectCrash waits for the endpoint's confirmation, so that the attempt's slot
+// counts as used until then. Otherwise the caller waits for the next attempt,
+// and detectCrash waits at most crashCheckGrace. An endpoint that hangs or is
+// behind a network partition does not respond to a cancel either, and the
+// caller would wait for all of these timeouts before the next attempt starts. A
+// result that is not known by then is sent on the returned channel.
+func (a *attempt) detectCrash(cancel func() error) (crashed bool, pendingResult <-chan bool) {
+	result := make(chan bool, 1)
+	go func() { result <- a.cancelAndCheckCrash(cancel) }()
+	if a.cancelledLocally() {
+		return <-result, nil
 	}
-	grace := time.NewTimer(cancelGrace)
+	grace := time.NewTimer(crashCheckGrace)
 	defer grace.Stop()
 	select {
-	case gone := <-crashed:
-		return gone, nil
+	case crashed := <-result:
+		return crashed, nil
 	case <-grace.C:
-		return false, crashed
+		return false, result
 	}
 }
 
-// settle cancels until the endpoint confirms or is known to be gone. A port
-// that refuses connections is how a crash shows first.
-func (a *attempt) settle(cancel func() error) bool {
+// cancelAndCheckCrash cancels the attempt until the endpoint confirms or is
+// known to have crashed, and reports whether it has crashed. A refused
+// connection is the first sign of a crash.
+func (a *attempt) cancelAndCheckCrash(cancel func() error) bool {
 	err := cancel()
 	if err == nil {
 		return false
 	}
-	return errors.Is(err, syscall.ECONNREFUSED) || a.confirmCancel()
+	return errors.Is(err, syscall.ECONNREFUSED) || a.retryCancel()
 }
 
-// confirmCancel asks the endpoint again to cancel the attempt until it confirms
-// or CancelWait has passed. It says whether the port refuses connections.
-func (a *attempt) confirmCancel() bool {
+// retryCancel repeats the cancel request until the endpoint confirms it or
+// Limits.CancelTimeout has passed. It reports whether the endpoint refuses
+// connections.
+func (a *attempt) retryCancel() bool {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
-	over := time.After(a.flight.server.limits.CancelWait)
+	over := time.After(a.request.server.limits.CancelTimeout)
 	for {
 		select {
 		case <-over:
 			return false
-		case <-a.flight.server.stopped:
+		case <-a.request.server.stopped:
 			return false
 		case <-pause.C:
 		}
@@ -242,42 +253,47 @@
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return true
 		}
-		pause.Reset(cancelPause)
+		pause.Reset(cancelRetryInterval)
 	}
 }
 
+// cancelAtEndpoint sends one cancel request and waits for its confirmation.
 func (a *attempt) cancelAtEndpoint() error {
-	ctx, cancel := context.WithTimeout(context.Background(), a.flight.server.limits.CancelWait)
+	ctx, cancel := context.WithTimeout(context.Background(), a.request.server.limits.CancelTimeout)
 	defer cancel()
-	return a.flight.server.client.Cancel(ctx, a.dispatch.Endpoint.Address, a.dispatch.Attempt)
+	return a.request.server.client.Cancel(ctx, a.dispatch.Endpoint.Address, a.dispatch.Attempt)
 }
 
-// unwanted says whether the attempt was cancelled on this side for a reason
-// other than a stall of the endpoint.
-func (a *attempt) unwanted() bool {
+// cancelledLocally reports whether this process has cancelled the attempt for a
+// reason other than a token timeout.
+func (a *attempt) cancelledLocally() bool {
 	if a.ctx.Err() == nil {
 		return false
 	}
-	var stall *stalled
-	return !errors.As(context.Cause(a.ctx), &stall)
+	var timeout *tokenTimeoutError
+	return !errors.As(context.Cause(a.ctx), &timeout)
 }
 
-// tell reports the end of the attempt to the loop.
-func (a *attempt) tell(how router.AttemptEnded, proof *outcome.Proof) {
-	a.report(ended{how: how, proof: proof})
+// reportEnd posts the end of the attempt to the event loop. The proof is nil
+// unless the attempt provably did not start.
+func (a *attempt) reportEnd(end router.AttemptEnded, proof *outcome.NotStartedProof) {
+	a.postEnd(attemptEnded{input: end, proof: proof})
 }
 
-func (a *attempt) report(end ended) {
+// postEnd fills in the attempt's ID and the number of delivered tokens, and
+// posts the message to the event loop.
+func (a *attempt) postEnd(end attemptEnded) {
 	a.cancel(nil)
 	end.attempt = a
-	end.how.Attempt = a.dispatch.Attempt
-	end.how.DeliveredTokens, _ = a.flight.progress()
-	a.flight.server.tell(end)
+	end.input.Attempt = a.dispatch.Attempt
+	end.input.DeliveredTokens, _ = a.request.progress()
+	a.request.server.post(end)
 }
 
-func (a *attempt) fields(more ...zap.Field) []zap.Field {
+// logFields returns the given log fields and those that identify the attempt.
+func (a *attempt) logFields(more ...zap.Field) []zap.Field {
 	return append(more,
-		zap.String("request", string(a.flight.row.ID)),
+		zap.String("request", string(a.request.spec.ID)),
 		zap.String("attempt", string(a.dispatch.Attempt)),
 		zap.String("endpoint", string(a.dispatch.Endpoint.ID)))
 }
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -10,33 +10,35 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Ready says whether the balancer should send callers here.
-func (s *Server) Ready() bool { return s.gate.State().Ready() && s.directory.Load() != nil }
+// Ready reports whether the load balancer should send requests to this
+// instance.
+func (s *Server) Ready() bool { return s.gate.State().Ready() && s.configIndex.Load() != nil }
 
-// admit counts a request in, or gives the reason why it is not served.
+// admit counts a request as in flight, or returns the failure with which the
+// request is rejected.
 func (s *Server) admit() *outcome.Failure {
-	open, admitted := s.gate.Enter()
+	inFlight, admitted := s.gate.Admit()
 	var failure *outcome.Failure
 	switch {
 	case !admitted:
-		failure = notRun("", tables.CodeDraining, retryDraining)
-	case open > int64(s.limits.MaxOpen):
-		failure = notRun("", tables.CodeOverloaded, retryFull)
-	case s.directory.Load() == nil:
-		failure = notRun("", tables.CodeNotReady, retryDraining)
+		failure = notRun("", tables.CodeDraining, retryAfterDraining)
+	case inFlight > int64(s.limits.MaxInFlight):
+		failure = notRun("", tables.CodeOverloaded, retryAfterOverload)
+	case s.configIndex.Load() == nil:
+		failure = notRun("", tables.CodeNotReady, retryAfterDraining)
 	default:
 		return nil
 	}
-	s.gate.Leave()
+	s.gate.Done()
 	return failure
 }
 
-// Drain takes the instance out of service without cutting a request. It returns
-// early when the context ends.
+// Drain takes the instance out of service without interrupting a request. If
+// the context ends first, Drain returns early with an error.
 func (s *Server) Drain(ctx context.Context) error {
-	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.Open()))
+	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 	if err := s.gate.Drain(ctx, s.now); err != nil {
-		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.Open()))
+		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 		return err
 	}
 	events.DrainEnded.Log(s.log)
--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -13,7 +13,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func (r *rig) ready(t *testing.T) bool {
+// ready reports whether the readiness probe succeeds.
+func (r *harness) ready(t *testing.T) bool {
 	t.Helper()
 	resp, err := r.http.Get(r.url + "/readyz")
 	assert.NilError(t, err)
@@ -21,10 +22,10 @@
 	return resp.StatusCode == http.StatusNoContent
 }
 
-// An instance is stopped for an update while a caller's stream is running. The
-// caller gets its whole answer; a request that the balancer sends late is served
-// too; only then, and after the stream, does the instance end.
-func TestDrainCutsNoStream(t *testing.T) {
+// Guards against a drain that interrupts a stream. A request that the load
+// balancer sends late is still served. The drain ends only after its delay and
+// after the stream, which the caller gets completely.
+func TestDrainWaitsForOpenStreams(t *testing.T) {
 	now := make(chan tables.Instant, 1)
 	now <- 0
 	clock := func() tables.Instant {
@@ -32,17 +33,17 @@
 		now <- at
 		return at
 	}
-	r := newRig(t, func(o *Options) {
+	r := newHarness(t, func(o *Options) {
 		o.Now = clock
-		o.Limits.DrainServe = 10 * time.Millisecond
+		o.Limits.DrainDelay = 10 * time.Millisecond
 	})
 	tokens := make(chan engine.Token, 2)
 	tokens <- engine.Token{Index: 0, Text: "a"}
-	r.client.generate = []script{
+	r.client.generate = []generateFunc{
 		func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 			return r.client.stream(ctx, req, tokens, nil), nil
 		},
-		r.client.says([]string{"late"}, nil),
+		r.client.respondWith([]string{"late"}, nil),
 	}
 	streaming := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p","stream":true}`)
 	assert.Assert(t, r.ready(t))
@@ -54,7 +55,7 @@
 	assert.Assert(t, !r.ready(t))
 	late := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p"}`)
 	assert.Equal(t, late.StatusCode, 200)
-	assert.Assert(t, late.Close, "the connection must not be used again")
+	assert.Assert(t, late.Close, "the response must close the connection")
 
 	<-now
 	now <- time.Second
@@ -68,7 +69,7 @@
 
 	select {
 	case <-done:
-		t.Fatal("the drain ended before the stream")
+		t.Fatal("drain ended before the stream")
 	default:
 	}
 	tokens <- engine.Token{Index: 1, Text: "b"}
@@ -77,11 +78,13 @@
 	assert.NilError(t, <-done)
 }
 
-func TestSecondSignalCutsTheDrain(t *testing.T) {
-	r := newRig(t, nil)
+// Guards against a drain that ignores the end of its context, as after a second
+// signal, and waits for an open stream.
+func TestSecondSignalAbortsDrain(t *testing.T) {
+	r := newHarness(t, nil)
 	tokens := make(chan engine.Token, 1)
 	tokens <- engine.Token{Index: 0, Text: "a"}
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		return r.client.stream(ctx, req, tokens, nil), nil
 	}}
 	ctx, stop := context.WithCancel(t.Context())
@@ -92,11 +95,11 @@
 	stop()
 }
 
-// An instance has just started and knows no configuration yet. Callers must not
-// be told that their tokens are wrong.
-func TestNoConfigurationYet(t *testing.T) {
-	r := newRig(t, nil)
-	r.server.directory.Store(nil)
+// Guards against an instance without a configuration that rejects valid tokens
+// as unknown.
+func TestNotReadyBeforeFirstConfiguration(t *testing.T) {
+	r := newHarness(t, nil)
+	r.server.configIndex.Store(nil)
 	assert.Assert(t, !r.ready(t))
 	resp := r.post(t, t.Context(), "/v1/completions", `{"prompt":"p"}`)
 	failure := failureIn(t, read(t, resp))
--- a/entry/gate/gate.go
+++ b/entry/gate/gate.go
@@ -1,5 +1,6 @@
-// Package gate counts requests in and out of an entry instance and takes it out
-// of service without cutting one, in the steps of package drain.
+// Package gate is the admission gate of a server. It counts the requests in
+// flight and shuts the server down gracefully, in the steps of package drain,
+// without interrupting a request.
 package gate
 
 import (
@@ -14,34 +15,36 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Gate is safe for concurrent use.
+// Gate counts requests in flight and drains them. It is safe for concurrent
+// use.
 type Gate struct {
 	mu      sync.Mutex
 	machine drain.Machine
-	// state is machine's, for reading without the lock.
-	state atomic.Uint32
-	open  atomic.Int64
-	// idle is signalled when the last open request ends.
+	// state is the state of machine, for reading without the lock.
+	state    atomic.Uint32
+	inFlight atomic.Int64
+	// idle is signalled when the last request in flight ends.
 	idle chan struct{}
 }
 
-// New returns an open gate. Serve is how long new requests are still served
-// after a drain has begun.
+// New returns an open gate. After a drain has begun, the gate admits new
+// requests for the duration serve.
 func New(serve time.Duration) *Gate {
 	return &Gate{machine: drain.Machine{LameDuckPeriod: serve}, idle: make(chan struct{}, 1)}
 }
 
-// Enter counts a request in and returns how many are open. The count comes
-// before the look at the state: a drain that sees no open request can then be
-// sure that none slips in. Whatever it returns, Leave must follow.
-func (g *Gate) Enter() (open int64, admitted bool) {
-	open = g.open.Add(1)
-	return open, g.State().AcceptsRequests()
+// Admit counts a request as in flight, returns the number in flight and reports
+// whether the request is admitted. It counts before it reads the state, so that
+// a drain that sees no request in flight can be sure that none is admitted
+// afterwards. In either case, Done must follow.
+func (g *Gate) Admit() (inFlight int64, admitted bool) {
+	inFlight = g.inFlight.Add(1)
+	return inFlight, g.State().AcceptsRequests()
 }
 
-// Leave counts a request out.
-func (g *Gate) Leave() {
-	if g.open.Add(-1) == 0 {
+// Done ends the count of a request.
+func (g *Gate) Done() {
+	if g.inFlight.Add(-1) == 0 {
 		select {
 		case g.idle <- struct{}{}:
 		default:
@@ -49,53 +52,57 @@
 	}
 }
 
-// State is how far the drain has come.
+// State returns the state of the drain.
 func (g *Gate) State() drain.State { return drain.State(g.state.Load()) }
 
-// Open is the number of open requests.
-func (g *Gate) Open() int64 { return g.open.Load() }
+// InFlight returns the number of requests in flight.
+func (g *Gate) InFlight() int64 { return g.inFlight.Load() }
 
-// Drain stops the gate being ready, goes on admitting for a while until the
-// balancer has noticed, then admits nothing and returns when every open request
-// has ended. When the context ends first it gives up and returns its failure.
+// Drain makes the server not ready, admits requests until the load balancer
+// must have noticed, and then admits none. It returns when the last request in
+// flight has ended. If the context ends first, Drain gives up and returns the
+// context's error.
 func (g *Gate) Drain(ctx context.Context, now func() tables.Instant) error {
-	g.change(func(m *drain.Machine) { m.Begin(now()) })
+	g.update(func(m *drain.Machine) { m.Begin(now()) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		if g.tick(now()) == drain.Stopped {
 			return nil
 		}
-		if wait := g.wait(now()); wait > 0 {
+		if wait := g.untilClosing(now()); wait > 0 {
 			timer.Reset(wait)
 		}
 		select {
 		case <-timer.C:
 		case <-g.idle:
 		case <-ctx.Done():
-			g.change((*drain.Machine).Abort)
+			g.update((*drain.Machine).Abort)
 			g.tick(now())
 			return trace.Wrap(ctx.Err())
 		}
 	}
 }
 
-func (g *Gate) change(f func(*drain.Machine)) {
+// update changes the drain state machine under the lock.
+func (g *Gate) update(f func(*drain.Machine)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(&g.machine)
 }
 
-// tick moves the drain on.
+// tick advances the drain and returns its state.
 func (g *Gate) tick(now tables.Instant) drain.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	state := g.machine.Tick(now, int(g.open.Load()))
+	state := g.machine.Tick(now, int(g.inFlight.Load()))
 	g.state.Store(uint32(state))
 	return state
 }
 
-func (g *Gate) wait(now tables.Instant) time.Duration {
+// untilClosing returns how long the drain still admits requests; zero if it
+// admits none or has not begun.
+func (g *Gate) untilClosing(now tables.Instant) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.machine.UntilDraining(now)
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -14,106 +14,115 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// flight is one request from its submission until its caller has the answer.
-type flight struct {
-	server  *Server
-	row     tables.Request
+// inFlight is a request in flight, from its submission until its caller has the
+// response.
+type inFlight struct {
+	server *Server
+	// spec holds the attributes of the request that the router needs.
+	spec    tables.Request
 	org     *tables.Organisation
 	profile *tables.Profile
-	// weights is the version that was wanted when the request came.
+	// weights is the weights version that was configured when the request
+	// arrived.
 	weights tables.WeightsVersion
-	// prompt is what engines get; call is what plain services get.
+	// prompt is the input of an engine; call is the input of a plain service
+	// and nil for completions.
 	prompt string
 	call   *engine.CallRequest
 
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// opened hands over an attempt whose first token or whole answer is there.
-	opened chan *opened
-	// failed carries the final failure; the loop sends at most one.
+	// started delivers an attempt whose first token or complete response has
+	// arrived.
+	started chan *startedAttempt
+	// failed delivers the final failure; the event loop sends at most one.
 	failed chan *outcome.Failure
 
-	// Fields of the loop alone.
+	// Only the event loop uses the fields from state to crashChecks.
 	state    outcome.State
 	attempts []*attempt
 	queued   bool
 	ended    bool
-	// crashed is set once an attempt has ended with a crash of its endpoint.
-	crashed bool
-	// settling are closed once it is known of broken attempts whether their endpoints have
-	// crashed.
-	settling []<-chan struct{}
+	// endpointCrashed is set once an attempt has ended with a crash of its
+	// endpoint.
+	endpointCrashed bool
+	// crashChecks has a channel for each interrupted attempt for which it was
+	// unknown whether its endpoint had crashed. The channel is closed once that
+	// is known.
+	crashChecks []<-chan struct{}
 
 	// claim is set for work that must run at most once.
 	claim *claim
 
-	// mu guards what an attempt that starts needs to know of the answer so far.
-	mu        sync.Mutex
-	emitted   strings.Builder
-	delivered int
-	// size is the length of emitted in bytes.
-	size int
+	// mu guards the text and the number of tokens so far, which the next
+	// attempt needs for a resume.
+	mu              sync.Mutex
+	emitted         strings.Builder
+	deliveredTokens int
+	// emittedBytes is the length of emitted.
+	emittedBytes int
 
-	// won holds the attempt that the caller is being answered from.
-	won atomic.Pointer[attempt]
+	// winner is the attempt that the caller is being answered from.
+	winner atomic.Pointer[attempt]
 }
 
-// attempt is one try at running a flight.
+// attempt is one try to run a request at an endpoint.
 type attempt struct {
-	flight   *flight
+	request  *inFlight
 	dispatch router.Dispatch
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	unsent   *outcome.Unsent
+	unsent   *outcome.UnsentAttempt
 }
 
-// opened is an attempt that has something for the caller.
-type opened struct {
-	attempt *attempt
-	stream  engine.Stream
-	first   engine.Token
-	// whole is set when the stream ended before any token.
-	whole  bool
-	answer engine.CallResponse
+// startedAttempt is an attempt that has output for the caller.
+type startedAttempt struct {
+	attempt    *attempt
+	stream     engine.Stream
+	firstToken engine.Token
+	// complete is set if no further token follows: the stream ended before its
+	// first token, or the response is that of a plain service.
+	complete bool
+	response engine.CallResponse
 }
 
-// progress gives how many tokens the caller has, and their text.
-func (f *flight) progress() (int, string) {
+// progress returns the number of tokens that the caller has, and their text.
+func (f *inFlight) progress() (int, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.delivered, f.emitted.String()
+	return f.deliveredTokens, f.emitted.String()
 }
 
-// lostAfter is how long from now the router has to end the flight. Its timeout
-// ends every request; this is for the case that the router and the flight
-// disagree on whether the request is open. A caller would notice it by a request
-// that never ends, also past its timeout.
-func (f *flight) lostAfter() time.Duration {
-	return f.row.Deadline - f.server.now() + f.server.limits.LostAfter
+// untilOverdue returns how much longer the router may take to end the request.
+// The router's timeout ends every request. The additional bound covers the case
+// that the router and the entry disagree on whether the request is open; the
+// caller would then wait without end, even past its timeout.
+func (f *inFlight) untilOverdue() time.Duration {
+	return f.spec.Deadline - f.server.now() + f.server.limits.DeadlineGrace
 }
 
-// advance records a token that is about to be given to the caller.
-func (f *flight) advance(text string) {
+// recordToken records a token that is about to be sent to the caller.
+func (f *inFlight) recordToken(text string) {
 	f.mu.Lock()
-	f.delivered++
-	f.size += len(text)
+	f.deliveredTokens++
+	f.emittedBytes += len(text)
 	f.emitted.WriteString(text)
 	f.mu.Unlock()
 }
 
-// fail hands the final failure to the goroutine that serves the caller, once all of
-// the channels are closed. Only the loop calls it.
-func (f *flight) fail(failure *outcome.Failure, after ...<-chan struct{}) {
+// fail delivers the final failure to the caller's goroutine once all of the
+// given channels are closed. Only the event loop calls it.
+func (f *inFlight) fail(failure *outcome.Failure, waitFor ...<-chan struct{}) {
 	if f.ended {
 		return
 	}
 	f.ended = true
-	failure.Request = f.row.ID
-	if len(after) == 0 {
+	failure.Request = f.spec.ID
+	if len(waitFor) == 0 {
 		f.failed <- failure
 	} else {
-		waits := slices.Clone(after)
+		waits := slices.Clone(waitFor)
 		go func() {
 			for _, closed := range waits {
 				<-closed
@@ -126,8 +135,8 @@
 	}
 }
 
-// remove forgets an attempt that has ended.
-func (f *flight) remove(id tables.AttemptID) {
+// removeAttempt removes an attempt that has ended.
+func (f *inFlight) removeAttempt(id tables.AttemptID) {
 	for i, a := range f.attempts {
 		if a.dispatch.Attempt == id {
 			f.attempts = append(f.attempts[:i], f.attempts[i+1:]...)
@@ -136,7 +145,8 @@
 	}
 }
 
-// notRun ends a flight that was never submitted.
+// notRun returns a failure for a request that was never submitted, so that its
+// work did not run.
 func notRun(id tables.RequestID, code tables.ErrorCode, retryAfter time.Duration) *outcome.Failure {
-	return outcome.New(id).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter})
+	return outcome.NewUndispatched(id).Refuse(tables.Refusal{Code: code, RetryAfter: retryAfter})
 }
--- a/entry/looptask.go
+++ b/entry/looptask.go
@@ -1,22 +1,23 @@
 package entry
 
-// inspection lets another goroutine look at the router, which one goroutine
-// owns.
-type inspection struct {
-	look func()
+// loopTask is a function that the event loop runs for another goroutine, with
+// access to the router.
+type loopTask struct {
+	run  func()
 	done chan struct{}
 }
 
-func (inspection) message() {}
+func (loopTask) message() {}
 
-// Inspect runs look in the goroutine that owns the router and returns when it
-// has run. It says whether it ran; it does not once the server is closed. look
-// must be short: requests wait for it.
-func (s *Server) Inspect(look func()) bool {
-	i := inspection{look: look, done: make(chan struct{})}
-	s.tell(i)
+// RunInEventLoop runs a function in the goroutine of the event loop, which owns
+// the router, and returns when the function has returned. It reports whether
+// the function ran; after Close it does not. The function must be short,
+// because requests wait for it.
+func (s *Server) RunInEventLoop(run func()) bool {
+	task := loopTask{run: run, done: make(chan struct{})}
+	s.post(task)
 	select {
-	case <-i.done:
+	case <-task.done:
 		return true
 	case <-s.stopped:
 		return false
--- a/entry/options.go
+++ b/entry/options.go
@@ -1,10 +1,12 @@
-// Package entry is the callers' side of an instance: it authenticates, checks
-// and bounds requests, lets the router place them, streams the answers, resumes
-// them elsewhere when an endpoint fails, and tells the truth about what ran.
+// Package entry is the API gateway of an instance. It authenticates callers,
+// validates requests and limits what they may use. It lets the router place the
+// requests, streams the responses and resumes a stream at another endpoint when
+// one fails. For every request that fails it reports whether the work ran.
 //
-// One goroutine owns the router. Requests and whatever endpoints say arrive
-// there as messages; several that wait share one tick. Tokens do not pass
-// through it: the goroutine that serves a caller reads them from the endpoint.
+// The router runs in an event loop: one goroutine owns it, and requests and
+// reports from endpoints reach it as messages. Queued messages share one tick.
+// Tokens do not pass through the event loop: the goroutine that serves a caller
+// reads them from the endpoint.
 package entry
 
 import (
@@ -19,139 +21,156 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Decider decides where and when requests run; *router.Router is one. It is
-// called by one goroutine.
-type Decider interface {
+// Router decides where and when requests run; *router.Router implements it. It
+// is called by one goroutine.
+type Router interface {
+	// Configure applies a configuration.
 	Configure(now tables.Instant, c *tables.Configuration)
+	// Submit adds a request.
 	Submit(now tables.Instant, r *tables.Request)
+	// Observe applies a report from an endpoint, a peer or an attempt.
 	Observe(now tables.Instant, in router.Input)
+	// Cancel ends a request that its caller no longer wants.
 	Cancel(now tables.Instant, id tables.RequestID)
+	// Tick makes the decisions that are due and returns the resulting actions.
 	Tick(now tables.Instant) []router.Action
-	// NextTick is when a tick is due though nothing arrives.
+	// NextTick returns when the next tick is due if no input arrives before.
 	NextTick(now tables.Instant) tables.Instant
 }
 
-// Claimer grants the right to run work that must run at most once. Its errors
-// are *tables.KeyReused, *tables.NoQuorum and *tables.GrantLost.
-type Claimer interface {
-	// Claim asks for the organisation's key. The same key with another body is
-	// *tables.KeyReused.
+// ClaimStore is the store of claims on idempotency keys. A claim is the
+// exclusive right to run work that must run at most once. The errors of a
+// ClaimStore are *tables.KeyReusedError, *tables.NoQuorumError and
+// *tables.ClaimLostError.
+type ClaimStore interface {
+	// Claim claims a key of the organisation. If the key was used with another
+	// body, the error is a *tables.KeyReusedError.
 	Claim(ctx context.Context, org tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error)
 	// MarkDispatched records that the work may run from now on. Nothing may be
 	// sent to an endpoint unless it returned nil.
 	MarkDispatched(ctx context.Context, g tables.ClaimResult) error
-	// Finish stores the answer that resends get.
+	// Finish stores the response that resends receive.
 	Finish(ctx context.Context, g tables.ClaimResult, a tables.StoredResponse) error
-	// Release gives the claim back; the caller knows that the work did not run.
+	// Release gives up the claim. The caller of Release knows that the work did
+	// not run.
 	Release(ctx context.Context, g tables.ClaimResult) error
 }
 
-// Metrics takes the measurements of requests. Calls come from many goroutines.
+// Metrics records measurements of requests. Many goroutines call it
+// concurrently.
 type Metrics interface {
-	// ObserveTTFT takes the time from arrival to the first token.
+	// ObserveTTFT records the time from arrival to the first token.
 	ObserveTTFT(org tables.OrganisationID, profile tables.ProfileName, p tables.Priority, d time.Duration)
-	// ObserveTokenGap takes the time between two tokens of one stream.
-	ObserveTokenGap(org tables.OrganisationID, p tables.Priority, d time.Duration)
-	// ObserveQueueWait takes the time from arrival to the first dispatch.
+	// ObserveTimeBetweenTokens records the time between two tokens of one
+	// stream.
+	ObserveTimeBetweenTokens(org tables.OrganisationID, p tables.Priority, d time.Duration)
+	// ObserveQueueWait records the time from arrival to the first dispatch.
 	ObserveQueueWait(org tables.OrganisationID, p tables.Priority, d time.Duration)
-	// ObserveHit takes how many prompt tokens came from a cache, of how many.
-	ObserveHit(org tables.OrganisationID, p tables.Priority, cached, total int)
-	// CountRefused counts failures by number and outcome.
-	CountRefused(org tables.OrganisationID, code tables.ErrorCode, o tables.Outcome)
-	// CountDropped counts answers and tokens that were dropped.
-	CountDropped(d Dropped)
-	// CountResumed counts streams that went on at another endpoint.
-	CountResumed(org tables.OrganisationID)
+	// ObservePrefixHitRatio records how many of the prompt tokens, of a total,
+	// the endpoint found in its prefix cache.
+	ObservePrefixHitRatio(org tables.OrganisationID, p tables.Priority, cached, total int)
+	// CountFailure counts final failures by error code and outcome.
+	CountFailure(org tables.OrganisationID, code tables.ErrorCode, o tables.Outcome)
+	// CountDropped counts responses and tokens that were dropped, by reason.
+	CountDropped(d DropReason)
+	// CountResumedStream counts streams that were resumed at another endpoint.
+	CountResumedStream(org tables.OrganisationID)
 }
 
-// Dropped names why a part of an answer was dropped.
-type Dropped uint8
+// DropReason is the reason for dropping a response or a token.
+type DropReason uint8
 
-// The reasons for dropping a part of an answer.
+// The reasons for dropping a response or a token.
 const (
-	// DroppedMismatch: it names another attempt or other weights.
-	DroppedMismatch Dropped = iota
+	// DroppedMismatch: it names another attempt or another weights version.
+	DroppedMismatch DropReason = iota
 	// DroppedDuplicate: the caller already has this token.
 	DroppedDuplicate
-	// DroppedLate: another attempt had already won.
+	// DroppedLate: another attempt has already won.
 	DroppedLate
 )
 
-// Limits bound the memory and time that callers can take.
+// Limits bound the memory and the time that requests can use.
 type Limits struct {
-	// MaxBody is the largest request body in bytes.
-	MaxBody int64
-	// MaxHeld is how many bytes of request bodies are held at once.
-	MaxHeld int64
-	// MaxOpen is how many requests are open at once, MaxOpenOrganisation how
-	// many of one organisation.
-	MaxOpen             int
-	MaxOpenOrganisation int
-	// MaxAnswer is the largest completion in bytes of text. It is held in memory
-	// until the request ends, because a resume has to repeat it.
-	MaxAnswer int
-	// DefaultMaxTokens is used when a caller names no limit.
+	// MaxBodyBytes is the largest request body in bytes.
+	MaxBodyBytes int64
+	// MaxBufferedBytes is the total size of the request bodies that are held in
+	// memory at the same time.
+	MaxBufferedBytes int64
+	// MaxInFlight bounds the requests in flight, MaxInFlightPerOrganisation
+	// those of one organisation.
+	MaxInFlight                int
+	MaxInFlightPerOrganisation int
+	// MaxCompletionBytes is the largest text of a completion in bytes. The text
+	// is held in memory until the request ends, because a resumed attempt needs
+	// it.
+	MaxCompletionBytes int
+	// DefaultMaxTokens is the max_tokens of requests that do not set it.
 	DefaultMaxTokens int
-	// TokenStall is how long an endpoint may pause within a stream before the
-	// attempt counts as broken.
-	TokenStall time.Duration
-	// WriteStall is how long a caller may take no data before it is cut off.
-	WriteStall time.Duration
-	// ReadStall bounds how long a caller may take to send its request.
-	ReadStall time.Duration
-	// CancelWait bounds how long a cancelled attempt's slot stays accounted
-	// when the endpoint does not confirm.
-	CancelWait time.Duration
-	// SettleWait bounds how long a failing answer waits until it is known whether an
-	// endpoint has crashed: one that hangs, or is cut off, answers nothing.
-	SettleWait time.Duration
-	// ClaimWait bounds each question to the control state.
-	ClaimWait time.Duration
-	// LostAfter is how long after its timeout a request is ended that the
-	// router did not end.
-	LostAfter time.Duration
-	// DrainServe is how long new requests are still served after the balancer
-	// is told that the instance is not ready.
-	DrainServe time.Duration
+	// TokenTimeout is how long an endpoint may pause within a stream before the
+	// attempt counts as interrupted.
+	TokenTimeout time.Duration
+	// WriteTimeout is how long a caller may read nothing before it is
+	// disconnected.
+	WriteTimeout time.Duration
+	// ReadTimeout bounds how long a caller may take to send its request.
+	ReadTimeout time.Duration
+	// CancelTimeout bounds how long a cancelled attempt's slot counts as used
+	// if the endpoint does not confirm the cancel.
+	CancelTimeout time.Duration
+	// CrashCheckTimeout bounds how long a failure is held back until it is
+	// known whether the endpoint has crashed. An endpoint that hangs or is
+	// behind a network partition does not respond at all.
+	CrashCheckTimeout time.Duration
+	// ClaimTimeout bounds each call to the control state.
+	ClaimTimeout time.Duration
+	// DeadlineGrace is the time after the deadline of a request at which the
+	// entry ends the request if the router has not.
+	DeadlineGrace time.Duration
+	// DrainDelay is how long new requests are still served after the load
+	// balancer is told that the instance is not ready.
+	DrainDelay time.Duration
 }
 
-// DefaultLimits are the limits used for fields that are zero.
+// DefaultLimits returns the limits that replace zero fields.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxBody:             8 << 20,
-		MaxHeld:             64 << 20,
-		MaxOpen:             4096,
-		MaxOpenOrganisation: 1024,
-		MaxAnswer:           4 << 20,
-		DefaultMaxTokens:    256,
-		TokenStall:          10 * time.Second,
-		WriteStall:          30 * time.Second,
-		ReadStall:           30 * time.Second,
-		CancelWait:          2 * time.Second,
-		SettleWait:          time.Second,
-		ClaimWait:           2 * time.Second,
-		LostAfter:           5 * time.Second,
-		DrainServe:          5 * time.Second,
+		MaxBodyBytes:               8 << 20,
+		MaxBufferedBytes:           64 << 20,
+		MaxInFlight:                4096,
+		MaxInFlightPerOrganisation: 1024,
+		MaxCompletionBytes:         4 << 20,
+		DefaultMaxTokens:           256,
+		TokenTimeout:               10 * time.Second,
+		WriteTimeout:               30 * time.Second,
+		ReadTimeout:                30 * time.Second,
+		CancelTimeout:              2 * time.Second,
+		CrashCheckTimeout:          time.Second,
+		ClaimTimeout:               2 * time.Second,
+		DeadlineGrace:              5 * time.Second,
+		DrainDelay:                 5 * time.Second,
 	}
 }
 
-// Options are what a Server is made of.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	Instance tables.InstanceID
-	// Boot tells this life of the instance from others in request identities.
-	Boot    string
-	Router  Decider
+	// BootID distinguishes this run of the instance from its other runs in
+	// request IDs.
+	BootID  string
+	Router  Router
 	Client  engine.Client
-	Claimer Claimer
+	Claims  ClaimStore
 	Metrics Metrics
 	Log     *zap.Logger
-	// Share notifies the other instances of what the router suspects; nil means
-	// that there are none. It must not block. The channel that it returns is closed
-	// once they are notified, or after a bounded time.
-	Share func([]quarantine.Suspect) (notified <-chan struct{})
-	// PassOn tells the other instances where prefixes were placed; nil means
-	// that there are none. The slice is reused. It must not block.
-	PassOn func([]router.PeerPlacement)
+	// BroadcastSuspects sends the suspects of a crash to the other instances;
+	// nil means that there are none. It must not block. The returned channel is
+	// closed once the instances are notified, or after a bounded time.
+	BroadcastSuspects func([]quarantine.Suspect) (notified <-chan struct{})
+	// GossipPlacements tells the other instances where prefixes were placed;
+	// nil means that there are none. The slice is reused after the call. It
+	// must not block.
+	GossipPlacements func([]router.PeerPlacement)
 	// Now reads the process's monotonic clock.
 	Now    func() tables.Instant
 	Limits Limits
--- a/entry/placementgossip_test.go
+++ b/entry/placementgossip_test.go
@@ -12,14 +12,15 @@
 	"github.com/carawaystile/carawaystile/router"
 )
 
-// A prompt with a long beginning is placed here. If the other instances are not
-// told, they send the same beginning elsewhere and it is computed again.
-func TestPlacementsArePassedOn(t *testing.T) {
-	told := make(chan int, 8)
-	r := newRig(t, func(o *Options) {
-		o.PassOn = func(placements []router.PeerPlacement) { told <- len(placements) }
+// Guards against placements that are not gossiped. The other instances would
+// then send requests with the same prefix to other endpoints, which compute the
+// prefix again.
+func TestPlacementsAreGossiped(t *testing.T) {
+	gossiped := make(chan int, 8)
+	r := newHarness(t, func(o *Options) {
+		o.GossipPlacements = func(placements []router.PeerPlacement) { gossiped <- len(placements) }
 	})
-	r.client.generate = []script{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
+	r.client.generate = []generateFunc{func(ctx context.Context, req engine.GenerateRequest) (engine.Stream, error) {
 		tokens := make(chan engine.Token, 1)
 		tokens <- engine.Token{Index: 0, Text: "one"}
 		close(tokens)
@@ -28,5 +29,5 @@
 	prompt := strings.Repeat("a", 2*prefix.BlockBytes+10)
 	resp := r.post(t, t.Context(), "/v1/completions", `{"model":"m","prompt":"`+prompt+`"}`)
 	assert.Equal(t, resp.StatusCode, 200)
-	assert.Equal(t, <-told, 2)
+	assert.Equal(t, <-gossiped, 2)
 }
--- a/entry/sse.go
+++ b/entry/sse.go
@@ -15,17 +15,21 @@
 	finishLength = "length"
 )
 
-// shape is how the events of one kind of completion look: everything but the
-// text is the same in all events of a stream, so it is encoded once.
-type shape struct {
-	before, after string
+// eventTemplate contains the constant parts of the server-sent events of one
+// completion. Only the text differs between the events of a stream, so the rest
+// is encoded once.
+type eventTemplate struct {
+	// tokenPrefix and tokenSuffix enclose the text of a token.
+	tokenPrefix, tokenSuffix string
 	// opening is sent before the first token; may be empty.
 	opening string
-	// end is followed by the reason for the end and endAfter.
-	end, endAfter string
+	// finishPrefix and finishSuffix enclose the finish reason.
+	finishPrefix, finishSuffix string
 }
 
-func newShape(id tables.RequestID, model string, created int64, chat bool) shape {
+// newEventTemplate returns the template of a text completion or, if chat is
+// set, of a chat completion.
+func newEventTemplate(id tables.RequestID, model string, created int64, chat bool) eventTemplate {
 	object, text, opening := "text_completion", `"text":`, ""
 	head := func(object string) string {
 		var e jx.Encoder
@@ -44,37 +48,39 @@
 	if chat {
 		object, text = "chat.completion.chunk", `"delta":{"content":`
 		opening = head(object) + `"delta":{"role":"assistant","content":""}` + tail
-		return shape{
-			before: head(object) + text, after: "}" + tail, opening: opening,
-			end: head(object) + `"delta":{},"finish_reason":"`, endAfter: `"}]}` + "\n\n",
+		return eventTemplate{
+			tokenPrefix: head(object) + text, tokenSuffix: "}" + tail, opening: opening,
+			finishPrefix: head(object) + `"delta":{},"finish_reason":"`, finishSuffix: `"}]}` + "\n\n",
 		}
 	}
-	return shape{
-		before: head(object) + text, after: tail,
-		end: head(object) + `"text":"","finish_reason":"`, endAfter: `"}]}` + "\n\n",
+	return eventTemplate{
+		tokenPrefix: head(object) + text, tokenSuffix: tail,
+		finishPrefix: head(object) + `"text":"","finish_reason":"`, finishSuffix: `"}]}` + "\n\n",
 	}
 }
 
-const endMark = "data: [DONE]\n\n"
+// doneEvent ends a stream that is complete.
+const doneEvent = "data: [DONE]\n\n"
 
-// eventStream renders a flight's tokens as server-sent events, one event a
-// Read, so that each can be flushed by itself.
+// eventStream renders a completion as server-sent events, one event per Read,
+// so that each event can be flushed separately.
 type eventStream struct {
-	source source
-	// failed is told of a failure that ends the stream.
-	failed  func(*outcome.Failure)
-	shape   shape
-	encoder jx.Encoder
-	// waiting is what does not fit the caller's buffer yet.
-	waiting []byte
-	buffer  []byte
-	opened  bool
-	ended   bool
-	closed  bool
+	source completionSource
+	// onFailure is called with the failure that ends the stream.
+	onFailure func(*outcome.Failure)
+	template  eventTemplate
+	encoder   jx.Encoder
+	// unread is the part of an event that did not fit the buffer of the last
+	// Read.
+	unread      []byte
+	buffer      []byte
+	openingSent bool
+	ended       bool
+	closed      bool
 }
 
-// prime renders the first event.
-func (s *eventStream) prime() error {
+// renderFirst renders the first event.
+func (s *eventStream) renderFirst() error {
 	text, err := s.source.next()
 	if err != nil && err != io.EOF {
 		return err
@@ -83,64 +89,68 @@
 	return nil
 }
 
-// Read gives the next event.
+// Read reads the next event.
 func (s *eventStream) Read(p []byte) (int, error) {
-	if len(s.waiting) == 0 {
+	if len(s.unread) == 0 {
 		if s.ended {
 			return 0, io.EOF
 		}
 		s.render(s.source.next())
 	}
-	n := copy(p, s.waiting)
-	s.waiting = s.waiting[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
+// render renders a token, the end of the completion if err is io.EOF, or a
+// failure.
 func (s *eventStream) render(text string, err error) {
 	s.buffer = s.buffer[:0]
-	if !s.opened {
-		s.opened = true
-		s.buffer = append(s.buffer, s.shape.opening...)
+	if !s.openingSent {
+		s.openingSent = true
+		s.buffer = append(s.buffer, s.template.opening...)
 	}
 	switch err {
 	case nil:
-		s.token(text)
+		s.renderToken(text)
 	case io.EOF:
-		s.finish()
+		s.renderFinish()
 	default:
-		s.failure(err)
+		s.renderFailure(err)
 	}
-	s.waiting = s.buffer
+	s.unread = s.buffer
 }
 
-func (s *eventStream) token(text string) {
+// renderToken renders the event of a token.
+func (s *eventStream) renderToken(text string) {
 	s.encoder.Reset()
 	s.encoder.Str(text)
-	s.buffer = append(s.buffer, s.shape.before...)
+	s.buffer = append(s.buffer, s.template.tokenPrefix...)
 	s.buffer = append(s.buffer, s.encoder.Bytes()...)
-	s.buffer = append(s.buffer, s.shape.after...)
+	s.buffer = append(s.buffer, s.template.tokenSuffix...)
 }
 
-// finish writes the end mark. It is the only place that does, and it is reached
-// only when an endpoint has marked the answer as whole.
-func (s *eventStream) finish() {
+// renderFinish renders the finish reason and the done event. It is the only
+// function that does, and it is reached only if an endpoint has marked the
+// response as complete.
+func (s *eventStream) renderFinish() {
 	s.ended = true
-	s.buffer = append(s.buffer, s.shape.end...)
+	s.buffer = append(s.buffer, s.template.finishPrefix...)
 	s.buffer = append(s.buffer, s.source.finishReason()...)
-	s.buffer = append(s.buffer, s.shape.endAfter...)
-	s.buffer = append(s.buffer, endMark...)
+	s.buffer = append(s.buffer, s.template.finishSuffix...)
+	s.buffer = append(s.buffer, doneEvent...)
 }
 
-// failure writes an error event and no end mark: a stream that merely stopped
-// could be taken for a whole answer.
-func (s *eventStream) failure(err error) {
+// renderFailure renders an error event without a done event. Callers could take
+// a stream that merely stopped for a complete response.
+func (s *eventStream) renderFailure(err error) {
 	s.ended = true
 	var failure *outcome.Failure
 	if !errors.As(err, &failure) {
 		return
 	}
-	s.failed(failure)
-	content := body(failure)
+	s.onFailure(failure)
+	content := failureBody(failure)
 	s.encoder.Reset()
 	content.Encode(&s.encoder)
 	s.buffer = append(s.buffer, "event: error\ndata: "...)
@@ -148,7 +158,7 @@
 	s.buffer = append(s.buffer, "\n\n"...)
 }
 
-// Close ends the flight. It may be called more than once.
+// Close ends the request. It may be called more than once.
 func (s *eventStream) Close() error {
 	if !s.closed {
 		s.closed = true
@@ -157,9 +167,10 @@
 	return nil
 }
 
-// finishReason says why the answer ended.
-func (r *reader) finishReason() string {
-	if r.flight.delivered >= r.flight.row.MaxTokens {
+// finishReason returns why the completion ended: at its token limit or by
+// itself.
+func (r *responseReader) finishReason() string {
+	if r.request.deliveredTokens >= r.request.spec.MaxTokens {
 		return finishLength
 	}
 	return finishStop
