--- a/control/client/claim_client.go
+++ b/control/client/claim_client.go
@@ -18,151 +18,168 @@
 )
 
 const (
-	// keepAlive is the time between two signs of life of an owner. Three of them
-	// fit into the time after which the group counts an owner as lost.
-	keepAlive = 2 * time.Second
-	// lostAfter is how long dispatched work may run. It is above the longest
-	// timeout of a profile.
-	lostAfter = 5 * time.Hour
-	// maxUnsent bounds the ends of claims that wait for a quorum.
-	maxUnsent = 4096
-	// driftMargin is the part of a duration by which a holder stops before its
-	// own clock says so: twice the drift that is allowed for, once for its clock
-	// and once for the leader's.
-	driftMargin = 2 * maxDrift
-	// maxDrift is how much faster or slower than real time a monotonic clock may
-	// run: 1 in 100, far above what clocks of sound machines do.
-	maxDrift = 0.01
+	// keepAliveInterval is the delay between two keep-alive commands of an owner
+	// with open claims. Three of them fit into the time after which the control
+	// state considers an owner lost.
+	keepAliveInterval = 2 * time.Second
+	// dispatchedClaimTTL is how long dispatched work may run before its claim
+	// expires. It exceeds the longest timeout of a profile.
+	dispatchedClaimTTL = 5 * time.Hour
+	// maxPendingCommands bounds the finish and release commands that are queued for
+	// a retry.
+	maxPendingCommands = 4096
+	// clockDriftMargin is the fraction by which a holder shortens every duration on
+	// its own clock: twice the permitted drift, once for its clock and once for the
+	// leader's.
+	clockDriftMargin = 2 * maxClockDrift
+	// maxClockDrift is the permitted deviation of the rate of a monotonic clock
+	// from real time: 1 in 100, far above the drift of correctly working clocks.
+	maxClockDrift = 0.01
 )
 
-// ClaimClientOptions sets Claims up.
+// ClaimClientOptions configures a ClaimClient.
 type ClaimClientOptions struct {
 	Executor Executor
 	Instance tables.InstanceID
-	// Boot grows with every start of this instance.
+	// Boot is the boot epoch. It increases with every start of this instance.
 	Boot uint64
-	// Now is this process's monotonic clock.
+	// Now returns the time of this process's monotonic clock.
 	Now func() tables.Instant
 	Log *zap.Logger
 }
 
-// ClaimClient makes the claims of one entry instance. It is safe for concurrent use.
-// Its errors are *tables.KeyReused, *tables.NoQuorum, *tables.GrantLost,
-// *ClaimsFull and *ClaimsHeld; after any of them nothing may be dispatched.
+// ClaimClient claims idempotency keys in the control state for one entry instance,
+// so that the work of a key is dispatched at most once. A granted claim carries a
+// fencing token; the client keeps its open claims alive with heartbeats, and
+// retries commands that end a claim until the control group accepts them.
+//
+// ClaimClient is safe for concurrent use. Its errors are *tables.KeyReusedError,
+// *tables.NoQuorumError, *tables.ClaimLostError, *ClaimLimitError,
+// *ClaimsOnHoldError and *UnexpectedResultError; after any of them the work must
+// not be dispatched.
 type ClaimClient struct {
-	options ClaimClientOptions
-	tokens  atomic.Uint64
-	stop    context.CancelFunc
-	running sync.WaitGroup
-
-	mu   sync.Mutex
-	open map[claimID]bool
-	// active counts claims of each key that are being asked for or are open.
-	active map[claimKey]int
-	// unsent are ends of claims that no quorum has taken yet.
-	unsent []*rpc.Command
+	options   ClaimClientOptions
+	nextToken atomic.Uint64
+	cancel    context.CancelFunc
+	running   sync.WaitGroup
+
+	mu         sync.Mutex
+	openClaims map[claimID]bool
+	// activeByKey counts the claims of each key that are requested or open.
+	activeByKey map[claimKey]int
+	// pendingCommands are the finish and release commands that the control group
+	// has not accepted yet.
+	pendingCommands []*rpc.Command
 }
 
+// claimKey identifies the work that is claimed.
 type claimKey struct {
 	organisation tables.OrganisationID
 	key          tables.IdempotencyKey
 }
 
+// claimID identifies one granted claim of a key.
 type claimID struct {
 	claimKey
 	fence tables.FencingToken
 }
 
-// ClaimLimitError means that the control state keeps as many claims as it can.
-// Forgetting one to make room could let its work run twice.
+// ClaimLimitError means that the control state holds the maximum number of claims.
+// Evicting one to make room could let its work run twice.
 type ClaimLimitError struct {
 	Organisation tables.OrganisationID
 }
 
-// Error says whose claim it was.
+// Error names the organisation that requested the claim.
 func (e *ClaimLimitError) Error() string {
 	return fmt.Sprintf("no room for another claim of organisation %s", e.Organisation)
 }
 
-// ClaimsOnHoldError means that the control state was restored from a backup a short
-// while ago. A key that it does not know may have run since the backup.
+// ClaimsOnHoldError means that the control state was recently restored from a
+// backup. The work of a key that is missing in the backup may have run after the
+// backup was taken.
 type ClaimsOnHoldError struct {
+	// RetryAfter is the remaining hold on unknown keys.
 	RetryAfter time.Duration
 }
 
-// Error says for how long.
+// Error returns the remaining time of the hold.
 func (e *ClaimsOnHoldError) Error() string {
 	return fmt.Sprintf("claims on unknown keys are held for another %v after a restore", e.RetryAfter)
 }
 
-// UnexpectedResultError means that the control state answered what does not fit the
-// question.
+// UnexpectedResultError means that the result of a command has the wrong type for
+// this command.
 type UnexpectedResultError struct {
 	Operation string
 	Reason    rpc.RefusalReason
 }
 
-// Error gives the answer.
+// Error names the operation and the reason of the refusal.
 func (e *UnexpectedResultError) Error() string {
-	return fmt.Sprintf("%s: control state answered %s", e.Operation, e.Reason)
+	return fmt.Sprintf("%s: unexpected result from the control state: %s", e.Operation, e.Reason)
 }
 
-// NewClaimClient returns Claims that keep themselves alive until Close.
+// NewClaimClient returns a ClaimClient that sends keep-alives in the background
+// until Close.
 func NewClaimClient(options ClaimClientOptions) *ClaimClient {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &ClaimClient{options: options, stop: cancel, open: map[claimID]bool{}, active: map[claimKey]int{}}
+	c := &ClaimClient{options: options, cancel: cancel, openClaims: map[claimID]bool{}, activeByKey: map[claimKey]int{}}
 	c.running.Go(func() { c.run(ctx) })
 	return c
 }
 
-// Close stops the signs of life; open claims then count as lost.
+// Close stops the keep-alives. Claims that are still open are then considered lost.
 func (c *ClaimClient) Close() {
-	c.stop()
+	c.cancel()
 	c.running.Wait()
 }
 
-// Claim asks for the right to run the work named by the organisation's key.
+// Claim requests the exclusive right to run the work of the organisation's
+// idempotency key. The body hash detects a key that is reused for a different
+// request.
 func (c *ClaimClient) Claim(ctx context.Context, organisation tables.OrganisationID, key tables.IdempotencyKey, body tables.BodyHash) (tables.ClaimResult, error) {
 	at := claimKey{organisation, key}
-	token, sent := c.token(), c.options.Now()
+	token, sent := c.newToken(), c.options.Now()
 	result, err := c.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_Claim{Claim: &rpc.Claim{
 		Organisation: string(organisation),
 		Key:          string(key),
 		Body:         body[:],
-		Owner:        c.owner(),
+		Owner:        c.claimOwner(),
 		Token:        token,
-		Alone:        c.begin(at),
+		Alone:        c.beginClaim(at),
 	}}})
 	if result.GetClaim().GetState() != rpc.ClaimState_CLAIM_NEW {
-		defer c.finished(at)
+		defer c.endClaim(at)
 	}
 	if err != nil {
-		c.abandon(at, token)
+		c.releaseUnconfirmed(at, token)
 		return tables.ClaimResult{}, trace.Wrap(err)
 	}
 	answer := result.GetClaim()
 	if answer == nil {
-		return tables.ClaimResult{}, trace.Wrap(refusal("claim", result, organisation, key, 0))
+		return tables.ClaimResult{}, trace.Wrap(refusalError("claim", result, organisation, key, 0))
 	}
 	grant := tables.ClaimResult{
 		Organisation: organisation,
 		Key:          key,
-		State:        grantState(answer.GetState()),
+		State:        decodeClaimState(answer.GetState()),
 		FencingToken: tables.FencingToken(answer.GetFence()),
-		Response:     decodeAnswer(answer.GetAnswer()),
+		Response:     decodeStoredResponse(answer.GetAnswer()),
 	}
 	if grant.State == tables.ClaimGranted {
-		grant.ExpiresAt = sent + safe(state.DefaultLimits().ClaimedTTL)
-		c.opened(grant)
+		grant.ExpiresAt = sent + withClockDriftMargin(state.DefaultLimits().ClaimedTTL)
+		c.addOpenClaim(grant)
 	}
 	return grant, nil
 }
 
-// MarkDispatched records that the work may run from now on. It is called before
-// the call leaves, and once per grant: a second one would be a second dispatch.
+// MarkDispatched records that the work of a granted claim may run from now on. It
+// is called before the work is sent, and once per grant: a second call would be a
+// second dispatch, and fails.
 func (c *ClaimClient) MarkDispatched(ctx context.Context, grant tables.ClaimResult) error {
 	if c.options.Now() >= grant.ExpiresAt {
 		return trace.Wrap(&tables.ClaimLostError{Organisation: grant.Organisation, Key: grant.Key, FencingToken: grant.FencingToken})
@@ -172,23 +189,24 @@
 			Organisation:   string(grant.Organisation),
 			Key:            string(grant.Key),
 			Fence:          uint64(grant.FencingToken),
-			Token:          c.token(),
-			LostAfterNanos: int64(lostAfter),
+			Token:          c.newToken(),
+			LostAfterNanos: int64(dispatchedClaimTTL),
 		},
 	}})
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if result.GetDone() == nil {
-		return trace.Wrap(refusal("mark claim dispatched", result, grant.Organisation, grant.Key, grant.FencingToken))
+		return trace.Wrap(refusalError("mark claim dispatched", result, grant.Organisation, grant.Key, grant.FencingToken))
 	}
 	return nil
 }
 
-// Finish stores the answer that resends get. When no quorum takes it, it is
-// sent again in the background for as long as the process lives.
+// Finish stores the response that later requests with the same key receive. If
+// there is no quorum, the command is retried in the background for as long as the
+// process lives.
 func (c *ClaimClient) Finish(ctx context.Context, grant tables.ClaimResult, answer tables.StoredResponse) error {
-	return c.end(ctx, grant, &rpc.Command{Action: &rpc.Command_FinishClaim{FinishClaim: &rpc.FinishClaim{
+	return c.executeFinal(ctx, grant, &rpc.Command{Action: &rpc.Command_FinishClaim{FinishClaim: &rpc.FinishClaim{
 		Organisation: string(grant.Organisation),
 		Key:          string(grant.Key),
 		Fence:        uint64(grant.FencingToken),
@@ -201,140 +219,151 @@
 	}}})
 }
 
-// Release gives the claim back. The caller has proof that the work did not run,
-// and will not dispatch it under this grant any more.
+// Release gives the claim up. The caller has proof that the work did not run, and
+// will not dispatch it under this grant any more.
 func (c *ClaimClient) Release(ctx context.Context, grant tables.ClaimResult) error {
-	return c.end(ctx, grant, &rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
+	return c.executeFinal(ctx, grant, &rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
 		Organisation: string(grant.Organisation),
 		Key:          string(grant.Key),
 		Fence:        uint64(grant.FencingToken),
 	}}})
 }
 
-func (c *ClaimClient) end(ctx context.Context, grant tables.ClaimResult, command *rpc.Command) error {
-	c.closed(grant)
+// executeFinal executes a command that ends a claim, and queues it for a retry if
+// there is no quorum.
+func (c *ClaimClient) executeFinal(ctx context.Context, grant tables.ClaimResult, command *rpc.Command) error {
+	c.removeOpenClaim(grant)
 	result, err := c.options.Executor.Execute(ctx, command)
 	if err != nil {
-		c.later(command)
+		c.queueCommand(command)
 		return trace.Wrap(err)
 	}
 	if result.GetDone() == nil {
-		return trace.Wrap(refusal(asked(command), result, grant.Organisation, grant.Key, grant.FencingToken))
+		return trace.Wrap(refusalError(operationName(command), result, grant.Organisation, grant.Key, grant.FencingToken))
 	}
 	return nil
 }
 
-func (c *ClaimClient) owner() *rpc.ClaimOwner {
+// claimOwner identifies this process as the owner of claims.
+func (c *ClaimClient) claimOwner() *rpc.ClaimOwner {
 	return &rpc.ClaimOwner{Instance: string(c.options.Instance), Boot: c.options.Boot}
 }
 
-// token names one call of this process, so that its copies are told from the
-// next call.
-func (c *ClaimClient) token() string {
-	return strconv.FormatUint(c.options.Boot, 36) + "-" + strconv.FormatUint(c.tokens.Add(1), 36)
+// newToken returns a request identifier that is unique among the calls of this
+// instance. It distinguishes a retransmission from the next call.
+func (c *ClaimClient) newToken() string {
+	return strconv.FormatUint(c.options.Boot, 36) + "-" + strconv.FormatUint(c.nextToken.Add(1), 36)
 }
 
-// begin notes that a key is being claimed, and returns whether no other claim of
-// this process on it is active.
-func (c *ClaimClient) begin(at claimKey) bool {
+// beginClaim counts a claim of the key as active, and returns whether it is the
+// only active one of this process.
+func (c *ClaimClient) beginClaim(at claimKey) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active[at]++
-	return c.active[at] == 1
+	c.activeByKey[at]++
+	return c.activeByKey[at] == 1
 }
 
-// finished ends what begin noted.
-func (c *ClaimClient) finished(at claimKey) {
+// endClaim reverses one call of beginClaim.
+func (c *ClaimClient) endClaim(at claimKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active[at]--
-	if c.active[at] <= 0 {
-		delete(c.active, at)
+	c.activeByKey[at]--
+	if c.activeByKey[at] <= 0 {
+		delete(c.activeByKey, at)
 	}
 }
 
-// abandon gives back a claim that may have been granted though no answer came.
-// As long as this process lives, nobody could take it over, and resends through
-// other instances would be told that it is in progress.
-func (c *ClaimClient) abandon(at claimKey, token string) {
-	c.later(&rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
+// releaseUnconfirmed queues the release of a claim that may have been granted
+// although no reply arrived. Without it the claim could not be taken over while
+// this process lives, and retries through other instances would be told that the
+// work is in progress.
+func (c *ClaimClient) releaseUnconfirmed(at claimKey, token string) {
+	c.queueCommand(&rpc.Command{Action: &rpc.Command_ReleaseClaim{ReleaseClaim: &rpc.ReleaseClaim{
 		Organisation: string(at.organisation),
 		Key:          string(at.key),
-		Owner:        c.owner(),
+		Owner:        c.claimOwner(),
 		Token:        token,
 	}}})
 }
 
-func (c *ClaimClient) opened(grant tables.ClaimResult) {
+// addOpenClaim records a granted claim.
+func (c *ClaimClient) addOpenClaim(grant tables.ClaimResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open[claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}] = true
+	c.openClaims[claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}] = true
 }
 
-func (c *ClaimClient) closed(grant tables.ClaimResult) {
+// removeOpenClaim removes a claim that is being finished or released. Repeated
+// calls have no effect.
+func (c *ClaimClient) removeOpenClaim(grant tables.ClaimResult) {
 	id := claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}
 	c.mu.Lock()
-	known := c.open[id]
-	delete(c.open, id)
+	known := c.openClaims[id]
+	delete(c.openClaims, id)
 	c.mu.Unlock()
 	if known {
-		c.finished(id.claimKey)
+		c.endClaim(id.claimKey)
 	}
 }
 
-// later keeps the end of a claim. Without it, a resend would be told that the
-// outcome is unknown although the answer is here.
-func (c *ClaimClient) later(command *rpc.Command) {
+// queueCommand queues the end of a claim for a retry. Without the retry, later
+// requests with the key would be told that the outcome is unknown although the
+// response is available here.
+func (c *ClaimClient) queueCommand(command *rpc.Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.unsent) < maxUnsent {
-		c.unsent = append(c.unsent, command)
+	if len(c.pendingCommands) < maxPendingCommands {
+		c.pendingCommands = append(c.pendingCommands, command)
 	}
 }
 
-// run says that this owner lives while it has open claims, and sends again what
-// found no quorum.
+// run periodically sends a keep-alive while there are open claims, and retries
+// queued commands.
 func (c *ClaimClient) run(ctx context.Context) {
-	for wait(ctx, keepAlive) {
+	for sleep(ctx, keepAliveInterval) {
 		c.mu.Lock()
-		open, unsent := len(c.open), c.unsent
-		c.unsent = nil
+		open, unsent := len(c.openClaims), c.pendingCommands
+		c.pendingCommands = nil
 		c.mu.Unlock()
 		if open > 0 {
-			bounded, cancel := context.WithTimeout(ctx, keepAlive)
+			bounded, cancel := context.WithTimeout(ctx, keepAliveInterval)
 			_, err := c.options.Executor.Execute(bounded, &rpc.Command{Action: &rpc.Command_KeepAlive{
-				KeepAlive: &rpc.KeepAlive{Owner: c.owner()},
+				KeepAlive: &rpc.KeepAlive{Owner: c.claimOwner()},
 			}})
 			cancel()
 			if err != nil {
 				events.ClaimsNotKeptAlive.Log(c.options.Log, zap.Error(err))
 			}
 		}
-		c.sendAgain(ctx, unsent)
+		c.resendPending(ctx, unsent)
 	}
 }
 
-func (c *ClaimClient) sendAgain(ctx context.Context, unsent []*rpc.Command) {
+// resendPending executes queued commands in order. At the first failure it puts the
+// rest back into the queue.
+func (c *ClaimClient) resendPending(ctx context.Context, unsent []*rpc.Command) {
 	for i, command := range unsent {
-		bounded, cancel := context.WithTimeout(ctx, keepAlive)
+		bounded, cancel := context.WithTimeout(ctx, keepAliveInterval)
 		_, err := c.options.Executor.Execute(bounded, command)
 		cancel()
 		if err != nil {
 			c.mu.Lock()
-			c.unsent = append(c.unsent, unsent[i:]...)
+			c.pendingCommands = append(c.pendingCommands, unsent[i:]...)
 			c.mu.Unlock()
 			return
 		}
 	}
 }
 
-// safe shortens a duration of the log so that it has passed by this process's
-// clock before it can have passed by any leader's.
-func safe(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 - driftMargin))
+// withClockDriftMargin shortens a duration that is measured in log time, so that it
+// elapses on this process's clock before it can elapse on any leader's clock.
+func withClockDriftMargin(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - clockDriftMargin))
 }
 
-func grantState(s rpc.ClaimState) tables.ClaimState {
+// decodeClaimState converts a claim state; an unknown state is an unknown outcome.
+func decodeClaimState(s rpc.ClaimState) tables.ClaimState {
 	switch s {
 	case rpc.ClaimState_CLAIM_NEW:
 		return tables.ClaimGranted
@@ -347,7 +376,8 @@
 	}
 }
 
-func decodeAnswer(answer *rpc.StoredAnswer) tables.StoredResponse {
+// decodeStoredResponse converts a response from its stored form.
+func decodeStoredResponse(answer *rpc.StoredAnswer) tables.StoredResponse {
 	return tables.StoredResponse{
 		Status:      int(answer.GetStatus()),
 		ContentType: answer.GetType(),
@@ -356,7 +386,8 @@
 	}
 }
 
-func refusal(asked string, result *rpc.Result, organisation tables.OrganisationID, key tables.IdempotencyKey, fence tables.FencingToken) error {
+// refusalError returns the error for a refused command on a claim.
+func refusalError(operation string, result *rpc.Result, organisation tables.OrganisationID, key tables.IdempotencyKey, fence tables.FencingToken) error {
 	switch reason := result.GetRefusal().GetReason(); reason {
 	case rpc.RefusalReason_REFUSED_KEY_REUSED:
 		return &tables.KeyReusedError{Organisation: organisation, Key: key}
@@ -367,6 +398,6 @@
 	case rpc.RefusalReason_REFUSED_CLAIM_LOST, rpc.RefusalReason_REFUSED_ALREADY_DISPATCHED:
 		return &tables.ClaimLostError{Organisation: organisation, Key: key, FencingToken: fence}
 	default:
-		return &UnexpectedResultError{Operation: asked, Reason: reason}
+		return &UnexpectedResultError{Operation: operation, Reason: reason}
 	}
 }
--- a/control/client/executor.go
+++ b/control/client/executor.go
@@ -1,5 +1,6 @@
-// Package client is how an instance uses the control state: the claims that its
-// entry makes, and the leases that its orders need.
+// Package client is the client library of the control state. It provides claims of
+// idempotency keys for entry instances, leases with fencing tokens for instances
+// that send orders to endpoints, and failover between control instances.
 package client
 
 import (
@@ -13,59 +14,61 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// tryTimeout bounds one try at one control instance. It is above the time that
-// a group needs for a new leader, so that a living instance is not given up
-// while its group elects one.
-const tryTimeout = 2 * time.Second
+// attemptTimeout bounds one attempt at one control instance. It exceeds the
+// duration of a leader election, so that a live instance is not abandoned while its
+// group elects a leader.
+const attemptTimeout = 2 * time.Second
 
-// Executor has a command agreed by the quorum; *Group and the control server
-// are such.
+// Executor executes commands through the replicated log: a result means that a
+// quorum has committed the command. FailoverExecutor and server.Server implement
+// it.
 type Executor interface {
 	Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error)
 }
 
-// FailoverExecutor executes commands at any of several control instances. It is safe for
-// concurrent use.
+// FailoverExecutor is a client-side failover over several control instances: it
+// prefers the instance that responded last, and moves on to the next one after a
+// failure. It is safe for concurrent use.
 type FailoverExecutor struct {
-	controls []Executor
-	// current is the one that answered last.
-	current atomic.Uint64
+	executors []Executor
+	// lastResponder is the index of the executor that responded last.
+	lastResponder atomic.Uint64
 }
 
-// NewFailoverExecutor returns a Group over control instances in order of preference, those
-// of the own zone first.
+// NewFailoverExecutor returns a FailoverExecutor over control instances in order of
+// preference, those of the own availability zone first.
 func NewFailoverExecutor(controls ...Executor) *FailoverExecutor {
-	return &FailoverExecutor{controls: controls}
+	return &FailoverExecutor{executors: controls}
 }
 
-// Execute asks one control instance after the other until one answers or the
-// context ends. Sending a command twice is harmless: each says whose it is.
-// Its failure is *tables.NoQuorum.
+// Execute tries the control instances in turn until one responds or the context
+// ends. Retrying a command is safe, because every command identifies its sender and
+// request. The error is *tables.NoQuorumError.
 func (g *FailoverExecutor) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
-	start := g.current.Load()
-	var last error = &NoControlInstancesError{}
-	for try := uint64(0); len(g.controls) > 0; try++ {
-		i := (start + try) % uint64(len(g.controls))
-		bounded, cancel := context.WithTimeout(ctx, tryTimeout)
-		result, err := g.controls[i].Execute(bounded, command)
+	start := g.lastResponder.Load()
+	var lastErr error = &NoControlInstancesError{}
+	for attempt := uint64(0); len(g.executors) > 0; attempt++ {
+		i := (start + attempt) % uint64(len(g.executors))
+		bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
+		result, err := g.executors[i].Execute(bounded, command)
 		cancel()
 		if err == nil {
-			g.current.Store(i)
+			g.lastResponder.Store(i)
 			return result, nil
 		}
-		last = err
-		if !wait(ctx, retryPause) {
+		lastErr = err
+		if !sleep(ctx, retryDelay) {
 			break
 		}
 	}
-	return nil, trace.Wrap(&tables.NoQuorumError{Operation: asked(command), Cause: last})
+	return nil, trace.Wrap(&tables.NoQuorumError{Operation: operationName(command), Cause: lastErr})
 }
 
-// retryPause is the time between two tries.
-const retryPause = 20 * time.Millisecond
+// retryDelay is the delay between two attempts.
+const retryDelay = 20 * time.Millisecond
 
-// wait returns false if the context ended first.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration. It returns false if the context ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -76,13 +79,14 @@
 	}
 }
 
-// NoControlInstancesError means that the settings name no control instance.
+// NoControlInstancesError means that no control instances are configured.
 type NoControlInstancesError struct{}
 
-// Error says so.
-func (e *NoControlInstancesError) Error() string { return "no control instance is set" }
+// Error returns a fixed message.
+func (e *NoControlInstancesError) Error() string { return "no control instances are configured" }
 
-func asked(command *rpc.Command) string {
+// operationName returns the name of a command for error messages.
+func operationName(command *rpc.Command) string {
 	switch command.GetAction().(type) {
 	case *rpc.Command_Claim:
 		return "claim"
--- a/control/client/lease.go
+++ b/control/client/lease.go
@@ -11,34 +11,36 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// LeaseOptions sets a Lease up.
+// LeaseOptions configures a Lease.
 type LeaseOptions struct {
 	Executor Executor
-	// Name tells leases apart; one instance at most holds each.
+	// Name identifies the lease. At most one instance holds the lease of a name.
 	Name     string
 	Instance tables.InstanceID
-	// Boot grows with every start of this instance.
+	// Boot is the boot epoch. It increases with every start of this instance.
 	Boot uint64
-	// Duration is how long the lease is held after a renewal, from a second to a
+	// Duration is the validity of the lease after each renewal, from a second to a
 	// minute.
 	Duration time.Duration
-	// Now is this process's monotonic clock.
+	// Now returns the time of this process's monotonic clock.
 	Now func() tables.Instant
 }
 
-// Lease is the right of one instance at a time to do something. It is safe for
-// concurrent use.
+// Lease is a distributed lease with fencing tokens: at most one instance holds it
+// at a time, and every new holder gets a higher token. Lease is safe for concurrent
+// use.
 type Lease struct {
 	options LeaseOptions
 
-	mu    sync.Mutex
-	fence tables.FencingToken
-	until tables.Instant
-	// announced are the orders of other holders, by when they were announced.
-	announced map[tables.EndpointID]tables.Instant
+	mu        sync.Mutex
+	token     tables.FencingToken
+	expiresAt tables.Instant
+	// announcedByOthers are the endpoints that other holders may have sent orders
+	// to, with the time of each announcement.
+	announcedByOthers map[tables.EndpointID]tables.Instant
 }
 
-// NewLease returns a lease that is not held.
+// NewLease returns a lease that is not held yet.
 func NewLease(options LeaseOptions) *Lease { return &Lease{options: options} }
 
 // LeaseHeldError means that another instance holds the lease.
@@ -47,14 +49,14 @@
 	RetryAfter time.Duration
 }
 
-// Error names the holder.
+// Error names the current holder.
 func (e *LeaseHeldError) Error() string { return "lease is held by instance " + string(e.Holder) }
 
-// AcquireOrRenew asks for the lease, or for more time if it is held here. Its errors are
-// *LeaseHeld, *tables.NoQuorum and *Unexpected.
+// AcquireOrRenew requests the lease, or extends it if this instance holds it. Its
+// errors are *LeaseHeldError, *tables.NoQuorumError and *UnexpectedResultError.
 func (l *Lease) AcquireOrRenew(ctx context.Context) error {
-	// The time counts from before the question left: the answer may take long,
-	// and the group counts from when it decided.
+	// The validity is measured from before the request is sent. The reply may be
+	// slow, and the control state measures it from the commit of the command.
 	sent := l.options.Now()
 	result, err := l.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_AcquireLease{
 		AcquireLease: &rpc.AcquireLease{
@@ -78,17 +80,18 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if fence := tables.FencingToken(answer.GetFence()); fence != l.fence {
-		l.fence = fence
-		l.announced = announcedAt(answer, l.options.Now())
+	if fence := tables.FencingToken(answer.GetFence()); fence != l.token {
+		l.token = fence
+		l.announcedByOthers = announcementTimes(answer, l.options.Now())
 	}
-	l.until = sent + safe(l.options.Duration)
+	l.expiresAt = sent + withClockDriftMargin(l.options.Duration)
 	return nil
 }
 
-// announcedAt is when orders were announced, by the own clock. Log time goes no
-// faster than real time, so none was announced later.
-func announcedAt(answer *rpc.LeaseAnswer, now tables.Instant) map[tables.EndpointID]tables.Instant {
+// announcementTimes returns the time of each announcement on the clock of this
+// process. Log time never runs faster than real time, so no announcement is more
+// recent than the returned time.
+func announcementTimes(answer *rpc.LeaseAnswer, now tables.Instant) map[tables.EndpointID]tables.Instant {
 	at := map[tables.EndpointID]tables.Instant{}
 	for _, order := range answer.GetAnnounced() {
 		at[tables.EndpointID(order.GetEndpoint())] = now - time.Duration(order.GetAgeNanos())
@@ -96,17 +99,17 @@
 	return at
 }
 
-// AnnouncedByOthers lists the endpoints that other holders may have given orders, and
-// when each was announced.
+// AnnouncedByOthers returns the endpoints that other holders may have sent orders
+// to, with the time of each announcement.
 func (l *Lease) AnnouncedByOthers() map[tables.EndpointID]tables.Instant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.announced
+	return l.announcedByOthers
 }
 
-// AnnounceOrders has the group note that orders are about to leave for endpoints. Only
-// after it has returned without a failure may they. Its errors are
-// *tables.NoQuorum and *Unexpected.
+// AnnounceOrders records in the control state that this holder is about to send
+// orders to the endpoints. Orders may be sent only after it has returned without an
+// error. Its errors are *tables.NoQuorumError and *UnexpectedResultError.
 func (l *Lease) AnnounceOrders(ctx context.Context, endpoints []tables.EndpointID) error {
 	fence, _ := l.TokenAndTTL()
 	request := &rpc.AnnounceOrders{Lease: l.options.Name, Fence: uint64(fence)}
@@ -123,21 +126,22 @@
 	return nil
 }
 
-// TokenAndTTL returns the fencing number and how much longer the lease is held, by the
-// own clock alone. It is not held if that is not above zero. An instance that
-// is cut off needs no message to know that it must stop.
+// TokenAndTTL returns the fencing token and the remaining validity of the lease,
+// measured on the clock of this process alone. The lease is held only while the
+// remaining validity is above zero. A partitioned instance therefore needs no
+// message to know that it must stop.
 func (l *Lease) TokenAndTTL() (tables.FencingToken, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fence, l.until - l.options.Now()
+	return l.token, l.expiresAt - l.options.Now()
 }
 
-// Release gives the lease up at once. The holder calls it after its last order
-// was answered.
+// Release gives the lease up immediately. The holder calls it after the reply to
+// its last order.
 func (l *Lease) Release(ctx context.Context) error {
 	l.mu.Lock()
-	fence := l.fence
-	l.until = 0
+	fence := l.token
+	l.expiresAt = 0
 	l.mu.Unlock()
 	_, err := l.options.Executor.Execute(ctx, &rpc.Command{Action: &rpc.Command_ReleaseLease{
 		ReleaseLease: &rpc.ReleaseLease{Name: l.options.Name, Fence: uint64(fence)},
--- a/control/configuration/configuration_test.go
+++ b/control/configuration/configuration_test.go
@@ -12,6 +12,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
+// drawConfiguration generates a configuration with up to four items of each kind.
 func drawConfiguration(t *rapid.T) tables.Configuration {
 	c := tables.Configuration{WeightLoads: rapid.IntRange(1, 3).Draw(t, "loads")}
 	for i := range 4 {
@@ -29,13 +30,16 @@
 	return c
 }
 
+// contentOf encodes a configuration.
 func contentOf(t assert.TestingT, c tables.Configuration) *Content {
 	items, err := Encode(c)
 	assert.NilError(t, err)
 	return NewContent(items)
 }
 
-func TestDecodeGivesWhatWasEncoded(t *testing.T) {
+// A configuration that changes in the round trip would be applied differently from
+// what operators declared.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfiguration(t)
 		c.Revision = 7
@@ -45,10 +49,10 @@
 	})
 }
 
-// A follower applies changes instead of whole contents. If the changes did not
-// lead to the same content, instances would serve different configurations
-// under one revision.
-func TestChangesLeadFromOneToTheOther(t *testing.T) {
+// Followers apply incremental changes. If these did not result in the same content,
+// instances would serve different configurations under the same revision. A
+// declared change must also preserve the lives of endpoints.
+func TestChangedItemsTransformContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := contentOf(t, drawConfiguration(t)), contentOf(t, drawConfiguration(t))
 		life, err := EncodeLife("e1", Life{Life: 3, Leaving: true})
@@ -67,7 +71,7 @@
 	})
 }
 
-func TestDiffNamesItems(t *testing.T) {
+func TestDiffListsChangedItems(t *testing.T) {
 	before := tables.Configuration{WeightLoads: 2, Profiles: []tables.Profile{{Name: "a"}, {Name: "b"}}}
 	after := tables.Configuration{WeightLoads: 2, Profiles: []tables.Profile{{Name: "b", Hedge: true}, {Name: "c"}}}
 	changes, err := Diff(before, after)
@@ -79,7 +83,7 @@
 	assert.Equal(t, signs, "- profile a\n~ profile b\n+ profile c\n")
 }
 
-func TestValidateRefuses(t *testing.T) {
+func TestValidateRejectsDuplicateAndUndecodableItems(t *testing.T) {
 	item := &rpc.Item{Kind: rpc.ItemKind_ITEM_PROFILE, Name: "p", Body: []byte(`{"Name":"p"}`)}
 	assert.NilError(t, Validate([]*rpc.Item{item}))
 	assert.ErrorContains(t, Validate([]*rpc.Item{item, item}), "declared twice")
--- a/control/configuration/content.go
+++ b/control/configuration/content.go
@@ -1,6 +1,7 @@
-// Package configuration holds the declarations of operators as named items, so
-// that a change of one profile costs one item in the replicated log, in the
-// history and on the way to every instance, whatever the size of the rest.
+// Package configuration represents the operators' declarations as a key-value set
+// of items, one for each profile, organisation, model and endpoint. A change of one
+// profile therefore costs one item in the replicated log, in the history and in
+// transfers to instances, independent of the size of the configuration.
 package configuration
 
 import (
@@ -20,40 +21,44 @@
 	Name string
 }
 
-func compareNames(a, b ItemKey) int {
+// compareKeys orders item keys by kind, then by name.
+func compareKeys(a, b ItemKey) int {
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
-// Content is all items of one configuration. It is not safe for concurrent
-// use; the bodies of its items are never modified.
+// Content is the set of items of one configuration, with an incremental digest. It
+// is not safe for concurrent use; the bodies of its items are never modified.
 type Content struct {
 	bodies map[ItemKey][]byte
-	// declared sums the items that operators declare, lives those that only
-	// leaving and joining change.
-	declared uint64
-	lives    uint64
+	// declaredDigest is the sum of the digests of the items that operators declare.
+	// lifeDigest is that of the life items, which only EndpointLeave and
+	// EndpointJoin change.
+	declaredDigest uint64
+	lifeDigest     uint64
 }
 
-// NewContent returns a content with the given items.
+// NewContent returns a Content that consists of the given items.
 func NewContent(items []*rpc.Item) *Content {
 	c := &Content{bodies: make(map[ItemKey][]byte, len(items))}
 	c.Apply(items)
 	return c
 }
 
-// Apply puts the items, and removes those that have an empty body.
+// Apply adds or replaces the given items, and removes those with an empty body.
 func (c *Content) Apply(changes []*rpc.Item) {
 	for _, item := range changes {
 		c.put(ItemKey{Kind: item.GetKind(), Name: item.GetName()}, item.GetBody())
 	}
 }
 
+// put sets the body of one item, or removes the item if the body is empty. It
+// updates the digests incrementally.
 func (c *Content) put(name ItemKey, body []byte) {
-	sum := &c.declared
+	sum := &c.declaredDigest
 	if name.Kind == rpc.ItemKind_ITEM_LIFE {
-		sum = &c.lives
+		sum = &c.lifeDigest
 	}
-	*sum += digestOf(name, body) - digestOf(name, c.bodies[name])
+	*sum += itemDigest(name, body) - itemDigest(name, c.bodies[name])
 	if len(body) == 0 {
 		delete(c.bodies, name)
 		return
@@ -61,26 +66,28 @@
 	c.bodies[name] = body
 }
 
-// Body returns the body of an item, nil if there is none.
+// Body returns the body of an item, or nil if there is no such item.
 func (c *Content) Body(name ItemKey) []byte { return c.bodies[name] }
 
 // Len returns the number of items.
 func (c *Content) Len() int { return len(c.bodies) }
 
-// Digest identifies the content. It is a sum over the items, so that a change
-// costs as little as the items in it. A follower whose digest differs after a
-// change has lost one, and asks for the whole content.
-func (c *Content) Digest() uint64 { return c.declared + c.lives }
+// Digest returns a checksum of all items. It is the sum of the items' digests, so
+// that an update costs only as much as the changed items. A follower whose digest
+// differs after an update has missed a change, and requests the complete content.
+func (c *Content) Digest() uint64 { return c.declaredDigest + c.lifeDigest }
 
-// DeclaredDigest is the digest of what operators declare, without the lives.
-func (c *Content) DeclaredDigest() uint64 { return c.declared }
+// DeclaredDigest returns the checksum of the declared items, without the life
+// items.
+func (c *Content) DeclaredDigest() uint64 { return c.declaredDigest }
 
-// DeclaredDigestAfter is what Declared would be after the changes, each item once.
+// DeclaredDigestAfter returns the DeclaredDigest that would result from the
+// changes. The changes hold each item at most once.
 func (c *Content) DeclaredDigestAfter(changes []*rpc.Item) uint64 {
-	sum := c.declared
+	sum := c.declaredDigest
 	for _, item := range changes {
 		name := ItemKey{item.GetKind(), item.GetName()}
-		sum += digestOf(name, item.GetBody()) - digestOf(name, c.bodies[name])
+		sum += itemDigest(name, item.GetBody()) - itemDigest(name, c.bodies[name])
 	}
 	return sum
 }
@@ -95,18 +102,18 @@
 	return items
 }
 
-// Clone returns a copy that can be changed on its own.
+// Clone returns a copy that can be modified independently. Item bodies are shared.
 func (c *Content) Clone() *Content {
 	bodies := make(map[ItemKey][]byte, len(c.bodies))
 	for name, body := range c.bodies {
 		bodies[name] = body
 	}
-	return &Content{bodies: bodies, declared: c.declared, lives: c.lives}
+	return &Content{bodies: bodies, declaredDigest: c.declaredDigest, lifeDigest: c.lifeDigest}
 }
 
-// ChangedItems returns the items that turn from into to, removed ones with an empty
-// body. Lives of endpoints are left out: only EndpointLeave and EndpointJoin
-// change them, so that an apply cannot undo a leave.
+// ChangedItems returns the items whose application turns from into to; removed
+// items have an empty body. Life items are excluded: only EndpointLeave and
+// EndpointJoin change them, so that an apply cannot undo a leave.
 func ChangedItems(from, to *Content) []*rpc.Item {
 	var changes []*rpc.Item
 	for name, body := range to.bodies {
@@ -123,16 +130,16 @@
 	return changes
 }
 
-// sortItems orders items, since the order in a map differs from run to run and
-// a log entry must not.
+// sortItems orders items by key. Map iteration order differs from run to run, and a
+// log entry must be deterministic.
 func sortItems(items []*rpc.Item) {
 	slices.SortFunc(items, func(a, b *rpc.Item) int {
-		return compareNames(ItemKey{a.Kind, a.Name}, ItemKey{b.Kind, b.Name})
+		return compareKeys(ItemKey{a.Kind, a.Name}, ItemKey{b.Kind, b.Name})
 	})
 }
 
-// digestOf returns the digest of one item, zero for one that is not there.
-func digestOf(name ItemKey, body []byte) uint64 {
+// itemDigest returns the checksum of one item, or zero if the body is empty.
+func itemDigest(name ItemKey, body []byte) uint64 {
 	if len(body) == 0 {
 		return 0
 	}
--- a/control/configuration/diff.go
+++ b/control/configuration/diff.go
@@ -9,15 +9,17 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// ItemChange is one item that differs between two configurations. Before is empty
-// for an added item and After for a removed one; both are JSON.
+// ItemChange is the difference of one item between two configurations. Before is
+// empty for an added item and After for a removed one; otherwise both are the JSON
+// of the item.
 type ItemChange struct {
 	Key    ItemKey
 	Before string
 	After  string
 }
 
-// String says in one line what becomes of the item.
+// String formats the change as one line of a diff: + for an added item, - for a
+// removed one, ~ for a modified one.
 func (c ItemChange) String() string {
 	switch {
 	case c.Before == "":
@@ -29,7 +31,8 @@
 	}
 }
 
-var kindWords = map[rpc.ItemKind]string{
+// kindNames are the operator-facing names of the item kinds.
+var kindNames = map[rpc.ItemKind]string{
 	rpc.ItemKind_ITEM_SETTINGS:     "settings",
 	rpc.ItemKind_ITEM_PROFILE:      "profile",
 	rpc.ItemKind_ITEM_ORGANISATION: "organisation",
@@ -38,11 +41,11 @@
 	rpc.ItemKind_ITEM_LIFE:         "life",
 }
 
-// KindName is the word that operators know a kind of item by.
-func KindName(kind rpc.ItemKind) string { return kindWords[kind] }
+// KindName returns the operator-facing name of an item kind.
+func KindName(kind rpc.ItemKind) string { return kindNames[kind] }
 
-// Diff returns the items that differ between two configurations, ordered by
-// kind and name. Lives of endpoints are not declared and not compared.
+// Diff returns the items that differ between two configurations, ordered by kind
+// and name. Life items are not declared, and therefore not compared.
 func Diff(from, to tables.Configuration) ([]ItemChange, error) {
 	before, err := Encode(from)
 	if err != nil {
@@ -55,7 +58,7 @@
 	return DiffContents(NewContent(before), NewContent(after)), nil
 }
 
-// DiffContents is Diff for contents.
+// DiffContents is Diff for two Contents.
 func DiffContents(from, to *Content) []ItemChange {
 	var changes []ItemChange
 	for _, item := range ChangedItems(from, to) {
--- a/control/configuration/encode.go
+++ b/control/configuration/encode.go
@@ -11,39 +11,41 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// settingsName is the name of the one item that holds what belongs to no other.
+// settingsName is the name of the single item that holds the settings that belong
+// to no other item.
 const settingsName = "settings"
 
-// settings is the body of the settings item.
+// settings is the body of the settings item, encoded as JSON. WeightLoads is the
+// maximum number of concurrent weight loads.
 type settings struct {
 	WeightLoads int
 }
 
-// Life is the body of a life item: which life of an endpoint is the newest, and
-// whether it is leaving.
+// Life is the body of a life item, encoded as JSON. Life is the current incarnation
+// number of an endpoint; Leaving is set while the endpoint is out of use.
 type Life struct {
 	Life    uint64
 	Leaving bool
 }
 
-// InvalidItemError means that the body of an item cannot be read.
+// InvalidItemError means that the body of an item cannot be encoded or decoded.
 type InvalidItemError struct {
 	Key   ItemKey
 	Cause error
 }
 
-// Error names the item.
+// Error names the item and the cause.
 func (e *InvalidItemError) Error() string {
 	return fmt.Sprintf("item %s %q cannot be read: %v", e.Key.Kind, e.Key.Name, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *InvalidItemError) Unwrap() error { return e.Cause }
 
-// Encode returns the items of a configuration, without its revision and without
-// the lives of its endpoints, which are not declared.
+// Encode returns the items of a configuration, ordered by kind and name. The
+// revision and the lives of endpoints are not declared, and are left out.
 func Encode(configuration tables.Configuration) ([]*rpc.Item, error) {
-	var e encoder
+	var e itemEncoder
 	e.add(rpc.ItemKind_ITEM_SETTINGS, settingsName, settings{WeightLoads: configuration.WeightLoads})
 	for _, profile := range configuration.Profiles {
 		e.add(rpc.ItemKind_ITEM_PROFILE, string(profile.Name), profile)
@@ -62,12 +64,14 @@
 	return e.items, trace.Wrap(e.err)
 }
 
-type encoder struct {
+// itemEncoder collects encoded items and the first error.
+type itemEncoder struct {
 	items []*rpc.Item
 	err   error
 }
 
-func (e *encoder) add(kind rpc.ItemKind, name string, value any) {
+// add encodes one item as JSON.
+func (e *itemEncoder) add(kind rpc.ItemKind, name string, value any) {
 	body, err := json.Marshal(value)
 	if err != nil && e.err == nil {
 		e.err = &InvalidItemError{Key: ItemKey{kind, name}, Cause: err}
@@ -75,17 +79,17 @@
 	e.items = append(e.items, &rpc.Item{Kind: kind, Name: name, Body: body})
 }
 
-// EncodeLife returns the item that says which life of an endpoint is in force.
+// EncodeLife returns the life item of an endpoint.
 func EncodeLife(endpoint tables.EndpointID, life Life) (*rpc.Item, error) {
-	var e encoder
+	var e itemEncoder
 	e.add(rpc.ItemKind_ITEM_LIFE, string(endpoint), life)
 	return e.items[0], trace.Wrap(e.err)
 }
 
-// firstLife is the life of an endpoint that never left.
+// firstLife is the life of an endpoint without a life item: it has never left.
 const firstLife = 1
 
-// LifeOf returns the life of an endpoint that is in force.
+// LifeOf returns the current life of an endpoint.
 func (c *Content) LifeOf(endpoint tables.EndpointID) (Life, error) {
 	life := Life{Life: firstLife}
 	name := ItemKey{rpc.ItemKind_ITEM_LIFE, string(endpoint)}
@@ -99,20 +103,21 @@
 	return life, nil
 }
 
-// DeclaresEndpoint says whether the content has an endpoint of that name.
+// DeclaresEndpoint reports whether the content declares the endpoint.
 func (c *Content) DeclaresEndpoint(endpoint tables.EndpointID) bool {
 	return c.bodies[ItemKey{rpc.ItemKind_ITEM_ENDPOINT, string(endpoint)}] != nil
 }
 
-// WeightLoadLimit returns how many weight loads may run at once, at least 1.
+// WeightLoadLimit returns the maximum number of concurrent weight loads, at least
+// 1.
 func (c *Content) WeightLoadLimit() int {
 	var s settings
 	_ = json.Unmarshal(c.bodies[ItemKey{rpc.ItemKind_ITEM_SETTINGS, settingsName}], &s)
 	return max(1, s.WeightLoads)
 }
 
-// Decode returns the content as a configuration of the given revision, with
-// lists ordered by name.
+// Decode returns the content as a configuration with the given revision. Its lists
+// are ordered by name.
 func (c *Content) Decode(revision tables.Revision) (tables.Configuration, error) {
 	configuration := tables.Configuration{Revision: revision}
 	for _, item := range c.Items() {
@@ -123,18 +128,20 @@
 	return configuration, nil
 }
 
+// decodeItem decodes one item into its field of the configuration. Endpoints get
+// their current life.
 func (c *Content) decodeItem(item *rpc.Item, into *tables.Configuration) error {
 	switch item.Kind {
 	case rpc.ItemKind_ITEM_SETTINGS:
 		into.WeightLoads = c.WeightLoadLimit()
 	case rpc.ItemKind_ITEM_PROFILE:
-		return decodeTo(item, &into.Profiles)
+		return appendDecoded(item, &into.Profiles)
 	case rpc.ItemKind_ITEM_ORGANISATION:
-		return decodeTo(item, &into.Organisations)
+		return appendDecoded(item, &into.Organisations)
 	case rpc.ItemKind_ITEM_MODEL:
-		return decodeTo(item, &into.Models)
+		return appendDecoded(item, &into.Models)
 	case rpc.ItemKind_ITEM_ENDPOINT:
-		if err := decodeTo(item, &into.Endpoints); err != nil {
+		if err := appendDecoded(item, &into.Endpoints); err != nil {
 			return err
 		}
 		endpoint := &into.Endpoints[len(into.Endpoints)-1]
@@ -145,7 +152,8 @@
 	return nil
 }
 
-func decodeTo[T any](item *rpc.Item, list *[]T) error {
+// appendDecoded decodes the body of an item and appends the value to the list.
+func appendDecoded[T any](item *rpc.Item, list *[]T) error {
 	var value T
 	if err := json.Unmarshal(item.Body, &value); err != nil {
 		return &InvalidItemError{Key: ItemKey{item.Kind, item.Name}, Cause: err}
@@ -154,28 +162,28 @@
 	return nil
 }
 
-// Validate reports the first item that cannot be read or is given twice. An
-// item that one instance cannot read would keep the whole revision out of force
-// there, so it is refused before the quorum sees it.
+// Validate returns an error for the first item that cannot be decoded or occurs
+// twice. Items are validated before they are proposed to the quorum: an instance
+// that cannot decode one item could not apply the whole revision.
 func Validate(items []*rpc.Item) error {
 	names := make([]ItemKey, 0, len(items))
 	for _, item := range items {
 		names = append(names, ItemKey{item.GetKind(), item.GetName()})
 	}
-	slices.SortFunc(names, compareNames)
+	slices.SortFunc(names, compareKeys)
 	for i := 1; i < len(names); i++ {
 		if names[i] == names[i-1] {
-			return trace.Wrap(&DuplicateItemError{Name: names[i]})
+			return trace.Wrap(&DuplicateItemError{Key: names[i]})
 		}
 	}
 	_, err := NewContent(items).Decode(0)
 	return trace.Wrap(err)
 }
 
-// DuplicateItemError means that two items of one configuration have the same name.
-type DuplicateItemError struct{ Name ItemKey }
+// DuplicateItemError means that a configuration declares the same item twice.
+type DuplicateItemError struct{ Key ItemKey }
 
 // Error names the item.
 func (e *DuplicateItemError) Error() string {
-	return fmt.Sprintf("item %s %q is declared twice", e.Name.Kind, e.Name.Name)
+	return fmt.Sprintf("item %s %q is declared twice", e.Key.Kind, e.Key.Name)
 }
--- a/control/follower/follower.go
+++ b/control/follower/follower.go
@@ -1,6 +1,7 @@
-// Package follower keeps an instance's configuration up to date. It serves from
-// the last accepted copy at once, asks control instances or any other instance
-// for newer ones, and never goes back to an older one.
+// Package follower keeps the configuration of an instance up to date. A follower
+// applies its cached copy at startup, then long-polls control instances, or other
+// instances if those are unreachable, for newer revisions. Revisions are applied in
+// increasing order only.
 package follower
 
 import (
@@ -22,95 +23,101 @@
 )
 
 const (
-	// pollWait is how long a source holds an answer back while it has nothing
-	// new. A source that dies silently is noticed after it and pollSlack.
-	pollWait  = 4 * time.Second
-	pollSlack = time.Second
-	// fullSlack is how long the whole content may take on its way. Another source
-	// is asked for it as well after nextSource, and then after twice as long each
-	// time up to maxNextSource: in a herd of restarts all sources are slow, and
-	// asking them all would make them slower.
-	fullSlack     = 20 * time.Second
-	nextSource    = time.Second
-	maxNextSource = 8 * time.Second
-	// minPause and maxPause bound the random time between two tries after a
-	// failure, so that instances that restart together do not ask together.
-	minPause = 50 * time.Millisecond
-	maxPause = 500 * time.Millisecond
-	// savedFile is the name of the copy in the data folder.
-	savedFile = "configuration"
-	// keptChanges is how many changes are kept to pass on to other instances.
-	keptChanges = 64
+	// longPollWait is the duration of a long poll: a source without a newer
+	// revision replies after it. A source that fails silently is detected after
+	// longPollWait and longPollGrace.
+	longPollWait  = 4 * time.Second
+	longPollGrace = time.Second
+	// fullFetchTimeout bounds the transfer of the complete configuration. The
+	// initial fetch is hedged: the next source is asked as well after
+	// initialHedgeDelay, and the delay doubles up to maxHedgeDelay. When many
+	// instances restart at once all sources are slow, and asking all of them would
+	// make them slower.
+	fullFetchTimeout  = 20 * time.Second
+	initialHedgeDelay = time.Second
+	maxHedgeDelay     = 8 * time.Second
+	// minRetryDelay and maxRetryDelay bound the random delay before a retry, so
+	// that instances that restart together do not send their requests together.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// cacheFileName is the name of the cached copy in the data folder.
+	cacheFileName = "configuration"
+	// maxRetainedChanges is how many incremental changes are retained for relaying
+	// to other instances.
+	maxRetainedChanges = 64
 )
 
-// Source gives newer configurations; rpc.Control is one, and so is the Follower
-// of another instance.
+// Source is a source of newer configurations: a control instance, or the Relay of
+// another instance.
 type Source interface {
 	Watch(ctx context.Context, request *rpc.WatchRequest) (*rpc.WatchAnswer, error)
 }
 
-// FileStore keeps small files durably; *store.Folder is one.
+// FileStore stores small files durably and atomically. *store.Folder implements it.
 type FileStore interface {
 	ReadAtomic(name string) ([]byte, error)
 	WriteAtomic(name string, data []byte) error
 }
 
-// Options sets a Follower up.
+// Options configures a Follower.
 type Options struct {
 	Instance tables.InstanceID
 	Zone     tables.Zone
-	// Sources returns whom to ask, the preferred first: control instances of the
-	// own zone, those of the others, then some other instances.
+	// Sources returns the sources in order of preference: control instances of the
+	// own availability zone, other control instances, then some other instances.
 	Sources func() []Source
-	// Files keeps the last accepted copy; nil keeps none.
+	// Files stores the cached copy of the last applied configuration; nil disables
+	// the cache.
 	Files FileStore
-	// OnConfiguration puts a configuration in force. It is called by one goroutine at
-	// a time, with revisions that only grow.
+	// OnConfiguration applies a configuration. Calls do not overlap, and their
+	// revisions increase.
 	OnConfiguration func(*tables.Configuration)
-	// WallClock is the clock that people read; nil means time.Now.
+	// WallClock returns the time that status reports show; nil means time.Now.
 	WallClock func() time.Time
 	Log       *zap.Logger
 }
 
-// Follower follows the configuration. It is safe for concurrent use.
+// Follower is a long-polling client that replicates the configuration to this
+// instance, with a durable local cache. It is safe for concurrent use.
 type Follower struct {
 	options Options
-	stop    context.CancelFunc
+	cancel  context.CancelFunc
 	running sync.WaitGroup
 	ready   chan struct{}
 
-	// fetching is set while FetchNewer asks.
-	fetching atomic.Bool
-	// takes is held while a newer configuration is saved and put in force.
-	takes sync.Mutex
+	// isFetchingNewer is true while a call of FetchNewer is in progress.
+	isFetchingNewer atomic.Bool
+	// installMu serialises the installation of newer configurations.
+	installMu sync.Mutex
 
 	mu       sync.Mutex
 	revision uint64
 	since    time.Time
 	content  *configuration.Content
-	changes  []change
+	changes  []revisionChange
 	changed  chan struct{}
 }
 
-// change leads from one revision to a later one.
-type change struct {
+// revisionChange is an incremental change between two revisions.
+type revisionChange struct {
 	from, to uint64
 	items    []*rpc.Item
 }
 
-// DigestMismatchError means that a copy does not have the digest of its revision: a
-// change was lost on the way.
+// DigestMismatchError means that the content does not have the digest of its
+// revision: a change was lost in transfer.
 type DigestMismatchError struct {
 	Revision  uint64
 	Want, Got uint64
 }
 
-// Error gives both digests.
+// Error returns both digests.
 func (e *DigestMismatchError) Error() string {
 	return fmt.Sprintf("revision %d has digest %x, want %x", e.Revision, e.Got, e.Want)
 }
 
-// Start puts the saved copy in force, if there is one, and follows from there.
+// Start applies the cached copy, if there is one, and starts polling for newer
+// revisions.
 func Start(options Options) *Follower {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -121,40 +128,41 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Follower{
 		options: options,
-		stop:    cancel,
+		cancel:  cancel,
 		ready:   make(chan struct{}),
 		content: configuration.NewContent(nil),
 		changed: make(chan struct{}),
 	}
-	f.loadSaved()
+	f.loadCachedCopy()
 	f.running.Go(func() { f.run(ctx) })
 	return f
 }
 
-// Close stops following.
+// Close stops polling and waits for requests in progress to end.
 func (f *Follower) Close() {
-	f.stop()
+	f.cancel()
 	f.running.Wait()
 }
 
-// Ready is closed once a configuration is in force.
+// Ready returns a channel that is closed once a configuration has been applied.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// RevisionInForce returns the revision in force and since when, zero for none.
+// RevisionInForce returns the applied revision and when it was applied. The
+// revision is zero if there is none.
 func (f *Follower) RevisionInForce() (tables.Revision, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return tables.Revision(f.revision), f.since
 }
 
-// loadSaved puts the copy of the former process in force.
-func (f *Follower) loadSaved() {
+// loadCachedCopy applies the copy that an earlier process has cached.
+func (f *Follower) loadCachedCopy() {
 	if f.options.Files == nil {
 		return
 	}
-	data, err := f.options.Files.ReadAtomic(savedFile)
+	data, err := f.options.Files.ReadAtomic(cacheFileName)
 	if err != nil {
-		if !isMissing(err) {
+		if !isFileMissing(err) {
 			events.FollowerCopyUnusable.Log(f.options.Log, zap.Error(err))
 		}
 		return
@@ -170,35 +178,35 @@
 		Full:     true,
 		Items:    saved.GetItems(),
 	}
-	if err := f.take(answer, 0, false); err != nil {
+	if err := f.install(answer, 0, false); err != nil {
 		events.FollowerCopyUnusable.Log(f.options.Log, zap.Error(err))
 	}
 }
 
-// first asks for the whole content until there is one. A source that does not
-// answer holds nothing up: the next one is asked as well after a short time. An
-// instance that has no copy can serve nobody before this is over.
-func (f *Follower) first(ctx context.Context) {
+// fetchInitial fetches the complete configuration, unless a cached copy was
+// applied. Requests are hedged, so that an unresponsive source delays the start
+// only briefly: an instance without a configuration cannot serve requests.
+func (f *Follower) fetchInitial(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait := nextSource
-	for at := 0; ; at++ {
+	hedgeDelay := initialHedgeDelay
+	for attempt := 0; ; attempt++ {
 		answered := make(chan struct{})
 		if sources := f.options.Sources(); len(sources) > 0 {
-			source := sources[at%len(sources)]
+			source := sources[attempt%len(sources)]
 			f.running.Go(func() {
 				defer close(answered)
 				_ = f.Fetch(ctx, source, 0)
 			})
 		}
-		timer := time.NewTimer(wait + rand.N(wait/2))
+		timer := time.NewTimer(hedgeDelay + rand.N(hedgeDelay/2))
 		select {
 		case <-f.ready:
 		case <-ctx.Done():
 		case <-answered:
-			pause(ctx)
+			sleepRetryDelay(ctx)
 		case <-timer.C:
-			wait = min(2*wait, maxNextSource)
+			hedgeDelay = min(2*hedgeDelay, maxHedgeDelay)
 		}
 		timer.Stop()
 		if revision, _ := f.RevisionInForce(); revision > 0 || ctx.Err() != nil {
@@ -207,68 +215,72 @@
 	}
 }
 
-// run asks one source after the other, staying with one that answers.
+// run long-polls a source for as long as it responds, and moves on to the next one
+// after a failure.
 func (f *Follower) run(ctx context.Context) {
-	f.first(ctx)
-	at, failed := 0, 0
+	f.fetchInitial(ctx)
+	index, failed := 0, 0
 	for ctx.Err() == nil {
 		sources := f.options.Sources()
 		if len(sources) == 0 {
-			pause(ctx)
+			sleepRetryDelay(ctx)
 			continue
 		}
-		err := f.Fetch(ctx, sources[at%len(sources)], pollWait)
+		err := f.Fetch(ctx, sources[index%len(sources)], longPollWait)
 		if err == nil {
 			failed = 0
 			continue
 		}
-		at++
+		index++
 		failed++
 		if failed == len(sources) && ctx.Err() == nil {
 			events.FollowerBehind.Log(f.options.Log, zap.Error(err))
 		}
-		pause(ctx)
+		sleepRetryDelay(ctx)
 	}
 }
 
-// FetchNewer asks an instance that was seen to have a newer revision. It does
-// nothing while an earlier call still asks, or while this instance has no copy
-// yet: many instances tell of a revision at once, and each answer could be the
-// whole content.
+// FetchNewer fetches from an instance that has advertised a newer revision. It does
+// nothing while an earlier call is in progress, or while this instance has no
+// configuration: many instances advertise a revision at once, and each reply could
+// be the complete configuration.
 func (f *Follower) FetchNewer(ctx context.Context, source Source) error {
-	if revision, _ := f.RevisionInForce(); revision == 0 || !f.fetching.CompareAndSwap(false, true) {
+	if revision, _ := f.RevisionInForce(); revision == 0 || !f.isFetchingNewer.CompareAndSwap(false, true) {
 		return nil
 	}
-	defer f.fetching.Store(false)
+	defer f.isFetchingNewer.Store(false)
 	return f.Fetch(ctx, source, 0)
 }
 
-// Fetch asks one source, which may wait for something new, and takes what it
-// has.
+// Fetch requests a newer configuration from one source, which may delay its reply
+// for wait until there is one, and installs it. If an incremental change cannot be
+// installed, Fetch requests the complete configuration.
 func (f *Follower) Fetch(ctx context.Context, source Source, wait time.Duration) error {
-	have, _ := f.RevisionInForce()
-	answer, err := f.ask(ctx, source, uint64(have), wait)
+	current, _ := f.RevisionInForce()
+	answer, err := f.requestWatch(ctx, source, uint64(current), wait)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	err = f.take(answer, uint64(have), true)
+	err = f.install(answer, uint64(current), true)
 	if err == nil {
 		return nil
 	}
-	if answer, err = f.ask(ctx, source, 0, 0); err != nil {
+	if answer, err = f.requestWatch(ctx, source, 0, 0); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(f.take(answer, 0, true))
+	return trace.Wrap(f.install(answer, 0, true))
 }
 
-func (f *Follower) ask(ctx context.Context, source Source, have uint64, wait time.Duration) (*rpc.WatchAnswer, error) {
-	slack := pollSlack
+// requestWatch sends one request. A revision of zero requests the complete
+// configuration, which gets a longer timeout.
+func (f *Follower) requestWatch(ctx context.Context, source Source, have uint64, wait time.Duration) (*rpc.WatchAnswer, error) {
+	timeout := longPollGrace
 	if have == 0 {
-		slack = fullSlack
+		timeout = fullFetchTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, wait+slack)
+	pollContext, cancel := context.WithTimeout(ctx, wait+timeout)
 	defer cancel()
-	return source.Watch(bounded, &rpc.WatchRequest{
+	return source.Watch(pollContext, &rpc.WatchRequest{
 		Instance:  string(f.options.Instance),
 		Zone:      string(f.options.Zone),
 		Revision:  have,
@@ -276,13 +288,14 @@
 	})
 }
 
-// take puts the answer in force if it is newer, and saves it first.
+// install applies a received configuration if it is newer than the current one,
+// after writing it to the cache.
 //
-// If it were in force before it is durable, a crash in between would bring the
-// instance back with an older configuration than it had served.
-func (f *Follower) take(answer *rpc.WatchAnswer, from uint64, save bool) error {
-	f.takes.Lock()
-	defer f.takes.Unlock()
+// The write comes first: if a crash occurred between applying and writing, the
+// restarted instance would serve an older configuration than before.
+func (f *Follower) install(answer *rpc.WatchAnswer, from uint64, save bool) error {
+	f.installMu.Lock()
+	defer f.installMu.Unlock()
 	f.mu.Lock()
 	current, content := f.revision, f.content
 	f.mu.Unlock()
@@ -290,7 +303,7 @@
 		return nil
 	}
 	if !answer.GetFull() && from != current {
-		// Another source was quicker; these changes start from an older copy.
+		// Another source was faster: the change is based on an older revision.
 		return nil
 	}
 	if answer.GetFull() {
@@ -307,14 +320,16 @@
 		return trace.Wrap(err)
 	}
 	if save {
-		f.save(answer.GetRevision(), content)
+		f.saveCopy(answer.GetRevision(), content)
 	}
 	f.options.OnConfiguration(&decoded)
-	f.put(answer, current, content)
+	f.publish(answer, current, content)
 	return nil
 }
 
-func (f *Follower) put(answer *rpc.WatchAnswer, from uint64, content *configuration.Content) {
+// publish makes the configuration the current one, retains the change for relaying
+// and wakes waiting Watch calls.
+func (f *Follower) publish(answer *rpc.WatchAnswer, from uint64, content *configuration.Content) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.revision == 0 {
@@ -326,18 +341,19 @@
 	if answer.GetFull() {
 		f.changes = nil
 	} else {
-		f.changes = append(f.changes, change{from: from, to: answer.GetRevision(), items: answer.GetItems()})
+		f.changes = append(f.changes, revisionChange{from: from, to: answer.GetRevision(), items: answer.GetItems()})
 	}
-	if len(f.changes) > keptChanges {
+	if len(f.changes) > maxRetainedChanges {
 		f.changes = f.changes[1:]
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// save keeps the copy for the next process. A failure does not keep the
-// revision out of force: callers are better served by it than by an older one.
-func (f *Follower) save(revision uint64, content *configuration.Content) {
+// saveCopy writes the configuration to the cache for the next process. After a
+// failed write the revision is applied nevertheless: requests are better served
+// with it than with an older one.
+func (f *Follower) saveCopy(revision uint64, content *configuration.Content) {
 	if f.options.Files == nil {
 		return
 	}
@@ -347,16 +363,16 @@
 		Items:    content.Items(),
 	})
 	if err == nil {
-		err = f.options.Files.WriteAtomic(savedFile, data)
+		err = f.options.Files.WriteAtomic(cacheFileName, data)
 	}
 	if err != nil {
 		events.FollowerNotSaved.Log(f.options.Log, zap.Error(err))
 	}
 }
 
-// pause waits a random time.
-func pause(ctx context.Context) {
-	timer := time.NewTimer(minPause + rand.N(maxPause-minPause))
+// sleepRetryDelay waits for a random delay before a retry.
+func sleepRetryDelay(ctx context.Context) {
+	timer := time.NewTimer(minRetryDelay + rand.N(maxRetryDelay-minRetryDelay))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/control/follower/relay.go
+++ b/control/follower/relay.go
@@ -11,14 +11,14 @@
 	"github.com/carawaystile/carawaystile/store"
 )
 
-// Watch passes the configuration in force here on to another instance, so that
-// one which reaches no control instance gets it too.
+// Watch is a long poll that relays the applied configuration to another instance,
+// so that an instance without a connection to control instances receives it too.
 func (f *Follower) Watch(ctx context.Context, request *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
-	wait := min(max(0, time.Duration(request.GetWaitNanos())), pollWait)
+	wait := min(max(0, time.Duration(request.GetWaitNanos())), longPollWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		answer, changed := f.answer(request.GetRevision())
+		answer, changed := f.answerSince(request.GetRevision())
 		if answer.GetRevision() > request.GetRevision() {
 			return answer, nil
 		}
@@ -32,17 +32,18 @@
 	}
 }
 
-// answer brings a caller that has the given revision up to date; it also
-// returns the channel that is closed at the next change.
-func (f *Follower) answer(have uint64) (*rpc.WatchAnswer, <-chan struct{}) {
+// answerSince returns the reply to a caller with the given revision: retained
+// incremental changes if they reach back that far, otherwise the complete
+// configuration. It also returns a channel that is closed at the next change.
+func (f *Follower) answerSince(have uint64) (*rpc.WatchAnswer, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.revision <= have {
 		return &rpc.WatchAnswer{Revision: have}, f.changed
 	}
 	answer := &rpc.WatchAnswer{Revision: f.revision, Digest: f.content.Digest()}
-	for i, c := range f.changes {
-		if c.from == have {
+	for i, change := range f.changes {
+		if change.from == have {
 			for _, next := range f.changes[i:] {
 				answer.Items = append(answer.Items, next.items...)
 			}
@@ -54,30 +55,36 @@
 	return answer, f.changed
 }
 
-// Relay serves the control interface of an instance without the control role: it
-// passes configurations on and declines the rest.
+// Relay implements the control interface for instances without the control role. It
+// relays configurations to other instances and rejects all other calls.
 type Relay struct {
 	*Follower
 }
 
 var _ rpc.Control = Relay{}
 
-// Execute declines.
-func (Relay) Execute(context.Context, *rpc.Command) (*rpc.Result, error) { return nil, declined() }
+// Execute rejects the command.
+func (Relay) Execute(context.Context, *rpc.Command) (*rpc.Result, error) {
+	return nil, errNoControlRole()
+}
 
-// Deliver declines.
+// Deliver rejects the messages.
 func (Relay) Deliver(context.Context, *rpc.DeliverRequest) (*rpc.DeliverAnswer, error) {
-	return nil, declined()
+	return nil, errNoControlRole()
 }
 
-// Join declines.
-func (Relay) Join(context.Context, *rpc.JoinRequest) (*rpc.JoinAnswer, error) { return nil, declined() }
+// Join rejects the request.
+func (Relay) Join(context.Context, *rpc.JoinRequest) (*rpc.JoinAnswer, error) {
+	return nil, errNoControlRole()
+}
 
-func declined() error {
+// errNoControlRole returns the error of rejected calls.
+func errNoControlRole() error {
 	return twirp.NewError(twirp.Unimplemented, "this instance does not have the control role")
 }
 
-func isMissing(err error) bool {
+// isFileMissing reports whether the cause of an error is a missing file.
+func isFileMissing(err error) bool {
 	var missing *store.Missing
 	return errors.As(err, &missing)
 }
--- a/control/operator/operator.go
+++ b/control/operator/operator.go
@@ -1,4 +1,6 @@
-// Package operator serves the operators' command at a control instance.
+// Package operator implements the RPC service of the operators' command line tool
+// on a control instance: status, configuration changes with optimistic concurrency
+// control, history and backups.
 package operator
 
 import (
@@ -14,25 +16,27 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Options sets the service up.
+// Options configures a Service.
 type Options struct {
 	Server   *server.Server
 	Instance tables.InstanceID
 	Zone     tables.Zone
-	// InstanceStatuses returns what this instance knows of all instances.
+	// InstanceStatuses returns this instance's view of all instances; nil means
+	// that Status lists none.
 	InstanceStatuses func() []*rpc.InstanceStatus
 }
 
-// Service implements rpc.Operator. The keys of operators are checked by the
-// handler around it (see keys.Require).
+// Service implements rpc.Operator. The handler that wraps it authenticates
+// operators (see keys.Require).
 type Service struct {
 	options Options
 }
 
-// NewService returns the service.
+// NewService returns a Service.
 func NewService(options Options) *Service { return &Service{options: options} }
 
-// Status says what this instance is doing and what it knows of the others.
+// Status returns the state of this instance and its view of the others. It does not
+// require a quorum.
 func (s *Service) Status(context.Context, *rpc.StatusRequest) (*rpc.StatusAnswer, error) {
 	answer := &rpc.StatusAnswer{
 		Instance: string(s.options.Instance),
@@ -46,50 +50,51 @@
 	return answer, nil
 }
 
-// Apply puts a configuration in force if the base revision still is. It
-// compares the content with the base here and has the difference agreed; the
-// state machine checks again that the two fit together.
+// Apply replaces the configuration if the base revision is still the current one
+// (optimistic concurrency control). It computes the changes against the base on
+// this replica and proposes only these; the state machine verifies again that
+// changes and base match.
 func (s *Service) Apply(ctx context.Context, request *rpc.ApplyRequest) (*rpc.ChangeAnswer, error) {
 	if err := configuration.Validate(request.GetItems()); err != nil {
 		return nil, twirp.InvalidArgumentError("items", err.Error())
 	}
-	// A base that is not known here may be newer than what this replica has
-	// applied.
+	// A base that this replica does not know may be newer than its last applied
+	// entry.
 	if tables.Revision(request.GetBase()) > s.options.Server.Revision() {
 		if err := s.options.Server.Barrier(ctx); err != nil {
-			return nil, unavailable(err)
+			return nil, unavailableError(err)
 		}
 	}
-	wanted := configuration.NewContent(request.GetItems())
+	desired := configuration.NewContent(request.GetItems())
 	command := &rpc.ApplyConfiguration{
 		Operator: request.GetOperator(),
 		Request:  request.GetRequest(),
 		Base:     request.GetBase(),
-		Digest:   wanted.DeclaredDigest(),
+		Digest:   desired.DeclaredDigest(),
 	}
 	s.options.Server.View(func(in *state.State) {
 		if uint64(in.Revision()) == request.GetBase() {
-			command.Changes = configuration.ChangedItems(in.Content(), wanted)
+			command.Changes = configuration.ChangedItems(in.Content(), desired)
 		}
 	})
-	answer, err := s.change(ctx, &rpc.Command{Action: &rpc.Command_Apply{Apply: command}})
+	answer, err := s.executeChange(ctx, &rpc.Command{Action: &rpc.Command_Apply{Apply: command}})
 	if err != nil {
 		return nil, err
 	}
 	if answer.GetConflict() != nil {
-		s.addDifference(ctx, answer, wanted)
+		s.addDiffToConflict(ctx, answer, desired)
 	}
 	return answer, nil
 }
 
-// addDifference shows what the refused content would change in what is in
-// force.
-func (s *Service) addDifference(ctx context.Context, answer *rpc.ChangeAnswer, wanted *configuration.Content) {
+// addDiffToConflict adds the changes that the rejected content would make to the
+// current configuration. It leaves them out if there is no quorum.
+func (s *Service) addDiffToConflict(ctx context.Context, answer *rpc.ChangeAnswer, desired *configuration.Content) {
 	if err := s.options.Server.Barrier(ctx); err != nil {
 		return
 	}
 	s.options.Server.View(func(in *state.State) {
-		for _, change := range configuration.DiffContents(in.Content(), wanted) {
+		for _, change := range configuration.DiffContents(in.Content(), desired) {
 			answer.Difference = append(answer.Difference, &rpc.ItemChange{
 				Kind:   change.Key.Kind,
 				Name:   change.Key.Name,
@@ -100,10 +105,10 @@
 	})
 }
 
-// Configuration gives the configuration in force, as agreed by the quorum.
+// Configuration returns the current configuration as a linearizable read.
 func (s *Service) Configuration(ctx context.Context, _ *rpc.ConfigurationRequest) (*rpc.ConfigurationAnswer, error) {
 	if err := s.options.Server.Barrier(ctx); err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	answer := &rpc.ConfigurationAnswer{Revision: &rpc.Revision{}}
 	s.options.Server.View(func(in *state.State) {
@@ -115,10 +120,10 @@
 	return answer, nil
 }
 
-// History gives the newest accepted revisions, newest first.
+// History returns the accepted revisions, newest first, as a linearizable read.
 func (s *Service) History(ctx context.Context, request *rpc.HistoryRequest) (*rpc.HistoryAnswer, error) {
 	if err := s.options.Server.Barrier(ctx); err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	answer := &rpc.HistoryAnswer{}
 	s.options.Server.View(func(in *state.State) {
@@ -138,13 +143,14 @@
 	return s.changeLife(ctx, request, false)
 }
 
-// EndpointJoin lets an endpoint join as a newer life.
+// EndpointJoin lets an endpoint join again with the next life.
 func (s *Service) EndpointJoin(ctx context.Context, request *rpc.EndpointRequest) (*rpc.ChangeAnswer, error) {
 	return s.changeLife(ctx, request, true)
 }
 
+// changeLife executes a leave or join of an endpoint.
 func (s *Service) changeLife(ctx context.Context, request *rpc.EndpointRequest, join bool) (*rpc.ChangeAnswer, error) {
-	return s.change(ctx, &rpc.Command{Action: &rpc.Command_ChangeLife{ChangeLife: &rpc.ChangeLife{
+	return s.executeChange(ctx, &rpc.Command{Action: &rpc.Command_ChangeLife{ChangeLife: &rpc.ChangeLife{
 		Operator: request.GetOperator(),
 		Request:  request.GetRequest(),
 		Endpoint: request.GetEndpoint(),
@@ -153,10 +159,11 @@
 	}}})
 }
 
-func (s *Service) change(ctx context.Context, command *rpc.Command) (*rpc.ChangeAnswer, error) {
+// executeChange executes a command and converts its result.
+func (s *Service) executeChange(ctx context.Context, command *rpc.Command) (*rpc.ChangeAnswer, error) {
 	result, err := s.options.Server.Execute(ctx, command)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	switch answer := result.GetAnswer().(type) {
 	case *rpc.Result_Accepted:
@@ -168,17 +175,18 @@
 	}
 }
 
-// unavailable tells the command that the change may or may not be in force. It
-// can be sent again under the same request id.
-func unavailable(err error) error {
+// unavailableError tells the client that the outcome is unknown: the change may or
+// may not have been committed. The client can safely retry it with the same request
+// ID.
+func unavailableError(err error) error {
 	return twirp.NewError(twirp.Unavailable, trace.Unwrap(err).Error())
 }
 
-// Backup gives the replicated state, to be kept elsewhere.
+// Backup returns a backup of the replicated state for storage elsewhere.
 func (s *Service) Backup(ctx context.Context, _ *rpc.BackupRequest) (*rpc.Backup, error) {
 	backup, err := s.options.Server.Backup(ctx)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	return backup, nil
 }
--- a/control/transport/transport.go
+++ b/control/transport/transport.go
@@ -1,4 +1,5 @@
-// Package transport carries the control interface between instances over HTTP.
+// Package transport provides RPC clients and the HTTP handler of the control
+// interface between instances.
 package transport
 
 import (
@@ -8,32 +9,33 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// Dialer gives control interfaces by address. It is safe for concurrent use.
+// Dialer returns RPC clients of the control interface, one for each address. It is
+// safe for concurrent use.
 type Dialer struct {
 	client  *http.Client
 	mu      sync.Mutex
 	clients map[string]rpc.Control
 }
 
-// NewDialer returns a dialer over the client, which proves this instance to the
-// others (see keys.Transport).
+// NewDialer returns a Dialer whose RPC clients use the given HTTP client, which
+// authenticates this instance to others (see keys.Transport).
 func NewDialer(client *http.Client) *Dialer {
 	return &Dialer{client: client, clients: map[string]rpc.Control{}}
 }
 
-// Control returns the control interface at an address. It keeps one for each
-// address; there are as many as control instances in the settings.
+// Control returns the RPC client for an address. Clients are cached and never
+// evicted; their number is bounded by the instances that are asked.
 func (d *Dialer) Control(address string) rpc.Control {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.clients[address]
-	if known == nil {
-		known = rpc.NewControlProtobufClient("http://"+address, d.client)
-		d.clients[address] = known
+	client := d.clients[address]
+	if client == nil {
+		client = rpc.NewControlProtobufClient("http://"+address, d.client)
+		d.clients[address] = client
 	}
-	return known
+	return client
 }
 
-// NewHandler returns the handler of the control interface. The path that it
-// has to be served under is rpc.ControlPathPrefix.
+// NewHandler returns the HTTP handler of the control interface. It must be served
+// under rpc.ControlPathPrefix.
 func NewHandler(control rpc.Control) http.Handler { return rpc.NewControlServer(control) }
