--- a/daemon/boot_epoch.go
+++ b/daemon/boot_epoch.go
@@ -9,17 +9,18 @@
 	"github.com/carawaystile/carawaystile/store"
 )
 
-// bootFile holds the number of this instance's newest life.
-const bootFile = "boot"
+// bootEpochFile is the name of the file that holds the boot epoch of this
+// instance's latest start.
+const bootEpochFile = "boot"
 
-// nextBoot returns a number that is higher than that of every earlier life of
-// this instance, and at least atLeast. It is on disk before it is used: claims
-// and request identities of two lives must never be taken for one another. The
-// wall clock serves as atLeast, so that a lost data folder does not start again
-// at a number already used.
-func nextBoot(folder *store.Folder, atLeast uint64) (uint64, error) {
-	boot := atLeast
-	raw, err := folder.ReadAtomic(bootFile)
+// nextBootEpoch returns the boot epoch of this start: a number that is at least
+// minimum and higher than that of every earlier start of this instance. The number
+// is written to disk before it is used, because claims and request identifiers of
+// two starts must never be confused. The wall clock serves as minimum, so that an
+// instance that has lost its data folder does not reuse a number.
+func nextBootEpoch(folder *store.Folder, minimum uint64) (uint64, error) {
+	boot := minimum
+	raw, err := folder.ReadAtomic(bootEpochFile)
 	var missing *store.Missing
 	switch {
 	case errors.As(err, &missing):
@@ -29,5 +30,5 @@
 		boot = max(boot, binary.LittleEndian.Uint64(raw)+1)
 	}
 	raw = binary.LittleEndian.AppendUint64(nil, boot)
-	return boot, trace.Wrap(folder.WriteAtomic(bootFile, raw))
+	return boot, trace.Wrap(folder.WriteAtomic(bootEpochFile, raw))
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -26,41 +26,42 @@
 const (
 	// dialTimeout bounds the opening of a connection to another instance.
 	dialTimeout = time.Second
-	// idleInstanceConnections bounds pooled connections to one instance.
-	idleInstanceConnections = 16
-	// bootstrapPause is the time between two tries to apply the first
-	// declarations, while the control group is being formed.
-	bootstrapPause = 200 * time.Millisecond
-	// fetchTimeout bounds asking one instance for a newer configuration.
+	// maxIdlePeerConnections bounds the idle connections in the pool for each
+	// instance.
+	maxIdlePeerConnections = 16
+	// bootstrapRetryDelay is the delay between two attempts to apply the initial
+	// configuration while the control group is being formed.
+	bootstrapRetryDelay = 200 * time.Millisecond
+	// fetchTimeout bounds the request for a newer configuration to one instance.
 	fetchTimeout = 2 * time.Second
 )
 
-// bootstrapName is the operator, and the request, that the first declarations
-// are applied under. Every control instance sends the same request, so that it
-// counts once.
+// bootstrapName is the operator and the request ID under which the initial
+// configuration is applied. All control instances send the same request, so that it
+// is deduplicated and applied once.
 const bootstrapName = "bootstrap"
 
-// startControl starts what this instance needs of the control state: its part
-// of the control group if it has the role, and the follower and claims of every
-// instance.
-func (d *Daemon) startControl() error {
+// startControlClients creates the RPC clients of the control state and the claim
+// client, and starts a replica of the control state if this instance has the
+// control role.
+func (d *Daemon) startControlClients() error {
 	dial := d.options.Dial
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
-	base := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idleInstanceConnections}
+	base := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdlePeerConnections}
 	d.peerTransport = base
 	d.dialer = transport.NewDialer(&http.Client{Transport: &keys.Transport{Ring: d.instanceKeys, Base: base}})
-	d.peers = newPeers(d.instanceKeys, base, d.entryPeers, d.options.Log)
+	d.suspectNotifier = newSuspectNotifier(d.instanceKeys, base, d.liveEntryPeers, d.options.Log)
 	if d.options.Process.Control {
 		if err := d.startReplica(); err != nil {
 			return err
 		}
 	}
 	d.claims = client.NewClaimClient(client.ClaimClientOptions{
-		Executor: client.NewFailoverExecutor(d.executors()...),
+		Executor: client.NewFailoverExecutor(d.commandExecutors()...),
 		Instance: d.options.Process.Instance,
-		Boot:     d.boot,
+		Boot:     d.bootEpoch,
 		Now:      d.now,
 		Log:      d.options.Log,
 	})
@@ -92,27 +93,28 @@
 		return trace.Wrap(err)
 	}
 	d.replica = replica
-	d.operators = operator.NewService(operator.Options{
+	d.operatorService = operator.NewService(operator.Options{
 		Server: replica, Instance: p.Instance, Zone: p.Zone, InstanceStatuses: d.instanceStatuses,
 	})
 	return nil
 }
 
-// startFollower puts the last accepted configuration in force, and follows.
+// startFollower applies the cached configuration and starts to poll for newer ones.
 func (d *Daemon) startFollower() {
 	d.follower = follower.Start(follower.Options{
 		Instance:        d.options.Process.Instance,
 		Zone:            d.options.Process.Zone,
-		Sources:         d.sources,
+		Sources:         d.configurationSources,
 		Files:           d.folder,
-		OnConfiguration: d.configure,
+		OnConfiguration: d.applyConfiguration,
 		Log:             d.options.Log,
 	})
 }
 
-// nearControl lists the control instances, those of the own availability zone
-// first: they are reached when the zone is cut off.
-func (d *Daemon) nearControl() []settings.ControlInstance {
+// controlInstancesByProximity returns the control instances, those of the own
+// availability zone first: they stay reachable when the zone is partitioned from
+// the others.
+func (d *Daemon) controlInstancesByProximity() []settings.ControlInstance {
 	var near, far []settings.ControlInstance
 	for _, c := range d.options.Process.ControlInstances {
 		if c.Zone == d.options.Process.Zone {
@@ -124,41 +126,45 @@
 	return append(near, far...)
 }
 
-// controls lists the control interfaces in the order they are asked in.
-func (d *Daemon) controls() []rpc.Control {
-	var controls []rpc.Control
+// controlClients returns the clients of the control instances in order of
+// preference: the own replica, then other instances by proximity.
+func (d *Daemon) controlClients() []rpc.Control {
+	var clients []rpc.Control
 	if d.replica != nil {
-		controls = append(controls, d.replica)
+		clients = append(clients, d.replica)
 	}
-	for _, c := range d.nearControl() {
+	for _, c := range d.controlInstancesByProximity() {
 		if d.replica == nil || c.Name != d.options.Process.Instance {
-			controls = append(controls, d.dialer.Control(c.Address.String()))
+			clients = append(clients, d.dialer.Control(c.Address.String()))
 		}
 	}
-	return controls
+	return clients
 }
 
-func (d *Daemon) executors() []client.Executor {
+// commandExecutors returns controlClients as executors.
+func (d *Daemon) commandExecutors() []client.Executor {
 	var executors []client.Executor
-	for _, c := range d.controls() {
+	for _, c := range d.controlClients() {
 		executors = append(executors, c)
 	}
 	return executors
 }
 
-// sources lists whom the follower asks for newer configurations.
-func (d *Daemon) sources() []follower.Source {
+// configurationSources returns the sources of the follower in order of preference:
+// control instances, then a few other instances.
+func (d *Daemon) configurationSources() []follower.Source {
 	var sources []follower.Source
-	for _, c := range d.controls() {
+	for _, c := range d.controlClients() {
 		sources = append(sources, c)
 	}
-	for _, m := range d.nearPeers() {
+	for _, m := range d.peerSourcesByProximity() {
 		sources = append(sources, d.dialer.Control(m.Control.String()))
 	}
 	return sources
 }
 
-// controlHandler serves the control interface to other instances.
+// controlHandler returns the HTTP handler of the control interface: that of the own
+// replica, or a relay of the configuration.
 func (d *Daemon) controlHandler() http.Handler {
 	if d.replica != nil {
 		return transport.NewHandler(d.replica)
@@ -166,8 +172,8 @@
 	return transport.NewHandler(follower.Relay{Follower: d.follower})
 }
 
-// bootstrap applies the first declarations of a deployment, once: it does
-// nothing if any configuration was ever accepted.
+// bootstrap applies the initial configuration of a deployment. It does nothing once
+// any configuration has been accepted.
 func (d *Daemon) bootstrap(ctx context.Context) {
 	items, err := configuration.Encode(*d.options.Declarations)
 	if err != nil {
@@ -176,7 +182,7 @@
 	}
 	request := &rpc.ApplyRequest{Operator: bootstrapName, Request: bootstrapName, Items: items}
 	for ctx.Err() == nil && d.replica.Revision() == 0 {
-		answer, err := d.operators.Apply(ctx, request)
+		answer, err := d.operatorService.Apply(ctx, request)
 		if err == nil {
 			if refusal := answer.GetRefusal(); refusal != nil {
 				events.BootstrapFailed.Log(d.options.Log, zap.Stringer("refusal", refusal.GetReason()))
@@ -185,12 +191,12 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(bootstrapPause):
+		case <-time.After(bootstrapRetryDelay):
 		}
 	}
 }
 
-// stopControl ends what startControl and startFollower started.
+// stopControl stops what startControlClients and startFollower have started.
 func (d *Daemon) stopControl() {
 	if d.follower != nil {
 		d.follower.Close()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,7 +1,8 @@
-// Package daemon assembles one instance from its settings: the entry with its
-// router and the readers of endpoint reports, the control role, membership, and
-// the listeners. The command carawaystiled is a thin shell around it; the demo
-// and the scenarios start several in one process.
+// Package daemon assembles one instance from its settings: the entry role with its
+// router and the load reports of endpoints, the control role, membership with
+// failure detection, and the HTTP listeners. The command carawaystiled only adds
+// flags and signals; the demo and the scenarios start several instances in one
+// process.
 package daemon
 
 import (
@@ -35,86 +36,88 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Options are what an instance is started from.
+// Options configures a Daemon.
 type Options struct {
 	Process *settings.Process
-	// Declarations are applied by control instances when no configuration was
-	// ever accepted; nil means none.
+	// Declarations are the initial configuration. Control instances apply it if no
+	// configuration has ever been accepted; nil means none.
 	Declarations *tables.Configuration
 	Log          *zap.Logger
-	// Dial opens connections to other instances and to endpoints; nil means
-	// TCP. Tests cut availability zones off here.
+	// Dial opens connections to other instances and to endpoints; nil means TCP.
+	// Tests use it to partition availability zones.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// IsReachable says whether membership's datagrams to an address arrive; nil
-	// means that all do. Like Dial it is for tests that cut zones off.
+	// IsReachable reports whether membership datagrams to an address are delivered;
+	// nil means that all are. Like Dial, it is used by tests to partition
+	// availability zones.
 	IsReachable func(to netip.AddrPort) bool
-	// Listen opens the instance's TCP listeners; nil means TCP. Tests hand in
-	// listeners that they hold already, so that no other process takes the
+	// Listen opens the TCP listeners of the instance; nil means net.Listen. Tests
+	// return listeners that are already open, so that no other process can take the
 	// port.
 	Listen func(at netip.AddrPort) (net.Listener, error)
-	// LoadReportInterval is the time between two load reports of an endpoint; 0 means
-	// the default.
+	// LoadReportInterval is the interval between two load reports of an endpoint; 0
+	// means the default.
 	LoadReportInterval time.Duration
 }
 
-// Daemon is one running instance. Its methods are safe for concurrent use.
+// Daemon is a running instance. Its methods are safe for concurrent use.
 type Daemon struct {
-	options  Options
-	started  time.Time
-	boot     uint64
-	registry *metrics.Registry
-	folder   *store.Folder
+	options   Options
+	started   time.Time
+	bootEpoch uint64
+	registry  *metrics.Registry
+	folder    *store.Folder
 
 	operatorKeys *keys.Ring
 	instanceKeys *keys.Ring
 	client       *engine.HTTPClient
 
-	// The entry role; nil without it.
-	router *router.Router
-	entry  *entry.Server
-	feeds  *feed.PollerGroup
-	// callers serves the entry.
-	callers *http.Server
+	// The following fields belong to the entry role; they are nil without it.
+	router    *router.Router
+	entry     *entry.Server
+	feedGroup *feed.PollerGroup
+	// callerServer is the HTTP server for callers' requests.
+	callerServer *http.Server
 
 	peerTransport *http.Transport
 	dialer        *transport.Dialer
 	follower      *follower.Follower
 	claims        *client.ClaimClient
-	// members is nil until the instance has joined.
-	members atomic.Pointer[gossip.Gossip]
-	peers   *peers
-	// placements wait to be told to the other instances.
-	hints   gossip.HintQueue
-	inForce atomic.Pointer[inForce]
-	// The control role; nil without it.
-	replica   *server.Server
-	operators *operator.Service
+	// members is nil until the instance has joined the membership.
+	members         atomic.Pointer[gossip.Gossip]
+	suspectNotifier *suspectNotifier
+	// hintQueue holds prefix placements that have not been sent to other instances
+	// yet.
+	hintQueue gossip.HintQueue
+	active    atomic.Pointer[activeConfiguration]
+	// The following fields belong to the control role; they are nil without it.
+	replica         *server.Server
+	operatorService *operator.Service
 
 	listeners  listeners
-	stopping   context.Context
-	stop       context.CancelFunc
-	ending     sync.Once
+	runContext context.Context
+	cancel     context.CancelFunc
+	stopOnce   sync.Once
 	background sync.WaitGroup
 }
 
-// Start starts the instance and returns once it listens.
+// Start starts an instance. It returns once the listeners are open.
 func Start(o Options) (*Daemon, error) {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
 	d := &Daemon{options: o, started: time.Now(), registry: metrics.NewRegistry()}
-	d.stopping, d.stop = context.WithCancel(context.Background())
+	d.runContext, d.cancel = context.WithCancel(context.Background())
 	if err := d.start(); err != nil {
 		d.Stop()
 		return nil, trace.Wrap(err)
 	}
 	events.DaemonStarted.Log(o.Log, zap.String("instance", string(o.Process.Instance)),
 		zap.String("zone", string(o.Process.Zone)), zap.Bool("entry", o.Process.Entry),
-		zap.Bool("control", o.Process.Control), zap.Uint64("boot", d.boot))
+		zap.Bool("control", o.Process.Control), zap.Uint64("boot", d.bootEpoch))
 	return d, nil
 }
 
-// start starts the parts, each after those it uses.
+// start starts the components in the order of their dependencies.
 func (d *Daemon) start() error {
 	if err := d.openFolder(); err != nil {
 		return err
@@ -122,7 +125,7 @@
 	if err := d.readKeys(); err != nil {
 		return err
 	}
-	if err := d.startControl(); err != nil {
+	if err := d.startControlClients(); err != nil {
 		return err
 	}
 	d.client = engine.NewHTTPClient(engine.Options{Dial: d.options.Dial})
@@ -138,53 +141,55 @@
 	if err := d.startMembership(); err != nil {
 		return err
 	}
-	d.background.Go(func() { d.peers.run(d.stopping) })
+	d.background.Go(func() { d.suspectNotifier.run(d.runContext) })
 	if d.replica != nil {
-		d.startOrders()
+		d.startOrderController()
 	}
 	if d.entry != nil {
-		d.background.Go(d.tellPlacements)
+		d.background.Go(d.runPlacementHints)
 	}
 	if d.entry != nil && d.options.Process.PlatformList.IsValid() {
-		d.background.Go(func() { d.watchPlatform(d.stopping) })
+		d.background.Go(func() { d.runPlatformPolling(d.runContext) })
 	}
-	d.background.Go(d.rereadKeys)
+	d.background.Go(d.runKeyReload)
 	if d.replica != nil && d.options.Declarations != nil {
-		d.background.Go(func() { d.bootstrap(d.stopping) })
+		d.background.Go(func() { d.bootstrap(d.runContext) })
 	}
 	return nil
 }
 
+// openFolder opens the data folder and determines the boot epoch.
 func (d *Daemon) openFolder() error {
 	folder, err := store.OpenFolder(d.options.Process.Data)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	d.folder = folder
-	d.boot, err = nextBoot(folder, uint64(d.started.UnixNano()))
+	d.bootEpoch, err = nextBootEpoch(folder, uint64(d.started.UnixNano()))
 	return trace.Wrap(err)
 }
 
-// now reads the monotonic clock, as time since the instance started.
+// now returns the monotonic time since the instance started.
 func (d *Daemon) now() tables.Instant { return time.Since(d.started) }
 
-// configure puts a configuration in force on this instance. The follower calls
-// it with revisions that only grow.
-func (d *Daemon) configure(c *tables.Configuration) {
+// applyConfiguration applies a configuration to the components of this instance.
+// The follower calls it with increasing revisions.
+func (d *Daemon) applyConfiguration(c *tables.Configuration) {
 	if d.entry != nil {
 		d.entry.Configure(c)
-		d.feeds.Reconcile(c)
+		d.feedGroup.Reconcile(c)
 	}
-	d.inForce.Store(&inForce{configuration: c, since: time.Now()})
-	d.tellRevision()
+	d.active.Store(&activeConfiguration{configuration: c, since: time.Now()})
+	d.advertiseRevision()
 	events.ConfigurationServed.Log(d.options.Log, zap.Uint64("revision", uint64(c.Revision)))
 }
 
-// Configured is closed once a configuration is in force.
+// Configured returns a channel that is closed once a configuration has been
+// applied.
 func (d *Daemon) Configured() <-chan struct{} { return d.follower.Ready() }
 
-// Drain takes the instance out of service without cutting a request. It returns
-// early when the context ends.
+// Drain takes the instance out of service without interrupting requests. It returns
+// early with an error if the context ends.
 func (d *Daemon) Drain(ctx context.Context) error {
 	events.DaemonDrainStarted.Log(d.options.Log)
 	if d.entry == nil {
@@ -194,15 +199,17 @@
 		events.DaemonDrainCut.Log(d.options.Log, zap.Error(err))
 		return trace.Wrap(err)
 	}
-	shutdown.Flush(ctx, d.callers)
+	shutdown.Flush(ctx, d.callerServer)
 	return nil
 }
 
-// Stop ends the instance at once; open requests are cut.
-func (d *Daemon) Stop() { d.ending.Do(d.end) }
+// Stop stops the instance immediately and aborts open requests. Only the first call
+// has an effect.
+func (d *Daemon) Stop() { d.stopOnce.Do(d.shutDown) }
 
-func (d *Daemon) end() {
-	d.stop()
+// shutDown stops the components and closes the data folder.
+func (d *Daemon) shutDown() {
+	d.cancel()
 	if joined := d.members.Load(); joined != nil {
 		joined.Close()
 	}
@@ -210,7 +217,7 @@
 	d.background.Wait()
 	d.stopControl()
 	if d.entry != nil {
-		d.feeds.Close()
+		d.feedGroup.Close()
 		d.entry.Close()
 	}
 	if d.client != nil {
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -25,11 +25,12 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// ports holds listeners on loopback ports from their choice until an instance
-// takes them.
-type ports map[netip.AddrPort]net.Listener
+// heldListeners holds open listeners on loopback ports until an instance uses them,
+// so that no other process can take the ports.
+type heldListeners map[netip.AddrPort]net.Listener
 
-func (p ports) hold(t *testing.T) netip.AddrPort {
+// hold opens a listener on a free port and returns its address.
+func (p heldListeners) hold(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -39,7 +40,9 @@
 	return at
 }
 
-func (p ports) listen(at netip.AddrPort) (net.Listener, error) {
+// listen returns the held listener of an address and gives it up; other addresses
+// are opened anew.
+func (p heldListeners) listen(at netip.AddrPort) (net.Listener, error) {
 	if l := p[at]; l != nil {
 		delete(p, at)
 		return l, nil
@@ -47,12 +50,13 @@
 	return listenTCP(at)
 }
 
-// operatorKey is a key of the tests' instances.
+// operatorKey is the key of operators and instances in tests.
 var operatorKey = strings.Repeat("k", 40)
 
+// testOptions returns the options of an instance i1 with both roles.
 func testOptions(t *testing.T, declarations *tables.Configuration) Options {
 	t.Helper()
-	held := make(ports)
+	held := make(heldListeners)
 	file := filepath.Join(t.TempDir(), "key")
 	assert.NilError(t, os.WriteFile(file, []byte(operatorKey+"\n"), 0o600))
 	at := held.hold(t)
@@ -66,8 +70,11 @@
 	return Options{Process: process, Declarations: declarations, Listen: held.listen}
 }
 
+// testToken is the API token of the test organisation.
 const testToken = "token"
 
+// testDeclarations returns a configuration with one model, one profile and one
+// organisation over the given engines.
 func testDeclarations(engines ...*standin.Engine) *tables.Configuration {
 	sum := sha256.Sum256([]byte(testToken))
 	c := &tables.Configuration{
@@ -84,6 +91,8 @@
 	return c
 }
 
+// startTestEngine starts a stand-in engine that serves model m with the given
+// weights.
 func startTestEngine(t *testing.T, id tables.EndpointID, weights tables.WeightsVersion) *standin.Engine {
 	t.Helper()
 	e, err := standin.StartEngine(standin.EngineOptions{
@@ -94,6 +103,8 @@
 	return e
 }
 
+// complete sends a completion request and returns the status and body of the
+// response.
 func complete(t *testing.T, at netip.AddrPort, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+at.String()+"/v1/completions", strings.NewReader(body))
@@ -108,7 +119,9 @@
 	return resp.StatusCode, string(answer)
 }
 
-func TestInstanceServesAStreamedCompletion(t *testing.T) {
+// A streamed completion must arrive in full, and appear in the metrics and in
+// explain.
+func TestInstanceServesStreamedCompletion(t *testing.T) {
 	e := startTestEngine(t, "e1", "w1")
 	options := testOptions(t, testDeclarations(e))
 	process := options.Process
@@ -121,7 +134,7 @@
 	assert.Equal(t, strings.Count(answer, "data: "), 7, answer)
 	assert.Assert(t, strings.HasSuffix(answer, "data: [DONE]\n\n"), answer)
 
-	_, text := ask(t, process, "/metrics", operatorKey)
+	_, text := getOperatorPath(t, process, "/metrics", operatorKey)
 	assert.Assert(t, strings.Contains(text,
 		`carawaystile_organisation_time_to_first_token_seconds_count{organisation="o"} 1`), text)
 
@@ -131,13 +144,13 @@
 	var event struct{ ID string }
 	first, _, _ := strings.Cut(strings.TrimPrefix(answer, "data: "), "\n")
 	assert.NilError(t, json.Unmarshal([]byte(first), &event))
-	status, text = ask(t, process, ExplainPath+"?request="+event.ID, operatorKey)
+	status, text = getOperatorPath(t, process, ExplainPath+"?request="+event.ID, operatorKey)
 	assert.Equal(t, status, http.StatusOK, text)
 	assert.Assert(t, strings.Contains(text, `"endpoint":"e1"`), text)
 }
 
-// ask asks an instance's operators' side.
-func ask(t *testing.T, process *settings.Process, path, key string) (int, string) {
+// getOperatorPath sends a GET request to the operators' listener of an instance.
+func getOperatorPath(t *testing.T, process *settings.Process, path, key string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+process.Listen.Instances.String()+path, nil)
 	assert.NilError(t, err)
@@ -150,23 +163,23 @@
 	return resp.StatusCode, string(text)
 }
 
-// A caller finds the operators' address and tries its own token there. It must
-// learn neither measurements of other organisations nor where requests go.
-func TestCallersCannotReachTheOperatorsSide(t *testing.T) {
+// A caller that finds the operators' address and sends its own token there must
+// obtain neither measurements of other organisations nor routing decisions.
+func TestOperatorPathsRejectCallerToken(t *testing.T) {
 	options := testOptions(t, testDeclarations())
 	process := options.Process
 	d, err := Start(options)
 	assert.NilError(t, err)
 	defer d.Stop()
 	for _, path := range []string{"/metrics", MeasurementsPath, ExplainPath + "?request=r"} {
-		status, text := ask(t, process, path, testToken)
+		status, text := getOperatorPath(t, process, path, testToken)
 		assert.Equal(t, status, http.StatusUnauthorized, "%s gave %s", path, text)
 	}
 }
 
-// The status of an instance once gave the time of the revision before, since it
-// was read while the newer one was being put in force.
-func TestStatusSaysSinceWhenARevisionIsInForce(t *testing.T) {
+// Guards against a status that reports the activation time of the previous
+// revision: it was read while the newer revision was being applied.
+func TestStatusReportsActivationTimeOfRevision(t *testing.T) {
 	options := testOptions(t, testDeclarations())
 	before := time.Now()
 	d, err := Start(options)
@@ -179,10 +192,10 @@
 	assert.Assert(t, statuses[0].GetSince() >= before.UnixNano(), "since %v", time.Unix(0, statuses[0].GetSince()))
 }
 
-// The declarations name newer weights than an engine serves. Requests must not
-// be answered by the old ones, and the engine must be told to load the new ones
-// without anybody's help.
-func TestEngineIsToldToLoadDeclaredWeights(t *testing.T) {
+// The declarations name newer weights than the engine serves. Requests must not be
+// served with the old weights, and the engine must be ordered to load the new ones
+// without an operator's intervention.
+func TestEngineLoadsDeclaredWeights(t *testing.T) {
 	e := startTestEngine(t, "e1", "w0")
 	options := testOptions(t, testDeclarations(e))
 	d, err := Start(options)
@@ -199,10 +212,9 @@
 	}
 }
 
-// Two instances name no peers in their settings. The platform's list is all that
-// tells them of one another; without it each would take the whole of every limit
-// for itself.
-func TestInstancesFindEachOtherByThePlatformsList(t *testing.T) {
+// Two instances have no configured peers, and can discover each other only from the
+// platform's list. Otherwise each would claim the full share of every limit.
+func TestInstancesDiscoverPeersFromPlatformList(t *testing.T) {
 	platform, err := standin.StartPlatform(netip.AddrPort{}, 0)
 	assert.NilError(t, err)
 	defer platform.Close()
@@ -225,18 +237,18 @@
 		})
 	}
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); {
-		if len(started[0].entryPeers()) == 1 && len(started[1].entryPeers()) == 1 {
+		if len(started[0].liveEntryPeers()) == 1 && len(started[1].liveEntryPeers()) == 1 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("they did not find each other")
+	t.Fatal("the instances did not discover each other")
 }
 
-// Logs are read by more people than prompts are meant for. At the most talkative
-// level, and through failures, no line may hold a prompt, a token of an answer or
-// a credential.
-func TestLogsHoldNoTexts(t *testing.T) {
+// Logs have a wider audience than prompts. Even at debug level and through
+// failures, no log line may contain a prompt, a token of a response or a
+// credential.
+func TestLogsContainNoPromptsOrCredentials(t *testing.T) {
 	e := startTestEngine(t, "e1", "w1")
 	var lines bytes.Buffer
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.Lock(zapcore.AddSync(&lines)), zapcore.DebugLevel)
@@ -255,8 +267,8 @@
 	var whole struct{ Choices []struct{ Text string } }
 	assert.NilError(t, json.Unmarshal([]byte(answer), &whole))
 	log := lines.String()
-	assert.Assert(t, strings.Contains(log, `"event":1005`), "the failure is logged: %s", log)
+	assert.Assert(t, strings.Contains(log, `"event":1005`), "the failure is not logged: %s", log)
 	for _, text := range []string{prompt, strings.TrimSpace(whole.Choices[0].Text), testToken + `"`, operatorKey} {
-		assert.Assert(t, !strings.Contains(log, text), "the log holds %q: %s", text, log)
+		assert.Assert(t, !strings.Contains(log, text), "the log contains %q: %s", text, log)
 	}
 }
--- a/daemon/diagnostics.go
+++ b/daemon/diagnostics.go
@@ -9,20 +9,21 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// histogramPrefix chooses the measurements of classes, which a terminal can
-// show; those of organisations are left to scrapers.
-const histogramPrefix = "carawaystile_"
+// measurementsPrefix selects the histograms that Measurements returns. Those of
+// priority classes are meant for a terminal, those of organisations for scrapers;
+// this prefix matches both.
+const measurementsPrefix = "carawaystile_"
 
-// Paths of what the operators' command asks an instance beside the twirp
-// service. They need the operators' key.
+// Paths that the operators' command requests from an instance in addition to the
+// Twirp service. They require an operator key.
 const (
 	MeasurementsPath = "/operator/measurements"
 	ExplainPath      = "/operator/explain"
 )
 
-// Explain returns the last decision of this instance on a request, while it is
-// remembered. Explanations name endpoints and cached shares, so they are for
-// operators only.
+// Explain returns the latest routing decision of this instance on a request, while
+// it is remembered. Explanations name endpoints and the cached fractions of
+// prompts, and are therefore available to operators only.
 func (d *Daemon) Explain(id tables.RequestID) (router.Explanation, bool) {
 	var explanation router.Explanation
 	found := false
@@ -33,9 +34,10 @@
 	return explanation, found
 }
 
-// Measurements returns the histograms of classes in brief.
-func (d *Daemon) Measurements() []metrics.Row { return d.registry.Rows(histogramPrefix) }
+// Measurements returns summaries of the histograms: count, mean and percentiles.
+func (d *Daemon) Measurements() []metrics.Row { return d.registry.Rows(measurementsPrefix) }
 
+// serveExplain writes the Explanation of the request that the query names, as JSON.
 func (d *Daemon) serveExplain(w http.ResponseWriter, req *http.Request) {
 	explanation, found := d.Explain(tables.RequestID(req.URL.Query().Get("request")))
 	if !found {
@@ -45,10 +47,12 @@
 	writeJSON(w, explanation)
 }
 
+// serveMeasurements writes Measurements as JSON.
 func (d *Daemon) serveMeasurements(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, d.Measurements())
 }
 
+// writeJSON writes a value as a JSON response.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -13,10 +13,10 @@
 	"github.com/carawaystile/carawaystile/systems/membership"
 )
 
-// startEntry makes the parts of the entry role.
+// startEntry creates the components of the entry role.
 func (d *Daemon) startEntry() error {
 	p := d.options.Process
-	d.router = router.New(router.Options{Instance: p.Instance, Zone: p.Zone, Seed: d.seed()})
+	d.router = router.New(router.Options{Instance: p.Instance, Zone: p.Zone, Seed: d.randomSeed()})
 	limits := entry.DefaultLimits()
 	limits.MaxBodyBytes = p.Limits.BodyBytes
 	limits.MaxInFlight = p.Limits.Requests
@@ -24,14 +24,14 @@
 	limits.DrainDelay = p.Drain.Announce
 	server, err := entry.New(entry.Options{
 		Instance:          p.Instance,
-		BootID:            strconv.FormatUint(d.boot, 36),
+		BootID:            strconv.FormatUint(d.bootEpoch, 36),
 		Router:            d.router,
 		Client:            d.client,
 		Claims:            d.claims,
 		Metrics:           requestMetrics{metrics.NewRequests(d.registry)},
 		Log:               d.options.Log,
-		BroadcastSuspects: d.peers.share,
-		GossipPlacements:  d.passOn,
+		BroadcastSuspects: d.suspectNotifier.enqueue,
+		GossipPlacements:  d.queuePlacementHints,
 		Now:               d.now,
 		Limits:            limits,
 	})
@@ -39,7 +39,7 @@
 		return err
 	}
 	d.entry = server
-	d.feeds = feed.NewPollerGroup(feed.Options{
+	d.feedGroup = feed.NewPollerGroup(feed.Options{
 		Reporter:     d.client,
 		Deliver:      server.Observe,
 		LoadInterval: d.options.LoadReportInterval,
@@ -48,45 +48,48 @@
 	return nil
 }
 
-// seed differs between instances and between two lives of one, so that attempt
-// identities never repeat.
-func (d *Daemon) seed() uint64 {
+// randomSeed returns a seed that differs between instances and between two starts
+// of one instance, so that attempt identifiers never repeat.
+func (d *Daemon) randomSeed() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(d.options.Process.Instance))
-	return h.Sum64() ^ d.boot
+	return h.Sum64() ^ d.bootEpoch
 }
 
-// requestMetrics gives the entry its measurements.
+// requestMetrics adapts metrics.Requests to the metrics interface of package entry.
 type requestMetrics struct{ *metrics.Requests }
 
-// droppedReasons are the values of the label reason.
-var droppedReasons = map[entry.DropReason]string{
+// dropReasonLabels are the values of the metric label "reason".
+var dropReasonLabels = map[entry.DropReason]string{
 	entry.DroppedMismatch:  "mismatch",
 	entry.DroppedDuplicate: "duplicate",
 	entry.DroppedLate:      "late",
 }
 
-// CountDropped counts answers and tokens that were dropped.
-func (m requestMetrics) CountDropped(d entry.DropReason) { m.CountDroppedAnswer(droppedReasons[d]) }
+// CountDropped counts a dropped response or token.
+func (m requestMetrics) CountDropped(d entry.DropReason) { m.CountDroppedAnswer(dropReasonLabels[d]) }
 
-// placementPeriod is the time between two tellings of placements.
-const placementPeriod = 100 * time.Millisecond
+// placementHintInterval is the interval between two transmissions of placement
+// hints.
+const placementHintInterval = 100 * time.Millisecond
 
-// passOn takes placements of this instance's router. It does not block.
-func (d *Daemon) passOn(news []router.PeerPlacement) {
-	rows := make([]membership.Placement, 0, len(news))
-	for _, p := range news {
+// queuePlacementHints queues placements of this instance's router for transmission
+// to other instances. It does not block.
+func (d *Daemon) queuePlacementHints(placements []router.PeerPlacement) {
+	rows := make([]membership.Placement, 0, len(placements))
+	for _, p := range placements {
 		rows = append(rows, membership.Placement{Endpoint: p.Endpoint, Boot: p.Boot, Block: p.Block})
 	}
-	d.hints.Add(membership.Hints{Placements: rows})
+	d.hintQueue.Add(membership.Hints{Placements: rows})
 }
 
-// tellPlacements lets the other instances know where prefixes were placed.
-func (d *Daemon) tellPlacements() {
-	d.hints.Run(d.stopping, gossip.HintSenderOptions{
-		Interval:       placementPeriod,
+// runPlacementHints sends queued hints about prefix placements to other instances
+// until the instance stops.
+func (d *Daemon) runPlacementHints() {
+	d.hintQueue.Run(d.runContext, gossip.HintSenderOptions{
+		Interval:       placementHintInterval,
 		BytesPerSecond: gossip.DefaultHintBytesPerSecond,
 		ReceiverCount:  func() int { return d.members.Load().HintReceiverCount() },
-		Send:           func(news membership.Hints) { d.members.Load().SendHints(news) },
+		Send:           func(hints membership.Hints) { d.members.Load().SendHints(hints) },
 	})
 }
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -8,8 +8,8 @@
 	"github.com/carawaystile/carawaystile/metrics"
 )
 
-// refreshGauges reads what is measured only when somebody looks: the cost of
-// control must not grow with the number of scrapers that never come.
+// refreshGauges updates the gauges. It is called on each scrape instead of
+// periodically, so that an instance that is never scraped has no cost.
 func (d *Daemon) refreshGauges() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -19,9 +19,9 @@
 	gauge("carawaystile_heap_bytes", "Bytes of the heap in use.", float64(memory.HeapInuse))
 	gauge("carawaystile_goroutines", "Goroutines that exist.", float64(runtime.NumGoroutine()))
 	gauge("carawaystile_uptime_seconds", "Time since the start of the process.", d.now().Seconds())
-	if now := d.inForce.Load(); now != nil {
-		gauge("carawaystile_revision", "Revision of the configuration in force.", float64(now.configuration.Revision))
-		gauge("carawaystile_revision_age_seconds", "Time since that revision is in force.", time.Since(now.since).Seconds())
+	if active := d.active.Load(); active != nil {
+		gauge("carawaystile_revision", "Revision of the configuration in force.", float64(active.configuration.Revision))
+		gauge("carawaystile_revision_age_seconds", "Time since that revision is in force.", time.Since(active.since).Seconds())
 	}
 	d.refreshMembershipGauges(gauge)
 	if d.replica != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// indicator is the gauge value of a condition.
+// indicator returns the gauge value of a condition: 1 or 0.
 func indicator(met bool) float64 {
 	if met {
 		return 1
@@ -40,6 +40,8 @@
 	return 0
 }
 
+// refreshMembershipGauges updates the gauges of membership, once the instance has
+// joined.
 func (d *Daemon) refreshMembershipGauges(gauge func(string, string, float64, ...metrics.Label)) {
 	joined := d.members.Load()
 	if joined == nil {
@@ -47,9 +49,9 @@
 	}
 	counts := make(map[string]int)
 	for _, m := range joined.Members() {
-		counts[stateWords[m.State]]++
+		counts[memberStateNames[m.State]]++
 	}
-	for _, word := range stateWords {
+	for _, word := range memberStateNames {
 		gauge("carawaystile_instances", "Instances known, by state.", float64(counts[word]), metrics.Label{Name: "state", Value: word})
 	}
 	traffic := joined.Traffic()
@@ -58,6 +60,7 @@
 	gauge("carawaystile_membership_dropped_datagrams", "Datagrams that were not sent, not sealed by a known key, or not readable.", float64(traffic.Dropped))
 }
 
+// serveMetrics writes all metrics in the Prometheus text format.
 func (d *Daemon) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	d.refreshGauges()
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -10,10 +10,10 @@
 	"github.com/carawaystile/carawaystile/keys"
 )
 
-// keyPeriod is the time between two looks at the key files.
-const keyPeriod = 5 * time.Second
+// keyReloadInterval is the interval between two checks of the key files.
+const keyReloadInterval = 5 * time.Second
 
-// readKeys reads the key files of the settings.
+// readKeys reads the key files that are named in the settings.
 func (d *Daemon) readKeys() error {
 	var err error
 	if d.operatorKeys, err = keys.Read(d.options.Process.Keys.Operators); err != nil {
@@ -23,23 +23,25 @@
 	return trace.Wrap(err)
 }
 
-// rereadKeys looks at the key files now and then, so that keys rotate without
-// a restart.
-func (d *Daemon) rereadKeys() {
-	ticker := time.NewTicker(keyPeriod)
+// runKeyReload periodically reloads the key files, so that keys can be rotated
+// without a restart.
+func (d *Daemon) runKeyReload() {
+	ticker := time.NewTicker(keyReloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-d.stopping.Done():
+		case <-d.runContext.Done():
 			return
 		case <-ticker.C:
-			d.reload(d.operatorKeys, d.options.Process.Keys.Operators)
-			d.reload(d.instanceKeys, d.options.Process.Keys.Instances)
+			d.reloadKeys(d.operatorKeys, d.options.Process.Keys.Operators)
+			d.reloadKeys(d.instanceKeys, d.options.Process.Keys.Instances)
 		}
 	}
 }
 
-func (d *Daemon) reload(ring *keys.Ring, path string) {
+// reloadKeys reloads one key file and logs changes and failures. After a failure
+// the former keys stay valid.
+func (d *Daemon) reloadKeys(ring *keys.Ring, path string) {
 	changed, err := ring.Reload()
 	switch {
 	case err != nil:
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -20,15 +20,16 @@
 	"github.com/carawaystile/carawaystile/systems/quarantine"
 )
 
-// Bounds of the listeners.
+// Limits of the HTTP servers: timeouts, and for the instance listener the size of
+// request headers in bytes and the number of connections.
 const (
-	headerTimeout       = 10 * time.Second
-	idleTimeout         = 2 * time.Minute
-	instanceHeaderBytes = 32 << 10
-	instanceConnections = 4096
+	readHeaderTimeout      = 10 * time.Second
+	idleTimeout            = 2 * time.Minute
+	maxInstanceHeaderBytes = 32 << 10
+	maxInstanceConnections = 4096
 )
 
-// listeners are the HTTP servers of an instance.
+// listeners holds the HTTP servers of an instance.
 type listeners struct {
 	mu      sync.Mutex
 	servers []*http.Server
@@ -39,28 +40,28 @@
 func (d *Daemon) listen() error {
 	p := d.options.Process
 	if d.entry != nil {
-		d.callers = &http.Server{Handler: d.entry.Handler(), MaxHeaderBytes: int(p.Limits.HeaderBytes)}
-		if err := d.serve(d.callers, p.Listen.Callers, p.Limits.Connections); err != nil {
+		d.callerServer = &http.Server{Handler: d.entry.Handler(), MaxHeaderBytes: int(p.Limits.HeaderBytes)}
+		if err := d.serve(d.callerServer, p.Listen.Callers, p.Limits.Connections); err != nil {
 			return err
 		}
 	}
-	server := &http.Server{Handler: d.instanceHandler(), MaxHeaderBytes: instanceHeaderBytes}
-	return d.serve(server, p.Listen.Instances, instanceConnections)
+	server := &http.Server{Handler: d.instanceHandler(), MaxHeaderBytes: maxInstanceHeaderBytes}
+	return d.serve(server, p.Listen.Instances, maxInstanceConnections)
 }
 
-// serve opens one listener and serves it until the instance stops. The number
-// of connections is bounded: without it a flood of callers takes the process's
-// file descriptors, and then it can reach no endpoint either.
-func (d *Daemon) serve(server *http.Server, at netip.AddrPort, connections int) error {
-	open := d.options.Listen
-	if open == nil {
-		open = listenTCP
+// serve opens a listener and serves it until the instance stops. The number of
+// connections is limited: otherwise a flood of connections would exhaust the file
+// descriptors of the process, which could then no longer connect to endpoints.
+func (d *Daemon) serve(server *http.Server, address netip.AddrPort, connections int) error {
+	openListener := d.options.Listen
+	if openListener == nil {
+		openListener = listenTCP
 	}
-	listener, err := open(at)
+	listener, err := openListener(address)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	server.ReadHeaderTimeout = headerTimeout
+	server.ReadHeaderTimeout = readHeaderTimeout
 	server.IdleTimeout = idleTimeout
 	server.ErrorLog = zap.NewStdLog(d.options.Log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))
 	d.listeners.mu.Lock()
@@ -69,15 +70,18 @@
 	bounded := netutil.LimitListener(listener, connections)
 	d.listeners.serving.Go(func() {
 		if err := server.Serve(bounded); !errors.Is(err, http.ErrServerClosed) {
-			events.ListenerFailed.Log(d.options.Log, zap.Stringer("address", at), zap.Error(err))
+			events.ListenerFailed.Log(d.options.Log, zap.Stringer("address", address), zap.Error(err))
 		}
 	})
 	return nil
 }
 
-func listenTCP(at netip.AddrPort) (net.Listener, error) { return net.Listen("tcp", at.String()) }
+// listenTCP is the default of Options.Listen.
+func listenTCP(address netip.AddrPort) (net.Listener, error) {
+	return net.Listen("tcp", address.String())
+}
 
-// close ends all listeners and their connections.
+// close closes all listeners and their connections.
 func (l *listeners) close() {
 	l.mu.Lock()
 	servers := l.servers
@@ -88,19 +92,20 @@
 	l.serving.Wait()
 }
 
-// instanceHandler serves operators, other instances and scrapers. Each part
-// needs a key, so that a caller who reaches the address learns nothing.
+// instanceHandler returns the HTTP handler for operators, other instances and
+// scrapers. Every path requires a key, so that a caller who reaches the address
+// obtains no information.
 func (d *Daemon) instanceHandler() http.Handler {
 	operators := http.NewServeMux()
 	operators.HandleFunc("GET /metrics", d.serveMetrics)
 	operators.HandleFunc("GET "+MeasurementsPath, d.serveMeasurements)
 	operators.HandleFunc("GET "+ExplainPath, d.serveExplain)
-	if d.operators != nil {
-		operators.Handle(rpc.OperatorPathPrefix, rpc.NewOperatorServer(d.operators))
+	if d.operatorService != nil {
+		operators.Handle(rpc.OperatorPathPrefix, rpc.NewOperatorServer(d.operatorService))
 	}
 	mux := http.NewServeMux()
 	if d.entry != nil {
-		peer := rpc.NewPeerServer(suspectpeers.Service{Receive: d.takeSuspect})
+		peer := rpc.NewPeerServer(suspectpeers.Service{Receive: d.observePeerSuspect})
 		mux.Handle(rpc.PeerPathPrefix, keys.Require(d.instanceKeys, peer))
 	}
 	mux.Handle("/", keys.Require(d.operatorKeys, operators))
@@ -108,7 +113,8 @@
 	return mux
 }
 
-// takeSuspect hands the router what another instance found out about a crash.
-func (d *Daemon) takeSuspect(told quarantine.Suspect) {
-	d.entry.Observe(router.PeerSuspect{Suspect: told})
+// observePeerSuspect passes a peer's report of a request that is suspected of
+// crashing endpoints to the router.
+func (d *Daemon) observePeerSuspect(suspect quarantine.Suspect) {
+	d.entry.Observe(router.PeerSuspect{Suspect: suspect})
 }
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -16,11 +16,11 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// peerSources is how many other instances the follower may ask when it reaches
-// no control instance.
-const peerSources = 3
+// maxPeerSources bounds the instances without the control role that the follower
+// may ask when it reaches no control instance.
+const maxPeerSources = 3
 
-// startMembership joins the other instances.
+// startMembership joins the gossip membership of the instances.
 func (d *Daemon) startMembership() error {
 	p := d.options.Process
 	joined, err := gossip.Start(gossip.Options{
@@ -28,68 +28,71 @@
 			Self: membership.InstanceInfo{
 				Instance: p.Instance, Zone: p.Zone, Roles: membership.Roles(p.Entry, p.Control), Size: p.Size,
 				Address: p.Listen.Membership, Control: p.Listen.Instances,
-				Boot: d.boot,
+				Boot: d.bootEpoch,
 			},
 			Seeds:      p.Peers,
-			RandomSeed: d.seed(),
+			RandomSeed: d.randomSeed(),
 		},
 		Ring:             d.instanceKeys,
 		Log:              d.options.Log,
-		OnMembersChanged: d.membersChanged,
-		OnNewerRevision:  d.fetchFrom,
-		OnPlacement:      d.placedElsewhere,
+		OnMembersChanged: d.updateEntryShare,
+		OnNewerRevision:  d.fetchNewerFrom,
+		OnPlacement:      d.observePeerPlacement,
 		IsReachable:      d.options.IsReachable,
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	d.members.Store(joined)
-	d.tellRevision()
+	d.advertiseRevision()
 	return nil
 }
 
-// membersChanged tells the router which part of the load is this instance's.
-func (d *Daemon) membersChanged(members []membership.Member) {
+// updateEntryShare tells the router this instance's share of the load, its rank and
+// the number of live entry instances.
+func (d *Daemon) updateEntryShare(members []membership.Member) {
 	if d.entry == nil {
 		return
 	}
 	self := d.options.Process.Instance
-	total, own, rank, of := 0, d.options.Process.Size, 0, 0
+	totalSize, ownSize, rank, entryCount := 0, d.options.Process.Size, 0, 0
 	for _, m := range members {
 		if m.Roles&membership.RoleEntry == 0 || m.State >= membership.Dead || m.Leaving {
 			continue
 		}
-		of++
-		total += m.Size
+		entryCount++
+		totalSize += m.Size
 		if m.Instance < self {
 			rank++
 		}
 	}
-	if total < own {
-		total, of = own, 1
+	if totalSize < ownSize {
+		totalSize, entryCount = ownSize, 1
 	}
-	d.entry.Observe(router.EntryPeers{Share: float64(own) / float64(total), Rank: rank, Count: of})
+	d.entry.Observe(router.EntryPeers{Share: float64(ownSize) / float64(totalSize), Rank: rank, Count: entryCount})
 }
 
-// fetchFrom asks an instance that has a newer revision in force. It is how an
-// instance that reaches no control instance still gets it.
-func (d *Daemon) fetchFrom(at netip.AddrPort) {
+// fetchNewerFrom fetches the configuration from an instance that has advertised a
+// newer revision. Instances without a connection to control instances receive it in
+// this way.
+func (d *Daemon) fetchNewerFrom(address netip.AddrPort) {
 	d.background.Go(func() {
-		ctx, cancel := context.WithTimeout(d.stopping, fetchTimeout)
+		ctx, cancel := context.WithTimeout(d.runContext, fetchTimeout)
 		defer cancel()
-		_ = d.follower.FetchNewer(ctx, d.dialer.Control(at.String()))
+		_ = d.follower.FetchNewer(ctx, d.dialer.Control(address.String()))
 	})
 }
 
-// placedElsewhere takes another instance's placement as a hint.
-func (d *Daemon) placedElsewhere(p membership.Placement) {
+// observePeerPlacement passes another instance's prefix placement to the router as
+// a hint.
+func (d *Daemon) observePeerPlacement(p membership.Placement) {
 	if d.entry != nil {
 		d.entry.Observe(router.PeerPlacement{Endpoint: p.Endpoint, Boot: p.Boot, Block: p.Block})
 	}
 }
 
-// alive lists the other living instances.
-func (d *Daemon) alive() []membership.Member {
+// livePeers returns the other instances that are not dead.
+func (d *Daemon) livePeers() []membership.Member {
 	joined := d.members.Load()
 	if joined == nil {
 		return nil
@@ -103,10 +106,10 @@
 	return others
 }
 
-// entryPeers lists the other living entry instances.
-func (d *Daemon) entryPeers() []membership.Member {
+// liveEntryPeers returns the livePeers with the entry role.
+func (d *Daemon) liveEntryPeers() []membership.Member {
 	var entries []membership.Member
-	for _, m := range d.alive() {
+	for _, m := range d.livePeers() {
 		if m.Roles&membership.RoleEntry != 0 {
 			entries = append(entries, m)
 		}
@@ -114,29 +117,30 @@
 	return entries
 }
 
-// nearPeers lists a few other living instances that are not in the control
-// group, those of the own availability zone first.
-func (d *Daemon) nearPeers() []membership.Member {
+// peerSourcesByProximity returns at most maxPeerSources livePeers without the
+// control role, those of the own availability zone first.
+func (d *Daemon) peerSourcesByProximity() []membership.Member {
 	var others []membership.Member
-	for _, m := range d.alive() {
+	for _, m := range d.livePeers() {
 		if m.Roles&membership.RoleControl == 0 {
 			others = append(others, m)
 		}
 	}
-	own := func(m membership.Member) bool { return m.Zone == d.options.Process.Zone }
-	sort.SliceStable(others, func(i, j int) bool { return own(others[i]) && !own(others[j]) })
-	return others[:min(len(others), peerSources)]
+	isOwnZone := func(m membership.Member) bool { return m.Zone == d.options.Process.Zone }
+	sort.SliceStable(others, func(i, j int) bool { return isOwnZone(others[i]) && !isOwnZone(others[j]) })
+	return others[:min(len(others), maxPeerSources)]
 }
 
-// stateWords are the states as operators see them.
-var stateWords = map[membership.State]string{
+// memberStateNames are the operator-facing names of member states, in status
+// replies and metric labels.
+var memberStateNames = map[membership.State]string{
 	membership.Alive:   "alive",
 	membership.Suspect: "suspect",
 	membership.Dead:    "dead",
 	membership.Left:    "left",
 }
 
-// instanceStatuses lists what this instance knows of all instances.
+// instanceStatuses returns this instance's view of all instances.
 func (d *Daemon) instanceStatuses() []*rpc.InstanceStatus {
 	joined := d.members.Load()
 	if joined == nil {
@@ -144,19 +148,20 @@
 	}
 	var statuses []*rpc.InstanceStatus
 	for _, m := range joined.Members() {
-		state := stateWords[m.State]
+		state := memberStateNames[m.State]
 		if m.Leaving && m.State < membership.Dead {
 			state = "leaving"
 		}
 		statuses = append(statuses, &rpc.InstanceStatus{
-			Instance: string(m.Instance), Zone: string(m.Zone), Role: roleWords(m.Roles), State: state,
+			Instance: string(m.Instance), Zone: string(m.Zone), Role: roleNames(m.Roles), State: state,
 			Revision: uint64(m.Revision), Since: m.Since.UnixNano(),
 		})
 	}
 	return statuses
 }
 
-func roleWords(roles membership.Role) string {
+// roleNames formats a set of roles for status replies.
+func roleNames(roles membership.Role) string {
 	var words []string
 	if roles&membership.RoleEntry != 0 {
 		words = append(words, "entry")
@@ -167,18 +172,19 @@
 	return strings.Join(words, ", ")
 }
 
-// inForce is a configuration and since when it is in force here.
-type inForce struct {
+// activeConfiguration is the applied configuration and when it was applied.
+type activeConfiguration struct {
 	configuration *tables.Configuration
 	since         time.Time
 }
 
-// tellRevision lets the other instances know what is in force here. Whoever
-// comes second, the first configuration or the joining, tells it.
-func (d *Daemon) tellRevision() {
+// advertiseRevision advertises the applied revision to other instances through the
+// membership. It is called after joining and after applying a configuration:
+// whichever happens last advertises the first revision.
+func (d *Daemon) advertiseRevision() {
 	joined := d.members.Load()
-	now := d.inForce.Load()
-	if joined != nil && now != nil {
-		joined.SetRevision(now.configuration.Revision, now.since)
+	active := d.active.Load()
+	if joined != nil && active != nil {
+		joined.SetRevision(active.configuration.Revision, active.since)
 	}
 }
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -15,48 +15,52 @@
 )
 
 const (
-	// platformPeriod is the time between two looks at the platform's list. The
-	// list lags by itself; an endpoint that leaves is to get no new work within
-	// a few seconds.
-	platformPeriod = 500 * time.Millisecond
-	// platformTimeout bounds one look.
-	platformTimeout = time.Second
+	// platformPollInterval is the minimum delay between two reads of the platform's
+	// endpoint list. The list itself lags, and a leaving endpoint must stop
+	// receiving new work within a few seconds.
+	platformPollInterval = 500 * time.Millisecond
+	// platformPollTimeout bounds one read.
+	platformPollTimeout = time.Second
 )
 
-// startOrders lets this instance give orders to endpoints whenever it holds the
-// lease.
-func (d *Daemon) startOrders() {
-	runner := orders.NewController(orders.Options{
+// startOrderController starts the controller that sends orders to endpoints while
+// this instance holds the order lease.
+func (d *Daemon) startOrderController() {
+	controller := orders.NewController(orders.Options{
 		Executor:      d.replica,
 		Engines:       d.client,
 		Instance:      d.options.Process.Instance,
-		Boot:          d.boot,
+		Boot:          d.bootEpoch,
 		Now:           d.now,
 		Configuration: d.configurationInForce,
-		CountedLoads:  d.countedLoads,
+		CountedLoads:  d.activeWeightLoads,
 		Log:           d.options.Log,
 	})
-	d.background.Go(func() { runner.Run(d.stopping) })
+	d.background.Go(func() { controller.Run(d.runContext) })
 }
 
+// configurationInForce returns the applied configuration, or nil if there is none.
 func (d *Daemon) configurationInForce() *tables.Configuration {
-	if now := d.inForce.Load(); now != nil {
-		return now.configuration
+	if active := d.active.Load(); active != nil {
+		return active.configuration
 	}
 	return nil
 }
 
-func (d *Daemon) countedLoads() []*rpc.Load {
+// activeWeightLoads returns the weight loads that the control state counts against
+// the limit.
+func (d *Daemon) activeWeightLoads() []*rpc.Load {
 	var loads []*rpc.Load
 	d.replica.View(func(s *state.State) { loads = s.Loads() })
 	return loads
 }
 
-// watchPlatform looks at the platform's list and stops new work to endpoints
-// that leave. Only leaving is taken from it: the list lags, so that an endpoint
-// it still shows as live may be one that an operator let leave. The system's own
-// instances in it are hints for failure detection.
-func (d *Daemon) watchPlatform(ctx context.Context) {
+// runPlatformPolling polls the platform's list with jitter and withdraws leaving
+// endpoints from routing. Only the leaving state is taken from the list: because
+// the list lags, an endpoint that it shows as live may be one that an operator has
+// taken out of use. The instances of this system in the list are hints for failure
+// detection.
+func (d *Daemon) runPlatformPolling(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -65,32 +69,33 @@
 			return
 		case <-timer.C:
 		}
-		d.readPlatform(ctx)
-		jitter := time.Duration(rand.Int64N(int64(platformPeriod) / 4))
-		timer.Reset(platformPeriod + jitter)
+		d.pollPlatform(ctx)
+		jitter := time.Duration(rand.Int64N(int64(platformPollInterval) / 4))
+		timer.Reset(platformPollInterval + jitter)
 	}
 }
 
-func (d *Daemon) readPlatform(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
+// pollPlatform reads the platform's list once. A failed read has no effect.
+func (d *Daemon) pollPlatform(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, platformPollTimeout)
 	defer cancel()
 	list, err := d.client.PlatformList(ctx, d.options.Process.PlatformList)
 	if err != nil {
 		return
 	}
-	var own []membership.PlatformInstance
+	var instances []membership.PlatformInstance
 	for _, i := range list.Instances {
 		leaving := i.State == engine.PlatformLeaving
 		switch {
 		case i.Membership.IsValid():
-			own = append(own, membership.PlatformInstance{Address: i.Membership, Leaving: leaving})
+			instances = append(instances, membership.PlatformInstance{Address: i.Membership, Leaving: leaving})
 		case leaving:
 			d.entry.Observe(router.EndpointWithdrawn{Endpoint: i.ID, Life: i.Life})
 		}
 	}
-	// A list without the system's own instances says nothing of them. Taken as
-	// it stands it would say that all of them are gone.
-	if joined := d.members.Load(); joined != nil && len(own) > 0 {
-		joined.SetPlatformList(own)
+	// A list without instances of this system carries no information about them.
+	// Taken literally, it would mean that all of them have left.
+	if joined := d.members.Load(); joined != nil && len(instances) > 0 {
+		joined.SetPlatformList(instances)
 	}
 }
--- a/daemon/suspect_notifier.go
+++ b/daemon/suspect_notifier.go
@@ -18,83 +18,89 @@
 )
 
 const (
-	// suspectTimeout bounds one call that notifies an instance of a crash, and
-	// notifyTimeout all calls to it: the failing answer of the request waits so long.
-	suspectTimeout = 2 * time.Second
-	notifyTimeout  = 2500 * time.Millisecond
-	// suspectQueue bounds crashes that wait to be told.
-	suspectQueue = 64
+	// notifyCallTimeout bounds one call that notifies an instance of a crash, and
+	// notifyTimeout bounds all calls of a report: the failure response of the
+	// request is delayed by up to this time.
+	notifyCallTimeout = 2 * time.Second
+	notifyTimeout     = 2500 * time.Millisecond
+	// maxQueuedReports bounds the queue of reports that wait to be sent.
+	maxQueuedReports = 64
 )
 
-// peers tells the other entry instances what was running when an endpoint
-// crashed. The caller of a request that crashes endpoints sends it again at
-// once, most likely through another instance; a report that travelled with the
-// membership's pings would come too late, and each resend would take down a
-// further endpoint. So every living entry instance is told directly. Crashes
-// are few, so that this costs little also with hundreds of instances.
-type peers struct {
+// suspectNotifier broadcasts reports of crashed endpoints to the other entry
+// instances, with the requests that were running there and are suspected of the
+// crash. A caller whose request crashes endpoints retries it immediately, most
+// likely through another instance. A report that was piggybacked on membership
+// pings would arrive too late, and each retry would crash another endpoint. The
+// report is therefore sent to every live entry instance directly. Crashes are rare,
+// so that the cost is low even with hundreds of instances.
+type suspectNotifier struct {
 	client  *http.Client
 	reports chan suspectReport
-	// members returns the living instances to tell.
+	// members returns the live instances to notify.
 	members func() []membership.Member
 	log     *zap.Logger
 }
 
-// suspectReport is a report that waits to be sent; notified is closed after it was.
+// suspectReport is a queued report. The channel notified is closed after the report
+// was sent.
 type suspectReport struct {
 	report   *rpc.SuspectReport
 	notified chan struct{}
 }
 
-func newPeers(ring *keys.Ring, base http.RoundTripper, members func() []membership.Member, log *zap.Logger) *peers {
-	return &peers{
-		client:  &http.Client{Transport: &keys.Transport{Ring: ring, Base: base}, Timeout: suspectTimeout},
-		reports: make(chan suspectReport, suspectQueue),
+// newSuspectNotifier returns a notifier; run must be called to send reports.
+func newSuspectNotifier(ring *keys.Ring, base http.RoundTripper, members func() []membership.Member, log *zap.Logger) *suspectNotifier {
+	return &suspectNotifier{
+		client:  &http.Client{Transport: &keys.Transport{Ring: ring, Base: base}, Timeout: notifyCallTimeout},
+		reports: make(chan suspectReport, maxQueuedReports),
 		members: members,
 		log:     log,
 	}
 }
 
-// share queues a report, and returns a channel that is closed once the living instances
-// were notified, or notifyTimeout has passed. It does not block: when crashes come faster
-// than reports go out, the newest are left out, which costs a further endpoint at most.
-func (p *peers) share(suspects []quarantine.Suspect) <-chan struct{} {
+// enqueue queues a report, and returns a channel that is closed once all live
+// instances have been notified or notifyTimeout has elapsed. It does not block:
+// when the queue is full the report is dropped, which costs at most one further
+// endpoint crash.
+func (n *suspectNotifier) enqueue(suspects []quarantine.Suspect) <-chan struct{} {
 	queued := suspectReport{report: suspectpeers.EncodeReport(suspects), notified: make(chan struct{})}
 	select {
-	case p.reports <- queued:
+	case n.reports <- queued:
 	default:
 		close(queued.notified)
 	}
 	return queued.notified
 }
 
-// run sends reports until the context ends.
-func (p *peers) run(ctx context.Context) {
+// run sends queued reports until the context ends.
+func (n *suspectNotifier) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case queued := <-p.reports:
-			go p.notifyAll(ctx, queued)
+		case queued := <-n.reports:
+			go n.notifyAll(ctx, queued)
 		}
 	}
 }
 
-// notifyAll sends a report to all living instances.
-func (p *peers) notifyAll(ctx context.Context, queued suspectReport) {
+// notifyAll sends a report to all live instances concurrently.
+func (n *suspectNotifier) notifyAll(ctx context.Context, queued suspectReport) {
 	defer close(queued.notified)
 	bounded, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	var sent sync.WaitGroup
-	for _, m := range p.members() {
-		sent.Go(func() { p.tell(bounded, m.Control, queued.report) })
+	for _, m := range n.members() {
+		sent.Go(func() { n.sendReport(bounded, m.Control, queued.report) })
 	}
 	sent.Wait()
 }
 
-func (p *peers) tell(ctx context.Context, at netip.AddrPort, report *rpc.SuspectReport) {
-	err := suspectpeers.SendReport(ctx, rpc.NewPeerProtobufClient("http://"+at.String(), p.client), report)
+// sendReport sends a report to one instance, and logs a failure.
+func (n *suspectNotifier) sendReport(ctx context.Context, address netip.AddrPort, report *rpc.SuspectReport) {
+	err := suspectpeers.SendReport(ctx, rpc.NewPeerProtobufClient("http://"+address.String(), n.client), report)
 	if err != nil {
-		events.SuspectsNotTold.Log(p.log, zap.Stringer("instance_address", at), zap.Error(err))
+		events.SuspectsNotTold.Log(n.log, zap.Stringer("instance_address", address), zap.Error(err))
 	}
 }
--- a/daemon/suspect_notifier_test.go
+++ b/daemon/suspect_notifier_test.go
@@ -17,9 +17,9 @@
 	"github.com/carawaystile/carawaystile/systems/quarantine"
 )
 
-// Guards against a failing answer that goes out while one of the other instances is still
-// to be notified of the crash.
-func TestAReportCountsAsSentOnceAllInstancesHaveTakenIt(t *testing.T) {
+// Guards against a failure response that is sent while one of the other instances
+// has not been notified of the crash yet.
+func TestNotifiedWaitsForAllInstances(t *testing.T) {
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	var members []membership.Member
 	for _, slow := range []bool{false, true} {
@@ -35,25 +35,26 @@
 		assert.NilError(t, err)
 		members = append(members, membership.Member{InstanceInfo: membership.InstanceInfo{Control: netip.MustParseAddrPort(at.Host)}})
 	}
-	p := newPeers(keys.Of("k"), http.DefaultTransport, func() []membership.Member { return members }, zap.NewNop())
-	go p.run(t.Context())
-	notified := p.share([]quarantine.Suspect{{Fingerprint: 1}})
+	notifier := newSuspectNotifier(keys.Of("k"), http.DefaultTransport, func() []membership.Member { return members }, zap.NewNop())
+	go notifier.run(t.Context())
+	notified := notifier.enqueue([]quarantine.Suspect{{Fingerprint: 1}})
 	<-arrived
 	<-arrived
 	select {
 	case <-notified:
-		t.Fatal("counted as sent before the slow instance had taken it")
+		t.Fatal("the report counted as sent before the slow instance had received it")
 	default:
 	}
 	close(release)
 	<-notified
 }
 
-// Guards against a failing answer that waits for ever behind a full queue of reports.
-func TestAReportThatIsLeftOutHoldsNothingUp(t *testing.T) {
-	p := newPeers(keys.Of("k"), http.DefaultTransport, func() []membership.Member { return nil }, zap.NewNop())
-	for range suspectQueue {
-		p.share(nil)
+// Guards against a failure response that waits forever because the queue of reports
+// is full.
+func TestDroppedReportDoesNotBlock(t *testing.T) {
+	notifier := newSuspectNotifier(keys.Of("k"), http.DefaultTransport, func() []membership.Member { return nil }, zap.NewNop())
+	for range maxQueuedReports {
+		notifier.enqueue(nil)
 	}
-	<-p.share(nil)
+	<-notifier.enqueue(nil)
 }
