--- a/cmd/carawaystile/main.go
+++ b/cmd/carawaystile/main.go
@@ -1,4 +1,5 @@
-// Command carawaystile is the operators' command; see package cli.
+// Command carawaystile is the operators' command line tool. Package cli implements
+// it.
 package main
 
 import (
--- a/cmd/carawaystiled/forward.go
+++ b/cmd/carawaystiled/forward.go
@@ -22,11 +22,12 @@
 	"github.com/carawaystile/carawaystile/settings"
 )
 
-// settingsVariable names the settings file where the command line does not.
-const settingsVariable = "CARAWAYSTILE_CONFIG"
+// settingsEnvironmentVariable is the environment variable with the default path of
+// the settings file.
+const settingsEnvironmentVariable = "CARAWAYSTILE_CONFIG"
 
-// forwardCommand runs an instance of a forwarding deployment until it is told
-// to end.
+// forwardCommand implements the subcommand that runs an instance of a forwarding
+// deployment until a signal ends it.
 type forwardCommand struct{ path string }
 
 func (*forwardCommand) Name() string { return "forward" }
@@ -38,7 +39,7 @@
 	return `forward [-settings FILE]
   Runs one instance that passes requests on unchanged. Routes come from
   operators, endpoints from the platform's list. Without -settings the file is
-  that of the variable ` + settingsVariable + `. The first SIGTERM or SIGINT
+  that of the variable ` + settingsEnvironmentVariable + `. The first SIGTERM or SIGINT
   drains the instance, a second one ends it at once; SIGHUP reads the settings
   again.
   Exit codes: 0 ended, 1 failure, 2 usage, 3 a file has faults.
@@ -46,7 +47,7 @@
 }
 
 func (c *forwardCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.path, "settings", os.Getenv(settingsVariable), "settings file of this instance")
+	f.StringVar(&c.path, "settings", os.Getenv(settingsEnvironmentVariable), "settings file of this instance")
 }
 
 func (c *forwardCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -56,16 +57,16 @@
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
-	read, replaced, err := settings.ReadForwardingToRun(c.path)
+	current, replaced, err := settings.ReadForwardingToRun(c.path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitInvalid
+		return exitInvalidFile
 	}
 	writer := logs.NewWriter(os.Stdout)
 	defer writer.Close()
-	log := logs.New(writer, read.LogLevel, zap.String("instance", string(read.Instance)))
-	logReplaced(log, replaced)
-	n, err := node.Start(node.Options{Settings: read, Platform: onPlatform(read), Log: log})
+	log := logs.New(writer, current.LogLevel, zap.String("instance", string(current.Instance)))
+	logReplacedSettings(log, replaced)
+	n, err := node.Start(node.Options{Settings: current, Platform: newPlatform(current), Log: log})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
@@ -73,7 +74,8 @@
 	return c.supervise(ctx, n, log, signals)
 }
 
-// supervise runs the instance until a signal ends it.
+// supervise handles signals until the instance ends. It reloads the settings at
+// SIGHUP, and drains the instance at SIGTERM or SIGINT.
 func (c *forwardCommand) supervise(ctx context.Context, n *node.Node, log *zap.Logger, signals <-chan os.Signal) subcommands.ExitStatus {
 	defer n.Stop()
 	for {
@@ -91,24 +93,27 @@
 	}
 }
 
+// reload rereads the settings file. After a failure the former settings stay in
+// effect.
 func (c *forwardCommand) reload(n *node.Node, log *zap.Logger) {
 	read, replaced, err := settings.ReadForwardingToRun(c.path)
 	if err != nil {
 		events.SettingsUnreadable.Log(log, zap.Error(err))
 		return
 	}
-	logReplaced(log, replaced)
+	logReplacedSettings(log, replaced)
 	n.Reload(read)
 }
 
-func logReplaced(log *zap.Logger, replaced []settings.Problem) {
+// logReplacedSettings logs the settings that were replaced when the file was read.
+func logReplacedSettings(log *zap.Logger, replaced []settings.Problem) {
 	for _, p := range replaced {
 		events.SettingReplaced.Log(log, zap.Stringer("setting", p))
 	}
 }
 
-// drain ends the open requests, unless a second signal to end comes or the time
-// is over.
+// drain waits for open requests to end. A second SIGTERM or SIGINT, or the drain
+// timeout, cuts it short.
 func (c *forwardCommand) drain(ctx context.Context, n *node.Node, signals <-chan os.Signal) {
 	ctx, cancel := context.WithTimeout(ctx, n.DrainTimeout())
 	defer cancel()
@@ -128,9 +133,9 @@
 	n.Drain(ctx)
 }
 
-// onPlatform is the users' platform.
-func onPlatform(s *settings.Forwarding) node.Platform {
-	dial := engine.DialFrom(s.Source)
+// newPlatform returns the implementation of the users' platform.
+func newPlatform(forwarding *settings.Forwarding) node.Platform {
+	dial := engine.DialFrom(forwarding.Source)
 	return node.Platform{
 		Headers:            platform.Headers(),
 		ParseConfiguration: platform.Configuration,
--- a/cmd/carawaystiled/main.go
+++ b/cmd/carawaystiled/main.go
@@ -1,4 +1,5 @@
-// Command carawaystiled runs one instance from its settings file.
+// Command carawaystiled is the server daemon: it runs one instance from its
+// settings file.
 package main
 
 import (
@@ -11,6 +12,7 @@
 
 func main() { os.Exit(int(run(context.Background()))) }
 
+// run parses the command line and executes the subcommand.
 func run(ctx context.Context) subcommands.ExitStatus {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(&serveCommand{}, "")
--- a/cmd/carawaystiled/process_test.go
+++ b/cmd/carawaystiled/process_test.go
@@ -31,19 +31,19 @@
 	})
 }
 
-// TestProcesses runs instances and stand-ins as processes of their own. A
-// script's commands beside the usual ones are:
+// TestProcesses runs instances and stand-in endpoints as separate processes. In
+// addition to the standard commands, scripts can use:
 //
 //	instance NAME      write the settings of an instance; NAME is a, b or c
 //	start NAME         start its process
 //	crash NAME         kill it
 //	drain NAME         tell it to end, and wait until it has
-//	ready NAME...      wait until the balancer may send callers there
-//	until TEXT CMD     run a carawaystile command until its output has the text
-//	send NAME PATH KEY BODY   post to its callers' side, output in stdout
+//	ready NAME...      wait until the instances are ready for callers
+//	until TEXT CMD     repeat a carawaystile command until its output contains TEXT
+//	send NAME PATH KEY BODY   send a POST request to its callers' listener; stdout is the response
 //
-// Waiting has no limit of its own: a script that never gets there is ended by
-// the test's timeout.
+// Waiting commands have no timeout of their own: the timeout of the test ends a
+// script that does not progress.
 func TestProcesses(t *testing.T) {
 	subnet, err := freeSubnet()
 	if err != nil {
@@ -65,14 +65,15 @@
 	})
 }
 
-// freeSubnet finds a part of the loopback range that no other run of this test
-// uses: the first three numbers of its addresses.
+// freeSubnet finds a subnet of the loopback range that no other run of this test
+// uses, and returns the first three numbers of its addresses.
 func freeSubnet() (string, error) {
 	for i := range 200 {
 		subnet := fmt.Sprintf("127.%d.%d", 60+i, os.Getpid()%250+1)
 		listener, err := net.Listen("tcp", subnet+".250:9")
 		if err == nil {
-			// Held until the process ends.
+			// The listener stays open until the process ends, to reserve the
+			// subnet.
 			_ = listener
 			return subnet, nil
 		}
@@ -80,13 +81,15 @@
 	return "", os.ErrExist
 }
 
-// processes are the instances of the scripts, one script at a time.
+// processes are the processes of a script. Scripts run one at a time.
 type processes struct {
 	subnet  string
 	running map[string]*exec.Cmd
 	outputs map[string]*bytes.Buffer
 }
 
+// setup prepares the environment and key files of a script, and kills its processes
+// at the end.
 func (p *processes) setup(env *testscript.Env) error {
 	p.running = make(map[string]*exec.Cmd)
 	p.outputs = make(map[string]*bytes.Buffer)
@@ -107,12 +110,12 @@
 	return nil
 }
 
-// address is the host part of an instance's addresses.
+// address returns the host part of an instance's addresses.
 func (p *processes) address(name string) string {
 	return fmt.Sprintf("%s.%d", p.subnet, name[0]-'a'+1)
 }
 
-const settingsForm = `instance: %[1]s
+const settingsTemplate = `instance: %[1]s
 zone: z%[1]s
 data: data-%[1]s
 roles: [entry, control]
@@ -128,7 +131,7 @@
 `
 
 func (p *processes) instance(ts *testscript.TestScript, _ bool, args []string) {
-	text := fmt.Sprintf(settingsForm, args[0], p.address(args[0]), p.subnet)
+	text := fmt.Sprintf(settingsTemplate, args[0], p.address(args[0]), p.subnet)
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]+".yaml"), []byte(text), 0o600))
 	declarations := strings.ReplaceAll(ts.ReadFile("declarations.yaml"), "SUBNET", p.subnet)
 	ts.Check(os.WriteFile(ts.MkAbs("declarations.yaml"), []byte(declarations), 0o600))
@@ -157,8 +160,8 @@
 	_ = c.Wait()
 }
 
-// drain fails unless the process ends by itself with exit code 0. Its output
-// can be matched with stdout.
+// drain fails unless the process exits with code 0. The script can match its output
+// with stdout.
 func (p *processes) drain(ts *testscript.TestScript, _ bool, args []string) {
 	c := p.running[args[0]]
 	delete(p.running, args[0])
@@ -172,7 +175,7 @@
 	for _, name := range args {
 		url := "http://" + p.address(name) + ":8080/readyz"
 		for !isReady(url) {
-			time.Sleep(pause)
+			time.Sleep(pollInterval)
 		}
 	}
 }
@@ -186,16 +189,16 @@
 	return resp.StatusCode < http.StatusMultipleChoices
 }
 
-const pause = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
 func until(ts *testscript.TestScript, _ bool, args []string) {
 	for {
-		// A command that fails has no output that counts.
+		// The output of a failed command is ignored.
 		_ = ts.Exec("carawaystile", args[1:]...)
 		if strings.Contains(ts.ReadFile("stdout"), args[0]) {
 			return
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/cmd/carawaystiled/serve.go
+++ b/cmd/carawaystiled/serve.go
@@ -18,11 +18,12 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// exitInvalid: a settings or declarations file has faults. The operators'
-// command uses the same number.
-const exitInvalid subcommands.ExitStatus = 3
+// exitInvalidFile is the exit code for a settings or declarations file with faults.
+// The operators' command uses the same number.
+const exitInvalidFile subcommands.ExitStatus = 3
 
-// serveCommand runs an instance until it is told to end.
+// serveCommand implements the subcommand that runs an instance until a signal ends
+// it.
 type serveCommand struct{ path string }
 
 func (*serveCommand) Name() string     { return "serve" }
@@ -47,12 +48,12 @@
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	process, declarations, err := read(c.path)
+	process, declarations, err := readSettings(c.path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitInvalid
+		return exitInvalidFile
 	}
-	log := newLog(process.LogLevel)
+	log := newLogger(process.LogLevel)
 	d, err := daemon.Start(daemon.Options{Process: process, Declarations: declarations, Log: log})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -63,8 +64,8 @@
 	return subcommands.ExitSuccess
 }
 
-// read reads the settings and the declarations they name.
-func read(path string) (*settings.Process, *tables.Configuration, error) {
+// readSettings reads the settings and the declarations file that they name, if any.
+func readSettings(path string) (*settings.Process, *tables.Configuration, error) {
 	process, err := settings.ReadProcess(path)
 	if err != nil || process.Declarations == "" {
 		return process, nil, err
@@ -73,16 +74,17 @@
 	return process, declarations, err
 }
 
-// newLog writes one JSON object a line to standard error.
-func newLog(level zapcore.Level) *zap.Logger {
+// newLogger returns a logger that writes one JSON object per line to standard
+// error.
+func newLogger(level zapcore.Level) *zap.Logger {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(config), zapcore.Lock(os.Stderr), level)
 	return zap.New(core)
 }
 
-// drain ends the instance once its requests have ended, the time is over or a
-// second signal comes.
+// drain stops the instance once its open requests have ended, the timeout has
+// elapsed or a second signal arrives.
 func drain(ctx context.Context, d *daemon.Daemon, timeout time.Duration, signals <-chan os.Signal) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/cmd/slopes/main.go
+++ b/cmd/slopes/main.go
@@ -1,6 +1,7 @@
-// Command slopes draws the costs that docs/CAPACITY.md is worked out from. It
-// reads the output of go test -bench from standard input, writes a drawing a
-// line into a folder, and prints a table of what they come to at the target.
+// Command slopes plots the linear cost models behind docs/CAPACITY.md. It reads the
+// output of go test -bench from standard input, writes one SVG plot for each fitted
+// line into a folder, and prints a table of the costs extrapolated to the target
+// size.
 package main
 
 import (
@@ -22,6 +23,8 @@
 	}
 }
 
+// run fits and plots each line. A line that cannot be fitted is reported and
+// skipped.
 func run(folder string) error {
 	results, err := capacity.ReadResults(os.Stdin, "standard input")
 	if err != nil {
@@ -35,14 +38,15 @@
 			continue
 		}
 		fits = append(fits, fit)
-		if err := write(folder, fit); err != nil {
+		if err := writePlot(folder, fit); err != nil {
 			return err
 		}
 	}
 	return capacity.WriteTable(os.Stdout, fits)
 }
 
-func write(folder string, fit capacity.Fit) error {
+// writePlot writes the plot of a fit to a file that is named after its title.
+func writePlot(folder string, fit capacity.Fit) error {
 	name := strings.ReplaceAll(strings.ToLower(fit.Line.Title), " ", "-") + ".svg"
 	file, err := os.Create(filepath.Join(folder, name))
 	if err != nil {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs forwarding deployments through random faults; see package
-// soak.
+// Command soak is a soak test with fault injection: it runs forwarding deployments
+// under random faults. Package soak implements it.
 package main
 
 import (
@@ -16,21 +16,21 @@
 
 func main() { os.Exit(run()) }
 
-// run plays the seeds one after the other. It returns 0 if no promise was
-// broken, 1 if one was, 2 for wrong usage or a run that could not be made.
+// run runs the seeds one after the other. It returns 0 if no guarantee was
+// violated, 1 if one was, and 2 for wrong usage or a run that failed to execute.
 func run() int {
 	daemon := flag.String("daemon", "target/carawaystiled", "binary of an instance")
 	seeds := flag.String("seeds", "1-5", "seeds to play, as FROM-TO or one number")
-	length := flag.Duration("for", 30*time.Second, "how long faults come in each run")
-	controls := flag.Int("controls", 3, "control instances")
-	entries := flag.Int("entries", 6, "entry instances")
+	faultDuration := flag.Duration("for", 30*time.Second, "how long faults come in each run")
+	controlCount := flag.Int("controls", 3, "control instances")
+	entryCount := flag.Int("entries", 6, "entry instances")
 	folder := flag.String("folder", filepath.Join(os.TempDir(), "soak"), "folder for settings, state and logs")
 	faults := flag.String("faults", "", "comma-separated kinds of faults; all if empty")
 	inForce := flag.Bool("in-force", false, "check how long changes take to be in force; the machine should be quiet")
 	limitUse := flag.Bool("limit-use", false, "limit the rate of one organisation, and check the limit")
 	verbose := flag.Bool("v", false, "print each fault")
 	flag.Parse()
-	first, last, ok := bounds(*seeds)
+	first, last, ok := parseSeedRange(*seeds)
 	if !ok || flag.NArg() > 0 {
 		flag.Usage()
 		return 2
@@ -38,8 +38,8 @@
 	code := 0
 	for seed := first; seed <= last; seed++ {
 		o := soak.Options{
-			Daemon: *daemon, Folder: filepath.Join(*folder, strconv.FormatUint(seed, 10)), Seed: seed, For: *length,
-			Controls: *controls, Entries: *entries, InForce: *inForce, LimitUse: *limitUse,
+			Daemon: *daemon, Folder: filepath.Join(*folder, strconv.FormatUint(seed, 10)), Seed: seed, For: *faultDuration,
+			Controls: *controlCount, Entries: *entryCount, InForce: *inForce, LimitUse: *limitUse,
 		}
 		if *faults != "" {
 			o.Faults = strings.Split(*faults, ",")
@@ -62,8 +62,8 @@
 	return code
 }
 
-// bounds reads "FROM-TO" or one number.
-func bounds(text string) (first, last uint64, ok bool) {
+// parseSeedRange parses "FROM-TO" or a single number.
+func parseSeedRange(text string) (first, last uint64, ok bool) {
 	from, to, found := strings.Cut(text, "-")
 	if !found {
 		to = from
