--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -22,7 +22,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// reportTimes reports percentiles of measured times in milliseconds.
+// reportTimes reports the median and 99th percentile of measured times in
+// milliseconds.
 func reportTimes(b *testing.B, name string, times []time.Duration) {
 	slices.Sort(times)
 	at := func(p float64) float64 {
@@ -32,8 +33,8 @@
 	b.ReportMetric(at(0.99), name+"_p99_ms")
 }
 
-// BenchmarkApplyInForce measures the time from sending an apply until it is in
-// force, and saved, at all of 9 instances, 3 of them control instances.
+// BenchmarkApplyInForce measures the time from sending an apply until all of 9
+// instances, 3 of them control instances, have stored and applied it.
 func BenchmarkApplyInForce(b *testing.B) {
 	c := newCluster(b, 3, 6)
 	var accepted, inForce []time.Duration
@@ -58,15 +59,15 @@
 	reportTimes(b, "in_force", inForce)
 }
 
-// BenchmarkClaims measures the two quorum steps before a dispatch, over 3
-// control instances with synced files. One caller makes one claim at a time, so
-// that each step has a sync of its own; the others share syncs. Followers wait
-// for configurations at the same control instances.
+// BenchmarkClaims measures the two commits before a dispatch, over 3 control
+// instances with synced files. A single caller makes one claim at a time, so that
+// each commit has its own sync; with more callers, commits share syncs (group
+// commit). Followers long-poll the same control instances.
 func BenchmarkClaims(b *testing.B) {
 	for _, load := range []struct{ callers, followers int }{{1, 0}, {16, 0}, {128, 0}, {128, 340}} {
 		b.Run(fmt.Sprintf("callers=%d/followers=%d", load.callers, load.followers), func(b *testing.B) {
 			f := newFanOut(b, load.followers)
-			f.change(0)
+			f.applyAndAwait(0)
 			var next atomic.Int64
 			var mu sync.Mutex
 			var times []time.Duration
@@ -77,7 +78,7 @@
 					claims := f.instances[caller%3].claims
 					for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
 						start := time.Now()
-						claimOnce(b, claims, n)
+						claimAndMarkDispatched(b, claims, n)
 						mu.Lock()
 						times = append(times, time.Since(start))
 						mu.Unlock()
@@ -92,20 +93,22 @@
 	}
 }
 
+// claimer is the part of client.ClaimClient that is measured.
 type claimer interface {
 	Claim(context.Context, tables.OrganisationID, tables.IdempotencyKey, tables.BodyHash) (tables.ClaimResult, error)
 	MarkDispatched(context.Context, tables.ClaimResult) error
 }
 
-func claimOnce(b *testing.B, claims claimer, n int64) {
+// claimAndMarkDispatched makes the two commits before a dispatch.
+func claimAndMarkDispatched(b *testing.B, claims claimer, n int64) {
 	organisation := tables.OrganisationID(fmt.Sprint("o", n%8))
 	grant, err := claims.Claim(context.Background(), organisation, tables.IdempotencyKey(fmt.Sprint(n)), tables.BodyHash{1})
 	assert.Check(b, err)
 	assert.Check(b, claims.MarkDispatched(context.Background(), grant))
 }
 
-// BenchmarkNewLeader measures the time from the loss of the leader until the
-// group decides again: cut off without a word, or closed as for a restart.
+// BenchmarkNewLeader measures the time from the loss of the leader until the group
+// commits again: after a partition of the leader, and after its orderly shutdown.
 func BenchmarkNewLeader(b *testing.B) {
 	for _, planned := range []bool{false, true} {
 		b.Run(fmt.Sprint("planned=", planned), func(b *testing.B) {
@@ -120,7 +123,7 @@
 				} else {
 					c.isolate(leader)
 				}
-				assert.NilError(b, c.instances[(leader+1)%3].server.Barrier(c.long()))
+				assert.NilError(b, c.instances[(leader+1)%3].server.Barrier(c.testContext()))
 				times = append(times, time.Since(start))
 			}
 			reportTimes(b, "new_leader", times)
@@ -128,6 +131,7 @@
 	}
 }
 
+// leader returns the index of the leader, 0 if there is none.
 func (c *cluster) leader() int {
 	for i, in := range c.instances {
 		if in.server != nil && in.server.Status().IsLeader {
@@ -137,18 +141,18 @@
 	return 0
 }
 
-// isolate cuts an instance off from all others.
+// isolate partitions an instance from all others.
 func (c *cluster) isolate(i int) {
 	for j, other := range c.instances {
 		if j != i {
-			other.cut.set(c.instances[i].address, true)
-			c.instances[i].cut.set(other.address, true)
+			other.partition.setBlocked(c.instances[i].address, true)
+			c.instances[i].partition.setBlocked(other.address, true)
 		}
 	}
 }
 
-// BenchmarkFullSnapshot measures how long a replica is held up by a snapshot
-// when it keeps as many claims as it may, an eighth of them with answers.
+// BenchmarkFullSnapshot measures how long a snapshot blocks a replica that holds
+// the maximum number of claims, an eighth of them with responses.
 func BenchmarkFullSnapshot(b *testing.B) {
 	limits := state.DefaultLimits()
 	s := state.New(limits)
@@ -158,7 +162,7 @@
 		return s.Execute(index, command)
 	}
 	for n := range limits.MaxClaims {
-		command := claimRow(n)
+		command := claimCommand(n)
 		grant := run(command).GetClaim()
 		claim := command.GetClaim()
 		if n%8 == 0 {
@@ -175,28 +179,28 @@
 	var encoded []byte
 	var err error
 	b.ResetTimer()
-	var held time.Duration
+	var blocked time.Duration
 	for b.Loop() {
 		start := time.Now()
 		snapshot := s.TakeSnapshot()
-		held += time.Since(start)
+		blocked += time.Since(start)
 		encoded, err = state.EncodeSnapshot(snapshot)
 		assert.NilError(b, err)
 	}
 	b.ReportMetric(float64(len(encoded)), "snapshot_bytes")
-	b.ReportMetric(float64(held.Milliseconds())/float64(b.N), "held_up_ms")
+	b.ReportMetric(float64(blocked.Milliseconds())/float64(b.N), "held_up_ms")
 }
 
-// BenchmarkRestart measures how long a control instance needs to read its disk
-// after many changes, and how large its folder is then.
+// BenchmarkRestart measures how long a control instance needs to recover from disk
+// after many changes, and the size of its data folder.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{1400, 14_000, 140_000} {
 		b.Run(fmt.Sprint("changes=", changes), func(b *testing.B) {
 			dir := filepath.Join(b.TempDir(), "data")
-			fill(b, dir, changes)
+			writeChanges(b, dir, changes)
 			b.ResetTimer()
 			for b.Loop() {
-				replica, folder := openServer(b, dir)
+				replica, folder := startSingleReplica(b, dir)
 				for !replica.Status().Joined {
 					runtime.Gosched()
 				}
@@ -210,28 +214,31 @@
 	}
 }
 
-type nowhere struct{}
+// nilDialer returns no client; a group of one replica has no peers.
+type nilDialer struct{}
 
-func (nowhere) Control(string) rpc.Control { return nil }
+func (nilDialer) Control(string) rpc.Control { return nil }
 
-func openServer(b *testing.B, dir string) (*server.Server, *store.Folder) {
+// startSingleReplica starts a group of one replica on a data folder.
+func startSingleReplica(b *testing.B, dir string) (*server.Server, *store.Folder) {
 	folder, err := store.OpenFolder(dir)
 	assert.NilError(b, err)
 	replica, err := server.Start(server.Options{
 		Self:     server.Instance{Name: "i", Address: "127.0.0.1:1"},
-		Dialer:   nowhere{},
+		Dialer:   nilDialer{},
 		LogStore: server.FolderLogStore{Folder: folder},
 	})
 	assert.NilError(b, err)
 	return replica, folder
 }
 
-// fill lets a group of one make the changes, many at a time.
-func fill(b *testing.B, dir string, changes int) {
-	replica, folder := openServer(b, dir)
+// writeChanges commits the given number of changes in a group of one, with 256
+// concurrent writers.
+func writeChanges(b *testing.B, dir string, changes int) {
+	replica, folder := startSingleReplica(b, dir)
 	ctx := context.Background()
 	assert.NilError(b, replica.Barrier(ctx))
-	items := declare(b, time.Second)
+	items := encodedItems(b, time.Second)
 	_, err := replica.Execute(ctx, &rpc.Command{Action: &rpc.Command_Apply{Apply: &rpc.ApplyConfiguration{
 		Request: "first", Digest: configuration.NewContent(items).DeclaredDigest(), Changes: items,
 	}}})
@@ -254,6 +261,7 @@
 	assert.NilError(b, folder.Close())
 }
 
+// folderBytes returns the total size of the files in a folder.
 func folderBytes(b *testing.B, dir string) int64 {
 	total := int64(0)
 	assert.NilError(b, filepath.Walk(dir, func(_ string, info os.FileInfo, err error) error {
@@ -265,15 +273,15 @@
 	return total
 }
 
-// BenchmarkStateBytes measures what one row of each kind costs in a snapshot and
+// BenchmarkStateBytes measures the size of one row of each kind in a snapshot and
 // in memory.
 func BenchmarkStateBytes(b *testing.B) {
 	const rows = 5000
 	kinds := map[string]func(int) *rpc.Command{
-		"profile":      func(n int) *rpc.Command { return applyOne(b, n, withProfile) },
-		"organisation": func(n int) *rpc.Command { return applyOne(b, n, withOrganisation) },
-		"endpoint":     func(n int) *rpc.Command { return applyOne(b, n, withEndpoint) },
-		"claim":        claimRow,
+		"profile":      func(n int) *rpc.Command { return applyCommand(b, n, withProfile) },
+		"organisation": func(n int) *rpc.Command { return applyCommand(b, n, withOrganisation) },
+		"endpoint":     func(n int) *rpc.Command { return applyCommand(b, n, withEndpoint) },
+		"claim":        claimCommand,
 	}
 	for name, command := range kinds {
 		b.Run(name, func(b *testing.B) {
@@ -301,6 +309,7 @@
 	}
 }
 
+// heapBytes returns the size of the live heap.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -309,7 +318,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-func claimRow(n int) *rpc.Command {
+// claimCommand returns a command that claims the n-th key.
+func claimCommand(n int) *rpc.Command {
 	return &rpc.Command{Action: &rpc.Command_Claim{Claim: &rpc.Claim{
 		Organisation: fmt.Sprint("organisation-", n%8),
 		Key:          fmt.Sprintf("%032d", n),
@@ -319,8 +329,8 @@
 	}}}
 }
 
-// applyOne declares n rows in one revision.
-func applyOne(b *testing.B, n int, add func(*tables.Configuration, int)) *rpc.Command {
+// applyCommand returns a command that declares n rows in one revision.
+func applyCommand(b *testing.B, n int, add func(*tables.Configuration, int)) *rpc.Command {
 	var c tables.Configuration
 	for i := range n {
 		add(&c, i)
--- a/control/client/claim_client.go
+++ b/control/client/claim_client.go
@@ -81,7 +81,7 @@
 // claimID identifies one granted claim of a key.
 type claimID struct {
 	claimKey
-	fence tables.FencingToken
+	token tables.FencingToken
 }
 
 // ClaimLimitError means that the control state holds the maximum number of claims.
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -27,17 +27,17 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// instance is one instance of a test, over HTTP on loopback and with its files
-// in a folder of its own.
+// instance is one instance of a test cluster. It communicates over HTTP on loopback
+// and has its own data folder.
 type instance struct {
-	name     tables.InstanceID
-	address  string
-	listener net.Listener
-	http     *http.Server
-	folder   *store.Folder
-	cut      *cutter
-	dialer   *transport.Dialer
-	// server and service are nil without the control role.
+	name       tables.InstanceID
+	address    string
+	listener   net.Listener
+	http       *http.Server
+	dataFolder *store.Folder
+	partition  *partitionTransport
+	dialer     *transport.Dialer
+	// The fields server and service are nil without the control role.
 	server   *server.Server
 	service  *operator.Service
 	follower *follower.Follower
@@ -45,25 +45,27 @@
 	inForce  chan tables.Revision
 }
 
-// cluster is several instances; the first ones have the control role.
+// cluster is a set of instances, the first controlCount of which have the control
+// role.
 type cluster struct {
-	t         testing.TB
-	ring      *keys.Ring
-	controls  int
-	instances []*instance
-	boot      atomic.Uint64
+	t            testing.TB
+	ring         *keys.Ring
+	controlCount int
+	instances    []*instance
+	boot         atomic.Uint64
 }
 
-// cutter refuses requests to addresses that are cut.
-type cutter struct {
-	base http.RoundTripper
-	mu   sync.Mutex
-	cut  map[string]bool
+// partitionTransport is an HTTP transport that simulates network partitions:
+// requests to blocked addresses fail.
+type partitionTransport struct {
+	base    http.RoundTripper
+	mu      sync.Mutex
+	blocked map[string]bool
 }
 
-func (c *cutter) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.mu.Lock()
-	cut := c.cut[r.URL.Host]
+	cut := c.blocked[r.URL.Host]
 	c.mu.Unlock()
 	if cut {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
@@ -71,34 +73,36 @@
 	return c.base.RoundTrip(r)
 }
 
-func (c *cutter) set(address string, cut bool) {
+func (c *partitionTransport) setBlocked(address string, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[address] = cut
+	c.blocked[address] = cut
 }
 
 const testKey = "0123456789abcdef0123456789abcdef"
 
+// newCluster starts a cluster with the given numbers of control instances and other
+// instances.
 func newCluster(t testing.TB, controls, others int) *cluster {
 	path := filepath.Join(t.TempDir(), "key")
 	assert.NilError(t, os.WriteFile(path, []byte(testKey+"\n"), 0o600))
 	ring, err := keys.Read(path)
 	assert.NilError(t, err)
-	c := &cluster{t: t, ring: ring, controls: controls}
+	c := &cluster{t: t, ring: ring, controlCount: controls}
 	for i := range controls + others {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		folder, err := store.OpenFolder(filepath.Join(t.TempDir(), "data"))
 		assert.NilError(t, err)
-		cut := &cutter{base: &http.Transport{MaxIdleConnsPerHost: 64}, cut: map[string]bool{}}
+		partition := &partitionTransport{base: &http.Transport{MaxIdleConnsPerHost: 64}, blocked: map[string]bool{}}
 		c.instances = append(c.instances, &instance{
-			name:     tables.InstanceID(fmt.Sprintf("instance-%03d", i)),
-			address:  listener.Addr().String(),
-			listener: listener,
-			folder:   folder,
-			cut:      cut,
-			dialer:   transport.NewDialer(&http.Client{Transport: &keys.Transport{Ring: ring, Base: cut}}),
-			inForce:  make(chan tables.Revision, 1<<16),
+			name:       tables.InstanceID(fmt.Sprintf("instance-%03d", i)),
+			address:    listener.Addr().String(),
+			listener:   listener,
+			dataFolder: folder,
+			partition:  partition,
+			dialer:     transport.NewDialer(&http.Client{Transport: &keys.Transport{Ring: ring, Base: partition}}),
+			inForce:    make(chan tables.Revision, 1<<16),
 		})
 	}
 	for i := range c.instances {
@@ -108,21 +112,22 @@
 	return c
 }
 
+// start starts one instance with its follower, claim client and HTTP server.
 func (c *cluster) start(i int) {
 	in := c.instances[i]
 	mux := http.NewServeMux()
-	if i < c.controls {
+	if i < c.controlCount {
 		c.startControl(i)
 		mux.Handle(rpc.ControlPathPrefix, transport.NewHandler(in.server))
 		mux.Handle(rpc.OperatorPathPrefix, rpc.NewOperatorServer(in.service))
 	}
 	in.follower = c.startFollower(i)
-	if i >= c.controls {
+	if i >= c.controlCount {
 		mux.Handle(rpc.ControlPathPrefix, transport.NewHandler(follower.Relay{Follower: in.follower}))
 	}
 	var executors []client.Executor
-	for j := range c.controls {
-		executors = append(executors, in.dialer.Control(c.instances[(i+j)%c.controls].address))
+	for j := range c.controlCount {
+		executors = append(executors, in.dialer.Control(c.instances[(i+j)%c.controlCount].address))
 	}
 	started := time.Now()
 	in.claims = client.NewClaimClient(client.ClaimClientOptions{
@@ -135,19 +140,20 @@
 	go func() { _ = in.http.Serve(in.listener) }()
 }
 
+// startControl starts the replica and the operators' service of a control instance.
 func (c *cluster) startControl(i int) {
 	in := c.instances[i]
 	options := server.Options{
 		Self:     server.Instance{Name: in.name, Address: in.address},
 		Dialer:   in.dialer,
-		LogStore: server.FolderLogStore{Folder: in.folder},
+		LogStore: server.FolderLogStore{Folder: in.dataFolder},
 	}
-	// Tests start a group each, and most of their time would be its first
-	// election. Measures use the default.
+	// A shorter tick speeds up the first election, which would otherwise dominate
+	// the duration of each test. Benchmarks use the default.
 	if _, test := c.t.(*testing.T); test {
 		options.TickInterval = 20 * time.Millisecond
 	}
-	for j := range c.controls {
+	for j := range c.controlCount {
 		if j != i {
 			other := c.instances[j]
 			options.Peers = append(options.Peers, server.Instance{Name: other.name, Address: other.address})
@@ -159,17 +165,17 @@
 	in.service = operator.NewService(operator.Options{Server: in.server, Instance: in.name})
 }
 
-// startFollower lets an instance ask the control instances, and then the next
-// instance.
+// startFollower starts a follower whose sources are the control instances and then
+// the next instance.
 func (c *cluster) startFollower(i int) *follower.Follower {
 	in := c.instances[i]
 	return follower.Start(follower.Options{
 		Instance: in.name,
-		Files:    in.folder,
+		Files:    in.dataFolder,
 		Sources: func() []follower.Source {
 			var sources []follower.Source
-			for j := range c.controls {
-				sources = append(sources, in.dialer.Control(c.instances[(i+j)%c.controls].address))
+			for j := range c.controlCount {
+				sources = append(sources, in.dialer.Control(c.instances[(i+j)%c.controlCount].address))
 			}
 			return append(sources, in.dialer.Control(c.instances[(i+1)%len(c.instances)].address))
 		},
@@ -185,20 +191,21 @@
 			in.server.Close()
 		}
 		_ = in.http.Close()
-		_ = in.folder.Close()
+		_ = in.dataFolder.Close()
 	}
 }
 
-// long bounds what has to happen in the end.
-func (c *cluster) long() context.Context {
+// testContext returns a context that bounds operations that are expected to
+// complete eventually.
+func (c *cluster) testContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	c.t.Cleanup(cancel)
 	return ctx
 }
 
-// declare returns the items of a configuration whose one profile has the given
-// timeout.
-func declare(t testing.TB, timeout time.Duration) []*rpc.Item {
+// encodedItems returns the items of a configuration whose only profile has the
+// given timeout.
+func encodedItems(t testing.TB, timeout time.Duration) []*rpc.Item {
 	items, err := configuration.Encode(tables.Configuration{
 		WeightLoads: 2,
 		Profiles:    []tables.Profile{{Name: "drafting", Timeout: timeout}},
@@ -208,35 +215,36 @@
 	return items
 }
 
+// apply applies such a configuration through one control instance.
 func (c *cluster) apply(i int, request string, base uint64, timeout time.Duration) *rpc.ChangeAnswer {
-	answer, err := c.instances[i].service.Apply(c.long(), &rpc.ApplyRequest{
+	answer, err := c.instances[i].service.Apply(c.testContext(), &rpc.ApplyRequest{
 		Operator: "ama",
 		Request:  request,
 		Base:     base,
-		Items:    declare(c.t, timeout),
+		Items:    encodedItems(c.t, timeout),
 	})
 	assert.NilError(c.t, err)
 	return answer
 }
 
-// awaitRevision waits until the instance has put the revision in force. None may
-// come out of order.
+// awaitRevision waits until the instance has applied the revision. Revisions must
+// be applied in increasing order.
 func (c *cluster) awaitRevision(i int, want tables.Revision) {
 	last := tables.Revision(0)
-	ctx := c.long()
+	ctx := c.testContext()
 	for last < want {
 		select {
 		case revision := <-c.instances[i].inForce:
 			assert.Assert(c.t, revision > last, "revision %d after %d", revision, last)
 			last = revision
 		case <-ctx.Done():
-			c.t.Fatalf("instance %d has revision %d, want %d", i, last, want)
+			c.t.Fatalf("instance %d applied revision %d, want %d", i, last, want)
 		}
 	}
-	// The follower hands a revision out just before it takes note of it.
+	// The follower calls OnConfiguration just before it records the revision.
 	for noted := tables.Revision(0); noted < want; noted, _ = c.instances[i].follower.RevisionInForce() {
 		if ctx.Err() != nil {
-			c.t.Fatalf("instance %d does not take note of revision %d", i, want)
+			c.t.Fatalf("instance %d has not recorded revision %d", i, want)
 		}
 		runtime.Gosched()
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -18,7 +18,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-func TestApplyIsInForceAtAllInstances(t *testing.T) {
+// Changes through different control instances must be applied at all instances.
+func TestApplyReachesAllInstances(t *testing.T) {
 	c := newCluster(t, 3, 6)
 	assert.Equal(t, c.apply(0, "r1", 0, time.Second).GetAccepted().GetRevision().GetNumber(), uint64(1))
 	assert.Equal(t, c.apply(1, "r2", 1, time.Minute).GetAccepted().GetRevision().GetNumber(), uint64(2))
@@ -27,9 +28,10 @@
 	}
 }
 
-// An operator applies over a base that another has replaced. The message must
-// say who did, and what the refused content would change.
-func TestConflictNamesWinnerAndDifference(t *testing.T) {
+// An operator applies a configuration against a base that another change has
+// replaced. The conflict must name the winning revision and its operator, and the
+// changes that the rejected content would make.
+func TestConflictReportsWinnerAndDiff(t *testing.T) {
 	c := newCluster(t, 3, 0)
 	c.apply(0, "r1", 0, time.Second)
 	conflict := c.apply(1, "r2", 0, time.Minute)
@@ -40,40 +42,41 @@
 	future := c.apply(1, "r3", 9, time.Minute)
 	assert.Equal(t, future.GetConflict().GetInForce(), uint64(1))
 	service := c.instances[2].service
-	history, err := service.History(c.long(), &rpc.HistoryRequest{})
+	history, err := service.History(c.testContext(), &rpc.HistoryRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(history.GetRevisions()), 1)
-	left, err := service.EndpointLeave(c.long(), &rpc.EndpointRequest{Operator: "ama", Request: "l", Endpoint: "e1"})
+	left, err := service.EndpointLeave(c.testContext(), &rpc.EndpointRequest{Operator: "ama", Request: "l", Endpoint: "e1"})
 	assert.NilError(t, err)
 	assert.Equal(t, left.GetAccepted().GetRevision().GetNumber(), uint64(2))
-	in, err := service.Configuration(c.long(), &rpc.ConfigurationRequest{})
+	in, err := service.Configuration(c.testContext(), &rpc.ConfigurationRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, in.GetRevision().GetNumber(), uint64(2))
 }
 
-// An instance is cut off from all control instances, not from the others. A new
-// revision must reach it all the same.
+// An instance that is partitioned from all control instances must still receive new
+// revisions through another instance.
 func TestRevisionReachesInstanceThroughPeer(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.apply(0, "r1", 0, time.Second)
 	c.awaitRevision(3, 1)
-	for j := range c.controls {
-		c.instances[3].cut.set(c.instances[j].address, true)
+	for j := range c.controlCount {
+		c.instances[3].partition.setBlocked(c.instances[j].address, true)
 	}
 	c.apply(0, "r2", 1, time.Minute)
-	ctx := c.long()
+	ctx := c.testContext()
 	for revision := tables.Revision(1); revision < 2; {
 		select {
 		case revision = <-c.instances[3].inForce:
 		case <-ctx.Done():
-			t.Fatal("revision 2 has not come")
+			t.Fatal("revision 2 was not applied")
 		}
 	}
 }
 
-// An instance restarts while nobody can be reached. It must serve from its own
-// copy at once, and not go back when it meets one that is behind.
-func TestFollowerRestartsFromItsCopy(t *testing.T) {
+// An instance that restarts while no source is reachable must immediately apply its
+// cached copy, and must not revert to an older revision when it reaches a source
+// that lags behind.
+func TestFollowerRestartsFromCachedCopy(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	c.apply(0, "r1", 0, time.Second)
 	c.apply(0, "r2", 1, time.Minute)
@@ -81,44 +84,47 @@
 	in := c.instances[0]
 	in.follower.Close()
 	in.follower = follower.Start(follower.Options{
-		Files:           in.folder,
+		Files:           in.dataFolder,
 		Sources:         func() []follower.Source { return nil },
 		OnConfiguration: func(configuration *tables.Configuration) { in.inForce <- configuration.Revision },
 	})
 	<-in.follower.Ready()
 	revision, _ := in.follower.RevisionInForce()
 	assert.Equal(t, revision, tables.Revision(2))
-	behind := staleSource{&rpc.WatchAnswer{Revision: 1, Full: true, Items: declare(t, time.Second)}}
-	assert.NilError(t, in.follower.Fetch(c.long(), behind, 0))
+	behind := fixedSource{&rpc.WatchAnswer{Revision: 1, Full: true, Items: encodedItems(t, time.Second)}}
+	assert.NilError(t, in.follower.Fetch(c.testContext(), behind, 0))
 	revision, _ = in.follower.RevisionInForce()
 	assert.Equal(t, revision, tables.Revision(2))
 }
 
-type staleSource struct{ answer *rpc.WatchAnswer }
+// fixedSource always returns the same reply.
+type fixedSource struct{ answer *rpc.WatchAnswer }
 
-func (s staleSource) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
+func (s fixedSource) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
 	return s.answer, nil
 }
 
-// A change is lost on the way to an instance. It notices by the digest and
-// takes the whole content instead of serving a mixture.
-func TestFollowerNoticesALostChange(t *testing.T) {
+// If an incremental change is lost in transfer, the follower must detect the wrong
+// digest and fetch the complete configuration instead of applying a mixture.
+func TestFollowerRefetchesAfterDigestMismatch(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	c.apply(0, "r1", 0, time.Second)
 	c.awaitRevision(0, 1)
-	lossy := &lossySource{items: declare(t, time.Hour)}
-	assert.NilError(t, c.instances[0].follower.Fetch(c.long(), lossy, 0))
+	lossy := &wrongDigestSource{items: encodedItems(t, time.Hour)}
+	assert.NilError(t, c.instances[0].follower.Fetch(c.testContext(), lossy, 0))
 	assert.Equal(t, lossy.asked, 2)
 	revision, _ := c.instances[0].follower.RevisionInForce()
 	assert.Equal(t, revision, tables.Revision(5))
 }
 
-type lossySource struct {
+// wrongDigestSource returns an incremental reply whose items are missing, and the
+// complete configuration on request.
+type wrongDigestSource struct {
 	items []*rpc.Item
 	asked int
 }
 
-func (s *lossySource) Watch(_ context.Context, r *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
+func (s *wrongDigestSource) Watch(_ context.Context, r *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
 	s.asked++
 	answer := &rpc.WatchAnswer{Revision: 5, Digest: configuration.NewContent(s.items).Digest()}
 	if r.GetRevision() == 0 {
@@ -127,16 +133,16 @@
 	return answer, nil
 }
 
-// A caller sends one key through every instance at once, as a build desk does
-// when answers are slow. One instance may run the work; the others wait for its
-// answer, and get it.
-func TestOneClaimThroughManyInstances(t *testing.T) {
+// A caller sends the same key through all instances at once, as a build desk does
+// when responses are slow. Exactly one instance may run the work; the others wait
+// for its response and receive it.
+func TestConcurrentClaimsGrantOneOwner(t *testing.T) {
 	c := newCluster(t, 3, 6)
 	body := tables.BodyHash{1}
 	grants := make(chan tables.ClaimResult, len(c.instances))
 	for _, in := range c.instances {
 		go func() {
-			grant, err := in.claims.Claim(c.long(), "press", "note", body)
+			grant, err := in.claims.Claim(c.testContext(), "press", "note", body)
 			assert.Check(t, err)
 			grants <- grant
 		}()
@@ -152,30 +158,31 @@
 	}
 	assert.Equal(t, len(owner), 1)
 	claims := c.instances[0].claims
-	assert.NilError(t, claims.MarkDispatched(c.long(), owner[0]))
-	assert.ErrorContains(t, claims.MarkDispatched(c.long(), owner[0]), "is lost")
+	assert.NilError(t, claims.MarkDispatched(c.testContext(), owner[0]))
+	assert.ErrorContains(t, claims.MarkDispatched(c.testContext(), owner[0]), "is lost")
 	answer := tables.StoredResponse{Status: 200, ContentType: "text/plain", Body: []byte("published"), Tokens: 3}
-	assert.NilError(t, claims.Finish(c.long(), owner[0], answer))
+	assert.NilError(t, claims.Finish(c.testContext(), owner[0], answer))
 	for _, in := range c.instances {
-		resend, err := in.claims.Claim(c.long(), "press", "note", body)
+		resend, err := in.claims.Claim(c.testContext(), "press", "note", body)
 		assert.NilError(t, err)
 		assert.Equal(t, resend.State, tables.ClaimCompleted)
 		assert.DeepEqual(t, resend.Response, answer)
 	}
-	_, err := claims.Claim(c.long(), "press", "note", tables.BodyHash{2})
+	_, err := claims.Claim(c.testContext(), "press", "note", tables.BodyHash{2})
 	assert.ErrorContains(t, err, "different request")
 }
 
-// The quorum is lost when the work has run. The caller has its answer; the
-// entry keeps it until the quorum is back, so that a resend gets it too.
-func TestAnswerIsStoredOnceTheQuorumIsBack(t *testing.T) {
+// The quorum is lost after the work has run. The caller has its response; the claim
+// client must retry storing it until the quorum is back, so that a later request
+// with the key receives it too.
+func TestFinishIsRetriedUntilQuorumReturns(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	in := c.instances[3]
-	grant, err := in.claims.Claim(c.long(), "press", "note", tables.BodyHash{1})
+	grant, err := in.claims.Claim(c.testContext(), "press", "note", tables.BodyHash{1})
 	assert.NilError(t, err)
-	assert.NilError(t, in.claims.MarkDispatched(c.long(), grant))
-	for j := range c.controls {
-		in.cut.set(c.instances[j].address, true)
+	assert.NilError(t, in.claims.MarkDispatched(c.testContext(), grant))
+	for j := range c.controlCount {
+		in.partition.setBlocked(c.instances[j].address, true)
 	}
 	short, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -183,10 +190,10 @@
 	assert.ErrorContains(t, err, "no quorum")
 	_, err = in.claims.Claim(short, "press", "other", tables.BodyHash{1})
 	assert.ErrorContains(t, err, "no quorum")
-	for j := range c.controls {
-		in.cut.set(c.instances[j].address, false)
+	for j := range c.controlCount {
+		in.partition.setBlocked(c.instances[j].address, false)
 	}
-	ctx := c.long()
+	ctx := c.testContext()
 	for {
 		resend, err := c.instances[0].claims.Claim(ctx, "press", "note", tables.BodyHash{1})
 		assert.NilError(t, err)
@@ -196,39 +203,40 @@
 	}
 }
 
-func TestWrongKeyIsRefused(t *testing.T) {
+// The control interface must reject clients without an instance key.
+func TestRequestWithoutKeyIsUnauthorized(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	dialer := transport.NewDialer(http.DefaultClient)
-	_, err := dialer.Control(c.instances[0].address).Execute(c.long(), &rpc.Command{})
+	_, err := dialer.Control(c.instances[0].address).Execute(c.testContext(), &rpc.Command{})
 	assert.Assert(t, err != nil && strings.Contains(err.Error(), "401"), "%v", err)
 }
 
-// A claim is granted but its answer is lost, and the caller is told that nothing
-// ran. The instance lives on, so nobody may take its claims over. The caller's
-// resend must still be able to run, through any instance.
-func TestResendAfterALostGrant(t *testing.T) {
+// A claim is granted but the reply is lost, and the caller is told that nothing
+// ran. The instance stays alive, so its claims cannot be taken over. The caller's
+// retry must nevertheless be able to run, through any instance.
+func TestClaimIsGrantedAgainAfterLostReply(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	in := c.instances[0]
-	lossy := &lossyExecutor{Executor: in.dialer.Control(in.address)}
+	lossy := &replyDroppingExecutor{Executor: in.dialer.Control(in.address)}
 	claims := client.NewClaimClient(client.ClaimClientOptions{
 		Executor: lossy, Instance: "lossy", Boot: 1, Now: func() tables.Instant { return 0 },
 	})
 	t.Cleanup(claims.Close)
 	for _, key := range []tables.IdempotencyKey{"same", "other"} {
 		lossy.lose.Store(true)
-		_, err := claims.Claim(c.long(), "press", key, tables.BodyHash{1})
+		_, err := claims.Claim(c.testContext(), "press", key, tables.BodyHash{1})
 		assert.ErrorContains(t, err, "lost")
 		lossy.lose.Store(false)
 	}
-	again, err := claims.Claim(c.long(), "press", "same", tables.BodyHash{1})
+	again, err := claims.Claim(c.testContext(), "press", "same", tables.BodyHash{1})
 	assert.NilError(t, err)
 	assert.Equal(t, again.State, tables.ClaimGranted)
-	second, err := claims.Claim(c.long(), "press", "same", tables.BodyHash{1})
+	second, err := claims.Claim(c.testContext(), "press", "same", tables.BodyHash{1})
 	assert.NilError(t, err)
 	assert.Equal(t, second.State, tables.ClaimInProgress)
-	assert.NilError(t, claims.MarkDispatched(c.long(), again))
+	assert.NilError(t, claims.MarkDispatched(c.testContext(), again))
 	for {
-		elsewhere, err := in.claims.Claim(c.long(), "press", "other", tables.BodyHash{1})
+		elsewhere, err := in.claims.Claim(c.testContext(), "press", "other", tables.BodyHash{1})
 		assert.NilError(t, err)
 		if elsewhere.State == tables.ClaimGranted {
 			return
@@ -236,33 +244,34 @@
 	}
 }
 
-// lossyExecutor loses answers.
-type lossyExecutor struct {
+// replyDroppingExecutor executes commands, and discards their results while lose is
+// set.
+type replyDroppingExecutor struct {
 	client.Executor
 	lose atomic.Bool
 }
 
-func (l *lossyExecutor) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
+func (l *replyDroppingExecutor) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
 	result, err := l.Executor.Execute(ctx, command)
 	if l.lose.Load() {
-		return nil, &tables.NoQuorumError{Operation: "claim", Cause: &lostAnswer{}}
+		return nil, &tables.NoQuorumError{Operation: "claim", Cause: &lostReplyError{}}
 	}
 	return result, err
 }
 
-type lostAnswer struct{}
+type lostReplyError struct{}
 
-func (*lostAnswer) Error() string { return "answer lost" }
+func (*lostReplyError) Error() string { return "answer lost" }
 
-// An instance without a copy starts while the first instance that it asks does
-// not answer. It must not wait for that one: until it has a configuration it can
-// serve nobody.
-func TestSilentSourceDoesNotHoldUpTheStart(t *testing.T) {
-	silent := silentSource(make(chan struct{}))
-	items := declare(t, time.Second)
+// An instance without a cached copy starts while its first source is unresponsive.
+// It must not wait for that source, because it cannot serve requests without a
+// configuration.
+func TestInitialFetchHedgesUnresponsiveSource(t *testing.T) {
+	silent := unresponsiveSource(make(chan struct{}))
+	items := encodedItems(t, time.Second)
 	answer := &rpc.WatchAnswer{Revision: 3, Full: true, Items: items, Digest: configuration.NewContent(items).Digest()}
 	f := follower.Start(follower.Options{
-		Sources:         func() []follower.Source { return []follower.Source{silent, staleSource{answer}} },
+		Sources:         func() []follower.Source { return []follower.Source{silent, fixedSource{answer}} },
 		OnConfiguration: func(*tables.Configuration) {},
 	})
 	defer f.Close()
@@ -272,40 +281,40 @@
 	select {
 	case <-f.Ready():
 	case <-ctx.Done():
-		t.Fatal("the silent instance was waited for")
+		t.Fatal("the follower waited for the unresponsive source")
 	}
 }
 
-// silentSource gives no answer before it is closed.
-type silentSource chan struct{}
+// unresponsiveSource does not reply until it is closed.
+type unresponsiveSource chan struct{}
 
-func (s silentSource) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
+func (s unresponsiveSource) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchAnswer, error) {
 	<-s
-	return nil, &lostAnswer{}
+	return nil, &lostReplyError{}
 }
 
-// Hundreds of instances tell of a revision at the same moment. Asking each of
-// them would bring the same content as many times.
-func TestNewerRevisionIsFetchedOnce(t *testing.T) {
+// Hundreds of instances advertise a revision at the same moment. Asking each of
+// them would transfer the same content as many times.
+func TestConcurrentFetchNewerAsksOneSource(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	counting := &blockingSource{asked: make(chan struct{}, 8), answer: make(chan struct{})}
 	f := c.instances[0].follower
-	assert.NilError(t, f.FetchNewer(c.long(), counting))
+	assert.NilError(t, f.FetchNewer(c.testContext(), counting))
 	assert.Equal(t, len(counting.asked), 0)
 	c.apply(0, "r1", 0, time.Second)
 	<-f.Ready()
 	first := make(chan error)
-	go func() { first <- f.FetchNewer(c.long(), counting) }()
+	go func() { first <- f.FetchNewer(c.testContext(), counting) }()
 	<-counting.asked
-	assert.NilError(t, f.FetchNewer(c.long(), counting))
+	assert.NilError(t, f.FetchNewer(c.testContext(), counting))
 	assert.Equal(t, len(counting.asked), 0)
 	close(counting.answer)
 	assert.NilError(t, <-first)
-	assert.NilError(t, f.FetchNewer(c.long(), counting))
+	assert.NilError(t, f.FetchNewer(c.testContext(), counting))
 	assert.Equal(t, len(counting.asked), 1)
 }
 
-// blockingSource has nothing new, and says so once answer is closed.
+// blockingSource replies without changes once answer is closed.
 type blockingSource struct {
 	asked  chan struct{}
 	answer chan struct{}
--- a/control/fanout_test.go
+++ b/control/fanout_test.go
@@ -20,7 +20,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// countingConn counts bytes in both directions.
+// countingConn counts the bytes in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -38,26 +38,26 @@
 	return n, err
 }
 
-// BenchmarkIdle measures what 3 control instances cost while nothing changes, by
-// themselves and with 340 followers, over two rounds of polls.
+// BenchmarkIdle measures the cost of 3 control instances while nothing changes,
+// without followers and with 340, over two rounds of long polls.
 func BenchmarkIdle(b *testing.B) {
 	const seconds = 9
 	for _, followers := range []int{0, 340} {
 		b.Run(fmt.Sprint("followers=", followers), func(b *testing.B) {
 			f := newFanOut(b, followers)
-			f.change(0)
+			f.applyAndAwait(0)
 			for b.Loop() {
 				start := f.bytes.Load()
-				used := processorTime()
+				cpuBefore := processCPUTime()
 				time.Sleep(seconds * time.Second)
 				b.ReportMetric(float64(f.bytes.Load()-start)/seconds/3, "follower_bytes/s/control_instance")
-				b.ReportMetric(float64((processorTime()-used).Microseconds())/seconds/3, "cpu_us/s/control_instance")
+				b.ReportMetric(float64((processCPUTime()-cpuBefore).Microseconds())/seconds/3, "cpu_us/s/control_instance")
 			}
 		})
 	}
 }
 
-// fanOut is followers without disks of 3 control instances.
+// fanOut is a cluster of 3 control instances with followers that have no cache.
 type fanOut struct {
 	*cluster
 	followers int
@@ -65,14 +65,15 @@
 	inForce   chan tables.Revision
 }
 
+// newFanOut starts a cluster and its followers.
 func newFanOut(b *testing.B, followers int) *fanOut {
 	f := &fanOut{cluster: newCluster(b, 3, 0), followers: followers, inForce: make(chan tables.Revision, followers*4)}
-	f.follow(b)
+	f.startFollowers(b)
 	return f
 }
 
-// follow starts the followers.
-func (f *fanOut) follow(b *testing.B) {
+// startFollowers starts the followers, whose traffic is counted.
+func (f *fanOut) startFollowers(b *testing.B) {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countingConn{conn, &f.bytes}, err
@@ -91,8 +92,8 @@
 	}
 }
 
-// change applies one revision and waits until it is in force at all followers.
-func (f *fanOut) change(revision uint64) {
+// applyAndAwait applies one revision and waits until all followers have applied it.
+func (f *fanOut) applyAndAwait(revision uint64) {
 	answer := f.apply(0, fmt.Sprint("r", revision), revision, time.Duration(revision+1)*time.Second)
 	assert.Assert(f.t, answer.GetAccepted() != nil)
 	for range f.followers {
@@ -100,8 +101,8 @@
 	}
 }
 
-// BenchmarkHerd measures how long 340 instances without disks need that start at
-// once and take the whole configuration of 8,600 organisations and 1,100
+// BenchmarkHerd measures a thundering herd: 340 instances without a cache start at
+// once and fetch the complete configuration of 8,600 organisations and 1,100
 // endpoints from 3 control instances.
 func BenchmarkHerd(b *testing.B) {
 	const followers = 340
@@ -117,13 +118,13 @@
 		}
 		items, err := configuration.Encode(large)
 		assert.NilError(b, err)
-		_, err = c.instances[0].service.Apply(c.long(), &rpc.ApplyRequest{Request: "large", Items: items})
+		_, err = c.instances[0].service.Apply(c.testContext(), &rpc.ApplyRequest{Request: "large", Items: items})
 		assert.NilError(b, err)
-		used := processorTime()
+		used := processCPUTime()
 		start := time.Now()
 		b.StartTimer()
 		f := &fanOut{cluster: c, followers: followers, inForce: make(chan tables.Revision, followers)}
-		f.follow(b)
+		f.startFollowers(b)
 		var times []time.Duration
 		for range followers {
 			<-f.inForce
@@ -131,29 +132,30 @@
 		}
 		reportTimes(b, "in_force", times)
 		b.ReportMetric(float64(f.bytes.Load())/followers, "bytes/follower")
-		b.ReportMetric((processorTime() - used).Seconds(), "cpu_s")
+		b.ReportMetric((processCPUTime() - used).Seconds(), "cpu_s")
 	}
 }
 
-// BenchmarkFanOut measures what a change costs when 340 instances follow 3
-// control instances, the followers without disks.
+// BenchmarkFanOut measures the cost of a change when up to 340 followers without a
+// cache follow 3 control instances.
 func BenchmarkFanOut(b *testing.B) {
 	for _, followers := range []int{20, 100, 340} {
 		b.Run(fmt.Sprint("followers=", followers), func(b *testing.B) { benchmarkFanOut(b, followers) })
 	}
 }
 
+// benchmarkFanOut measures it for one number of followers.
 func benchmarkFanOut(b *testing.B, followers int) {
 	f := newFanOut(b, followers)
-	f.change(0)
+	f.applyAndAwait(0)
 	var times []time.Duration
 	start := f.bytes.Load()
-	used := processorTime()
+	used := processCPUTime()
 	revision := uint64(1)
 	b.ResetTimer()
 	for b.Loop() {
 		began := time.Now()
-		f.change(revision)
+		f.applyAndAwait(revision)
 		times = append(times, time.Since(began))
 		revision++
 	}
@@ -161,10 +163,12 @@
 	reportTimes(b, "in_force", times)
 	b.ReportMetric(float64(f.bytes.Load()-start)/changes/3, "bytes/change/control_instance")
 	b.ReportMetric(float64(f.bytes.Load()-start)/changes/float64(followers), "bytes/change/follower")
-	b.ReportMetric(float64(processorTime()-used)/float64(time.Microsecond)/changes, "cpu_us/change")
+	b.ReportMetric(float64(processCPUTime()-used)/float64(time.Microsecond)/changes, "cpu_us/change")
 }
 
-func processorTime() time.Duration {
+// processCPUTime returns the user and system CPU time that this process has
+// consumed.
+func processCPUTime() time.Duration {
 	var usage unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/control/follower/follower.go
+++ b/control/follower/follower.go
@@ -219,7 +219,7 @@
 // after a failure.
 func (f *Follower) run(ctx context.Context) {
 	f.fetchInitial(ctx)
-	index, failed := 0, 0
+	index, failures := 0, 0
 	for ctx.Err() == nil {
 		sources := f.options.Sources()
 		if len(sources) == 0 {
@@ -228,12 +228,12 @@
 		}
 		err := f.Fetch(ctx, sources[index%len(sources)], longPollWait)
 		if err == nil {
-			failed = 0
+			failures = 0
 			continue
 		}
 		index++
-		failed++
-		if failed == len(sources) && ctx.Err() == nil {
+		failures++
+		if failures == len(sources) && ctx.Err() == nil {
 			events.FollowerBehind.Log(f.options.Log, zap.Error(err))
 		}
 		sleepRetryDelay(ctx)
--- a/control/stale_source_test.go
+++ b/control/stale_source_test.go
@@ -23,63 +23,65 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// documentGroup is three voters and a standby replica of a forwarding
-// deployment's control group, over HTTP on loopback.
-type documentGroup struct {
+// replicaGroup is the control group of a forwarding deployment: three voters and a
+// standby replica, over HTTP on loopback.
+type replicaGroup struct {
 	t        *testing.T
-	replicas []*documentReplica
+	replicas []*groupReplica
 }
 
-type documentReplica struct {
-	address string
-	cut     *cutter
-	disk    *hangingDisk
-	server  *server.Server
-	service *deployment.Service
+// groupReplica is one replica of a replicaGroup.
+type groupReplica struct {
+	address   string
+	partition *partitionTransport
+	disk      *hangingLogStore
+	server    *server.Server
+	service   *deployment.Service
 }
 
 const (
-	documentVoters = 3
-	standby        = 3
+	voterCount   = 3
+	standbyIndex = 3
 )
 
-func newDocumentGroup(t *testing.T) *documentGroup {
-	g := &documentGroup{t: t}
+// newReplicaGroup starts a group.
+func newReplicaGroup(t *testing.T) *replicaGroup {
+	g := &replicaGroup{t: t}
 	var listeners []net.Listener
-	for range documentVoters + 1 {
+	for range voterCount + 1 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		folder, err := store.OpenFolder(filepath.Join(t.TempDir(), "data"))
 		assert.NilError(t, err)
 		t.Cleanup(func() { _ = folder.Close() })
 		listeners = append(listeners, listener)
-		g.replicas = append(g.replicas, &documentReplica{
-			address: listener.Addr().String(),
-			cut:     &cutter{base: http.DefaultTransport, cut: map[string]bool{}},
-			disk:    &hangingDisk{LogStore: server.FolderLogStore{Folder: folder}, free: make(chan struct{})},
+		g.replicas = append(g.replicas, &groupReplica{
+			address:   listener.Addr().String(),
+			partition: &partitionTransport{base: http.DefaultTransport, blocked: map[string]bool{}},
+			disk:      &hangingLogStore{LogStore: server.FolderLogStore{Folder: folder}, free: make(chan struct{})},
 		})
 	}
 	for i := range g.replicas {
 		g.start(i, listeners[i])
 	}
-	g.put(0, 1)
-	g.await(standby, 1)
+	g.putDocument(0, 1)
+	g.awaitDocument(standbyIndex, 1)
 	return g
 }
 
-func (g *documentGroup) start(i int, listener net.Listener) {
+func (g *replicaGroup) start(i int, listener net.Listener) {
 	r := g.replicas[i]
 	options := server.Options{
 		Self:               server.Instance{Name: tables.InstanceID(r.address), Address: r.address},
 		AcceptUnknownPeers: true,
-		MaxVoters:          documentVoters,
-		JoinOnly:           i == standby,
+		MaxVoters:          voterCount,
+		JoinOnly:           i == standbyIndex,
 		VoterTimeout:       time.Hour,
-		Dialer:             transport.NewDialer(&http.Client{Transport: r.cut}),
+		Dialer:             transport.NewDialer(&http.Client{Transport: r.partition}),
 		LogStore:           r.disk,
 		TickInterval:       10 * time.Millisecond,
 	}
-	for j, other := range g.replicas[:documentVoters] {
+	for j, other := range g.replicas[:voterCount] {
 		if j != i {
 			options.Peers = append(options.Peers, server.Instance{Name: tables.InstanceID(other.address), Address: other.address})
 		}
@@ -99,15 +101,15 @@
 	g.t.Cleanup(func() { _ = web.Close() })
 }
 
-// put has the group decide a document through one of its replicas.
-func (g *documentGroup) put(i int, number uint64) {
+// putDocument commits a document through one of the replicas.
+func (g *replicaGroup) putDocument(i int, number uint64) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), time.Minute)
 	defer cancel()
 	assert.NilError(g.t, g.replicas[i].service.Put(ctx, deployment.ConfigurationDocument, number, nil))
 }
 
-// await waits until a replica has a document.
-func (g *documentGroup) await(i int, number uint64) {
+// awaitDocument waits until a replica has a document.
+func (g *replicaGroup) awaitDocument(i int, number uint64) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), time.Minute)
 	defer cancel()
 	have := map[string]uint64{deployment.ConfigurationDocument: number - 1}
@@ -120,27 +122,28 @@
 	}
 }
 
-// isolate cuts a replica off from the others; whoever follows it reaches it.
-func (g *documentGroup) isolate(i int) {
+// isolate partitions a replica from the others; its followers still reach it.
+func (g *replicaGroup) isolate(i int) {
 	for j, other := range g.replicas {
 		if j != i {
-			other.cut.set(g.replicas[i].address, true)
-			g.replicas[i].cut.set(other.address, true)
+			other.partition.setBlocked(g.replicas[i].address, true)
+			g.replicas[i].partition.setBlocked(other.address, true)
 		}
 	}
 }
 
-// follow runs an entry instance's client that asks the replicas in order, and
-// returns the numbers of the configurations that it was told of.
-func (g *documentGroup) follow(order ...int) <-chan uint64 {
-	told := make(chan uint64, 16)
+// follow runs a client of an entry instance that follows the replicas in the given
+// order of preference. The returned channel receives the numbers of the
+// configurations that the client is notified of.
+func (g *replicaGroup) follow(order ...int) <-chan uint64 {
+	notified := make(chan uint64, 16)
 	var sources []deployment.Source
 	for _, i := range order {
 		sources = append(sources, deployment.Source{Name: g.replicas[i].address, Deployment: g.replicas[i].service})
 	}
 	client := deployment.NewClient(deployment.ClientOptions{
 		Sources:     func() []deployment.Source { return sources },
-		OnDocument:  func(d *rpc.Document) { told <- d.GetNumber() },
+		OnDocument:  func(d *rpc.Document) { notified <- d.GetNumber() },
 		OnEndpoints: func(*fleet.Replica) {},
 		Log:         zap.NewNop(),
 	})
@@ -151,29 +154,30 @@
 		cancel()
 		running.Wait()
 	})
-	return told
+	return notified
 }
 
-// toldOf waits until a follower was told of a configuration. The bound only ends
-// a test that fails: a follower that stays with its source is never told.
-func (g *documentGroup) toldOf(told <-chan uint64, number uint64) {
+// awaitNotification waits until the client has been notified of a configuration.
+// The timeout only ends a failing test: a client that stays with a stale source is
+// never notified.
+func (g *replicaGroup) awaitNotification(notified <-chan uint64, number uint64) {
 	g.t.Helper()
 	bound := time.NewTimer(20 * time.Second)
 	defer bound.Stop()
 	for {
 		select {
-		case have := <-told:
+		case have := <-notified:
 			if have == number {
 				return
 			}
 		case <-bound.C:
-			g.t.Fatalf("the follower was not told of configuration %d", number)
+			g.t.Fatalf("the client was not notified of configuration %d", number)
 		}
 	}
 }
 
-// hangingDisk is a disk whose writes hang from hang to resume.
-type hangingDisk struct {
+// hangingLogStore is a log store whose writes block between hang and resume.
+type hangingLogStore struct {
 	server.LogStore
 	mu    sync.Mutex
 	hangs bool
@@ -181,15 +185,15 @@
 	once  sync.Once
 }
 
-func (d *hangingDisk) hang() {
+func (d *hangingLogStore) hang() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.hangs = true
 }
 
-func (d *hangingDisk) resume() { d.once.Do(func() { close(d.free) }) }
+func (d *hangingLogStore) resume() { d.once.Do(func() { close(d.free) }) }
 
-func (d *hangingDisk) Open() (server.Log, error) {
+func (d *hangingLogStore) Open() (server.Log, error) {
 	log, err := d.LogStore.Open()
 	if log == nil || err != nil {
 		return nil, err
@@ -197,7 +201,7 @@
 	return hangingLog{Log: log, disk: d}, nil
 }
 
-func (d *hangingDisk) Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (server.Log, error) {
+func (d *hangingLogStore) Create(group uint64, replica replog.ReplicaID, saved replog.PersistentState) (server.Log, error) {
 	log, err := d.LogStore.Create(group, replica, saved)
 	if err != nil {
 		return nil, err
@@ -205,9 +209,10 @@
 	return hangingLog{Log: log, disk: d}, nil
 }
 
+// hangingLog is a log of a hangingLogStore.
 type hangingLog struct {
 	server.Log
-	disk *hangingDisk
+	disk *hangingLogStore
 }
 
 func (l hangingLog) Save(ready replog.Ready) error {
@@ -221,44 +226,47 @@
 	return l.Log.Save(ready)
 }
 
-// Operators were told that a configuration is in force, and for as long as a cut
-// lasted callers of one zone were refused as the one before says.
+// Guards against entry instances that follow a stale replica: for the duration of a
+// partition, callers of one availability zone were rejected according to the
+// previous configuration, although operators had been told that the new one was in
+// force.
 //
-// A control instance lost its disk and joined the group anew; the standby had taken
-// its vote, so it was the standby from then on. Then the control instances of its zone
-// were cut off from the others, and reached by the zone's entry instances all the same,
-// which followed the standby. A change was decided without it.
+// A control instance lost its disk and rejoined as the standby, because the former
+// standby had taken its vote. Its zone's control instances were then partitioned
+// from the others, but the zone's entry instances still reached them and followed
+// the standby. A change was committed without it.
 //
-// A source called itself behind while it knew no leader. A standby never asks for an
-// election and so kept the leader it had last heard of. Proof: requests were refused
-// under the old revision 23 to 157 ms after the source had confirmed it, in that zone
-// only, and this test's follower, which has a current source besides, was never told
-// of the change.
-func TestAStandbyThatIsCutOffIsLeft(t *testing.T) {
-	g := newDocumentGroup(t)
-	told := g.follow(standby, 0)
-	g.toldOf(told, 1)
-	g.isolate(standby)
-	g.put(1, 2)
-	g.toldOf(told, 2)
+// A source used to report itself as stale only while it knew no leader. A standby
+// never starts an election, and so it kept the leader that it had last heard of. As
+// observed, requests in that zone only were rejected under the old revision 23 to
+// 157 ms after the source had confirmed it, and the client of this test, which has
+// an up-to-date source as well, was never notified of the change.
+func TestFollowerLeavesPartitionedStandby(t *testing.T) {
+	g := newReplicaGroup(t)
+	told := g.follow(standbyIndex, 0)
+	g.awaitNotification(told, 1)
+	g.isolate(standbyIndex)
+	g.putDocument(1, 2)
+	g.awaitNotification(told, 2)
 }
 
-// Callers of one zone were treated by an older configuration for as long as the
-// disk of the control instance that its entry instances follow hung.
+// Guards against entry instances that follow a replica with a hung disk: callers of
+// one availability zone were served under an older configuration for as long as the
+// disk hung.
 //
-// Nothing that is decided comes into force at a replica that cannot write it down,
-// though it hears its leader all the while. Knowing a leader, it did not call itself
-// behind, and this test's follower stayed with it.
-func TestAReplicaWhoseDiskHangsIsLeft(t *testing.T) {
-	g := newDocumentGroup(t)
+// A replica that cannot write to its log applies no committed entries, although it
+// still receives heartbeats from its leader. Because it knew a leader, it did not
+// report itself as stale, and the client of this test stayed with it.
+func TestFollowerLeavesReplicaWithHungDisk(t *testing.T) {
+	g := newReplicaGroup(t)
 	follower := 0
 	for g.replicas[follower].server.Status().IsLeader {
 		follower++
 	}
-	other := (follower + 1) % documentVoters
+	other := (follower + 1) % voterCount
 	told := g.follow(follower, other)
-	g.toldOf(told, 1)
+	g.awaitNotification(told, 1)
 	g.replicas[follower].disk.hang()
-	g.put(other, 2)
-	g.toldOf(told, 2)
+	g.putDocument(other, 2)
+	g.awaitNotification(told, 2)
 }
