--- a/control/client/claim_client.go
+++ b/control/client/claim_client.go
@@ -25,8 +25,7 @@
 	// dispatchedClaimTTL is how long dispatched work may run before its claim
 	// expires. It exceeds the longest timeout of a profile.
 	dispatchedClaimTTL = 5 * time.Hour
-	// maxPendingCommands bounds the finish and release commands that are queued for
-	// a retry.
+	// maxPendingCommands bounds the queue of finish and release commands.
 	maxPendingCommands = 4096
 	// clockDriftMargin is the fraction by which a holder shortens every duration on
 	// its own clock: twice the permitted drift, once for its clock and once for the
@@ -67,8 +66,7 @@
 	openClaims map[claimID]bool
 	// activeByKey counts the claims of each key that are requested or open.
 	activeByKey map[claimKey]int
-	// pendingCommands are the finish and release commands that the control group
-	// has not accepted yet.
+	// pendingCommands are commands that the control group has not accepted yet.
 	pendingCommands []*rpc.Command
 }
 
@@ -108,8 +106,7 @@
 	return fmt.Sprintf("claims on unknown keys are held for another %v after a restore", e.RetryAfter)
 }
 
-// UnexpectedResultError means that the result of a command has the wrong type for
-// this command.
+// UnexpectedResultError means that a command returned a result of the wrong type.
 type UnexpectedResultError struct {
 	Operation string
 	Reason    rpc.RefusalReason
@@ -120,8 +117,7 @@
 	return fmt.Sprintf("%s: unexpected result from the control state: %s", e.Operation, e.Reason)
 }
 
-// NewClaimClient returns a ClaimClient that sends keep-alives in the background
-// until Close.
+// NewClaimClient returns a ClaimClient that sends keep-alives until Close.
 func NewClaimClient(options ClaimClientOptions) *ClaimClient {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -229,8 +225,7 @@
 	}}})
 }
 
-// executeFinal executes a command that ends a claim, and queues it for a retry if
-// there is no quorum.
+// executeFinal executes a command that ends a claim. Without a quorum it is queued.
 func (c *ClaimClient) executeFinal(ctx context.Context, grant tables.ClaimResult, command *rpc.Command) error {
 	c.removeOpenClaim(grant)
 	result, err := c.options.Executor.Execute(ctx, command)
@@ -294,8 +289,7 @@
 	c.openClaims[claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}] = true
 }
 
-// removeOpenClaim removes a claim that is being finished or released. Repeated
-// calls have no effect.
+// removeOpenClaim removes a claim that ends. Repeated calls have no effect.
 func (c *ClaimClient) removeOpenClaim(grant tables.ClaimResult) {
 	id := claimID{claimKey{grant.Organisation, grant.Key}, grant.FencingToken}
 	c.mu.Lock()
@@ -323,7 +317,7 @@
 func (c *ClaimClient) run(ctx context.Context) {
 	for sleep(ctx, keepAliveInterval) {
 		c.mu.Lock()
-		open, unsent := len(c.openClaims), c.pendingCommands
+		open, pending := len(c.openClaims), c.pendingCommands
 		c.pendingCommands = nil
 		c.mu.Unlock()
 		if open > 0 {
@@ -336,20 +330,20 @@
 				events.ClaimsNotKeptAlive.Log(c.options.Log, zap.Error(err))
 			}
 		}
-		c.resendPending(ctx, unsent)
+		c.resendPending(ctx, pending)
 	}
 }
 
-// resendPending executes queued commands in order. At the first failure it puts the
-// rest back into the queue.
-func (c *ClaimClient) resendPending(ctx context.Context, unsent []*rpc.Command) {
-	for i, command := range unsent {
+// resendPending executes queued commands in order, and requeues the rest at the
+// first failure.
+func (c *ClaimClient) resendPending(ctx context.Context, pending []*rpc.Command) {
+	for i, command := range pending {
 		bounded, cancel := context.WithTimeout(ctx, keepAliveInterval)
 		_, err := c.options.Executor.Execute(bounded, command)
 		cancel()
 		if err != nil {
 			c.mu.Lock()
-			c.pendingCommands = append(c.pendingCommands, unsent[i:]...)
+			c.pendingCommands = append(c.pendingCommands, pending[i:]...)
 			c.mu.Unlock()
 			return
 		}
--- a/control/client/executor.go
+++ b/control/client/executor.go
@@ -44,16 +44,16 @@
 // Execute tries the control instances in turn until one responds or the context
 // ends. Retrying a command is safe, because every command identifies its sender and
 // request. The error is *tables.NoQuorumError.
-func (g *FailoverExecutor) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
-	start := g.lastResponder.Load()
+func (f *FailoverExecutor) Execute(ctx context.Context, command *rpc.Command) (*rpc.Result, error) {
+	start := f.lastResponder.Load()
 	var lastErr error = &NoControlInstancesError{}
-	for attempt := uint64(0); len(g.executors) > 0; attempt++ {
-		i := (start + attempt) % uint64(len(g.executors))
+	for attempt := uint64(0); len(f.executors) > 0; attempt++ {
+		i := (start + attempt) % uint64(len(f.executors))
 		bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
-		result, err := g.executors[i].Execute(bounded, command)
+		result, err := f.executors[i].Execute(bounded, command)
 		cancel()
 		if err == nil {
-			g.lastResponder.Store(i)
+			f.lastResponder.Store(i)
 			return result, nil
 		}
 		lastErr = err
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -63,20 +63,20 @@
 	blocked map[string]bool
 }
 
-func (c *partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	c.mu.Lock()
-	cut := c.blocked[r.URL.Host]
-	c.mu.Unlock()
-	if cut {
+func (p *partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	p.mu.Lock()
+	blocked := p.blocked[r.URL.Host]
+	p.mu.Unlock()
+	if blocked {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
-	return c.base.RoundTrip(r)
+	return p.base.RoundTrip(r)
 }
 
-func (c *partitionTransport) setBlocked(address string, cut bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.blocked[address] = cut
+func (p *partitionTransport) setBlocked(address string, blocked bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blocked[address] = blocked
 }
 
 const testKey = "0123456789abcdef0123456789abcdef"
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -110,9 +110,9 @@
 	c := newCluster(t, 1, 0)
 	c.apply(0, "r1", 0, time.Second)
 	c.awaitRevision(0, 1)
-	lossy := &wrongDigestSource{items: encodedItems(t, time.Hour)}
-	assert.NilError(t, c.instances[0].follower.Fetch(c.testContext(), lossy, 0))
-	assert.Equal(t, lossy.asked, 2)
+	source := &wrongDigestSource{items: encodedItems(t, time.Hour)}
+	assert.NilError(t, c.instances[0].follower.Fetch(c.testContext(), source, 0))
+	assert.Equal(t, source.asked, 2)
 	revision, _ := c.instances[0].follower.RevisionInForce()
 	assert.Equal(t, revision, tables.Revision(5))
 }
@@ -267,15 +267,15 @@
 // It must not wait for that source, because it cannot serve requests without a
 // configuration.
 func TestInitialFetchHedgesUnresponsiveSource(t *testing.T) {
-	silent := unresponsiveSource(make(chan struct{}))
+	unresponsive := unresponsiveSource(make(chan struct{}))
 	items := encodedItems(t, time.Second)
 	answer := &rpc.WatchAnswer{Revision: 3, Full: true, Items: items, Digest: configuration.NewContent(items).Digest()}
 	f := follower.Start(follower.Options{
-		Sources:         func() []follower.Source { return []follower.Source{silent, fixedSource{answer}} },
+		Sources:         func() []follower.Source { return []follower.Source{unresponsive, fixedSource{answer}} },
 		OnConfiguration: func(*tables.Configuration) {},
 	})
 	defer f.Close()
-	defer close(silent)
+	defer close(unresponsive)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	select {
--- a/control/fanout_test.go
+++ b/control/fanout_test.go
@@ -120,7 +120,7 @@
 		assert.NilError(b, err)
 		_, err = c.instances[0].service.Apply(c.testContext(), &rpc.ApplyRequest{Request: "large", Items: items})
 		assert.NilError(b, err)
-		used := processCPUTime()
+		cpuBefore := processCPUTime()
 		start := time.Now()
 		b.StartTimer()
 		f := &fanOut{cluster: c, followers: followers, inForce: make(chan tables.Revision, followers)}
@@ -132,7 +132,7 @@
 		}
 		reportTimes(b, "in_force", times)
 		b.ReportMetric(float64(f.bytes.Load())/followers, "bytes/follower")
-		b.ReportMetric((processCPUTime() - used).Seconds(), "cpu_s")
+		b.ReportMetric((processCPUTime() - cpuBefore).Seconds(), "cpu_s")
 	}
 }
 
--- a/control/follower/follower.go
+++ b/control/follower/follower.go
@@ -25,7 +25,7 @@
 const (
 	// longPollWait is the duration of a long poll: a source without a newer
 	// revision replies after it. A source that fails silently is detected after
-	// longPollWait and longPollGrace.
+	// the sum of longPollWait and longPollGrace.
 	longPollWait  = 4 * time.Second
 	longPollGrace = time.Second
 	// fullFetchTimeout bounds the transfer of the complete configuration. The
--- a/control/stale_source_test.go
+++ b/control/stale_source_test.go
@@ -243,11 +243,11 @@
 // an up-to-date source as well, was never notified of the change.
 func TestFollowerLeavesPartitionedStandby(t *testing.T) {
 	g := newReplicaGroup(t)
-	told := g.follow(standbyIndex, 0)
-	g.awaitNotification(told, 1)
+	notified := g.follow(standbyIndex, 0)
+	g.awaitNotification(notified, 1)
 	g.isolate(standbyIndex)
 	g.putDocument(1, 2)
-	g.awaitNotification(told, 2)
+	g.awaitNotification(notified, 2)
 }
 
 // Guards against entry instances that follow a replica with a hung disk: callers of
@@ -264,9 +264,9 @@
 		follower++
 	}
 	other := (follower + 1) % voterCount
-	told := g.follow(follower, other)
-	g.awaitNotification(told, 1)
+	notified := g.follow(follower, other)
+	g.awaitNotification(notified, 1)
 	g.replicas[follower].disk.hang()
 	g.putDocument(other, 2)
-	g.awaitNotification(told, 2)
+	g.awaitNotification(notified, 2)
 }
