--- a/engine/body.go
+++ b/engine/body.go
@@ -5,51 +5,51 @@
 	"sync/atomic"
 )
 
-// The states of a onceBody.
+// The transmission states of a trackedBody.
 const (
-	bodyFresh int32 = iota
+	bodyUnread int32 = iota
 	bodyRead
 	bodySealed
 )
 
-// onceBody is a request body that knows whether any of it may have left this
-// process. The endpoint cannot begin before it has the whole body, because the
-// length is declared in front of it.
-type onceBody struct {
-	state atomic.Int32
-	size  int
-	rest  []byte
+// trackedBody is a request body that records whether any of it may have been sent. It
+// decides whether a failed request is provably not started: an endpoint does not begin
+// before it has the whole body, because Content-Length precedes it.
+type trackedBody struct {
+	state     atomic.Int32
+	size      int
+	remaining []byte
 }
 
-func newOnceBody(content []byte) *onceBody {
-	return &onceBody{size: len(content), rest: content}
+func newTrackedBody(content []byte) *trackedBody {
+	return &trackedBody{size: len(content), remaining: content}
 }
 
-// Read gives the content until the body is sealed.
-func (b *onceBody) Read(p []byte) (int, error) {
-	if !b.state.CompareAndSwap(bodyFresh, bodyRead) && b.state.Load() == bodySealed {
-		return 0, &sealedBody{}
+// Read returns the content until the body is sealed.
+func (b *trackedBody) Read(p []byte) (int, error) {
+	if !b.state.CompareAndSwap(bodyUnread, bodyRead) && b.state.Load() == bodySealed {
+		return 0, &sealedBodyError{}
 	}
-	if len(b.rest) == 0 {
+	if len(b.remaining) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
-	if len(b.rest) == 0 {
-		// net/http holds the request for as long as its answer is read, which
-		// for a stream is long. Without this each open stream would hold a
-		// second copy of its prompt.
-		b.rest = nil
+	n := copy(p, b.remaining)
+	b.remaining = b.remaining[n:]
+	if len(b.remaining) == 0 {
+		// net/http keeps the request until its response is read, which takes long for a
+		// stream. Dropping the reference saves a second copy of the prompt for each open
+		// stream.
+		b.remaining = nil
 	}
 	return n, nil
 }
 
-// Close does nothing: net/http closes bodies that it never read, and a body
-// must stay sealable after that.
-func (b *onceBody) Close() error { return nil }
+// Close does nothing: net/http closes bodies that it never read, and such a body must
+// still be sealable.
+func (b *trackedBody) Close() error { return nil }
 
-// seal reports whether nothing was read so far, and in that case makes sure
-// that nothing will be. net/http may return from a failed request while its
-// writing goroutine has yet to pick up the body; without the seal such a
-// request could be reported as not started and leave afterwards.
-func (b *onceBody) seal() bool { return b.state.CompareAndSwap(bodyFresh, bodySealed) }
+// seal reports whether nothing was read so far, and if so prevents later reads. net/http
+// may return from a failed request before its write goroutine has picked up the body;
+// without the seal such a request could be reported as not started and still be sent
+// afterwards.
+func (b *trackedBody) seal() bool { return b.state.CompareAndSwap(bodyUnread, bodySealed) }
--- a/engine/cachechanges.go
+++ b/engine/cachechanges.go
@@ -6,15 +6,15 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// UnmarshalJSON reads changes without reflection. At the target size this is
-// the most frequent message of all, 600,000 a second over the fleet.
+// UnmarshalJSON decodes without reflection. This is the most frequent message: 600,000 a
+// second over the whole fleet at the target size.
 func (c *CacheChanges) UnmarshalJSON(content []byte) error {
 	*c = CacheChanges{}
 	return c.decode(jx.DecodeBytes(content))
 }
 
 func (c *CacheChanges) decode(d *jx.Decoder) error {
-	var all changeDecoder
+	var changes changeDecoder
 	return d.ObjBytes(func(d *jx.Decoder, key []byte) (err error) {
 		switch string(key) {
 		case "boot":
@@ -22,7 +22,7 @@
 			boot, err = d.Str()
 			c.Boot = tables.BootID(boot)
 		case "changes":
-			c.Changes, err = all.decode(d)
+			c.Changes, err = changes.decode(d)
 		default:
 			err = d.Skip()
 		}
@@ -30,14 +30,15 @@
 	})
 }
 
-// changeDecoder decodes a list of changes. Its functions are bound once, so
-// that a change costs no closure.
+// changeDecoder decodes a list of cache changes. Its method values are bound once per
+// list, so that no closure is allocated per change.
 type changeDecoder struct {
 	changes []CacheChange
 	change  CacheChange
-	// hashes is one backing array for the blocks of many changes.
+	// hashes is a backing array that the block lists of many changes share.
 	hashes []tables.BlockHash
-	from   int
+	// start is the index in hashes at which the current block list begins.
+	start int
 }
 
 func (l *changeDecoder) decode(d *jx.Decoder) ([]CacheChange, error) {
@@ -66,11 +67,11 @@
 }
 
 func (l *changeDecoder) blocks(d *jx.Decoder, hash func(*jx.Decoder) error) ([]tables.BlockHash, error) {
-	l.from = len(l.hashes)
+	l.start = len(l.hashes)
 	if err := d.Arr(hash); err != nil {
 		return nil, err
 	}
-	return l.hashes[l.from:len(l.hashes):len(l.hashes)], nil
+	return l.hashes[l.start:len(l.hashes):len(l.hashes)], nil
 }
 
 func (l *changeDecoder) hash(d *jx.Decoder) error {
--- a/engine/call.go
+++ b/engine/call.go
@@ -15,68 +15,69 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Call runs an attempt at a plain service and returns its whole answer. Its
-// failures are *NotStarted, *Interrupted and *Mismatch; after the latter two
-// the work may have run.
+// Call runs an attempt at a plain service and returns its whole response. It fails with
+// *NotStartedError, *InterruptedError or *MismatchError; after the latter two the work
+// may have run.
 func (c *HTTPClient) Call(ctx context.Context, at netip.AddrPort, req CallRequest) (CallResponse, error) {
-	body := newOnceBody(req.Body)
+	body := newTrackedBody(req.Body)
 	method := req.Method
 	if method == "" {
 		method = http.MethodPost
 	}
 	call := newRequest(ctx, method, endpointURL(at, req.Path), body)
-	call.Header.Set(headerType, req.ContentType)
+	call.Header.Set(headerContentType, req.ContentType)
 	call.Header.Set(HeaderAttempt, string(req.Attempt))
 	if req.IdempotencyKey != "" {
 		call.Header.Set(HeaderIdempotencyKey, req.IdempotencyKey)
 	}
-	resp, err := c.single.RoundTrip(call)
+	resp, err := c.unpooled.RoundTrip(call)
 	if err != nil {
-		return CallResponse{}, startFailure(req.Attempt, body, causeOf(ctx, err))
+		return CallResponse{}, classifySendError(req.Attempt, body, contextCause(ctx, err))
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return c.readAnswer(req, resp)
+	return c.readCallResponse(req, resp)
 }
 
-func (c *HTTPClient) readAnswer(req CallRequest, resp *http.Response) (CallResponse, error) {
+func (c *HTTPClient) readCallResponse(req CallRequest, resp *http.Response) (CallResponse, error) {
 	boot := resp.Header.Get(HeaderBoot)
 	switch echoed := resp.Header.Get(HeaderAttempt); {
 	case echoed == "" || boot == "":
-		return CallResponse{}, c.declined(req.Attempt, resp)
+		return CallResponse{}, c.readRejection(req.Attempt, resp)
 	case echoed != string(req.Attempt):
-		return CallResponse{}, c.mismatch(req.Attempt, "attempt", string(req.Attempt), echoed)
+		return CallResponse{}, c.countMismatch(req.Attempt, "attempt", string(req.Attempt), echoed)
 	}
-	if isDeclining(resp.StatusCode) {
-		content, err := readBounded(resp.Body, maxErrorBody, "answer")
+	if mayCarryRejection(resp.StatusCode) {
+		content, err := readLimited(resp.Body, maxErrorBodyBytes, "response")
 		if err != nil {
 			return CallResponse{}, &InterruptedError{Attempt: req.Attempt, Cause: err}
 		}
 		resp.Body = io.NopCloser(bytes.NewReader(content))
-		failure := c.declined(req.Attempt, resp)
+		failure := c.readRejection(req.Attempt, resp)
 		if _, notStarted := failure.(*NotStartedError); notStarted {
 			return CallResponse{}, failure
 		}
-		return newAnswer(req, resp, content), nil
+		return newCallResponse(req, resp, content), nil
 	}
-	content, err := readBounded(resp.Body, c.options.MaxResponseBytes, "answer")
+	content, err := readLimited(resp.Body, c.options.MaxResponseBytes, "response")
 	if err != nil {
 		return CallResponse{}, &InterruptedError{Attempt: req.Attempt, Cause: err}
 	}
-	return newAnswer(req, resp, content), nil
+	return newCallResponse(req, resp, content), nil
 }
 
-func newAnswer(req CallRequest, resp *http.Response, content []byte) CallResponse {
+func newCallResponse(req CallRequest, resp *http.Response, content []byte) CallResponse {
 	return CallResponse{
 		Attempt:     req.Attempt,
 		Boot:        tables.BootID(resp.Header.Get(HeaderBoot)),
 		Status:      resp.StatusCode,
-		ContentType: resp.Header.Get(headerType),
+		ContentType: resp.Header.Get(headerContentType),
 		Body:        content,
 	}
 }
 
-// isDeclining reports whether a status may come with a Decline.
-func isDeclining(status int) bool {
+// mayCarryRejection reports whether a response with this status may have a Rejection as
+// its body.
+func mayCarryRejection(status int) bool {
 	switch status {
 	case http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -84,7 +85,7 @@
 	return false
 }
 
-func readBounded(r io.Reader, limit int64, what string) ([]byte, error) {
+func readLimited(r io.Reader, limit int64, what string) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return nil, err
@@ -95,69 +96,70 @@
 	return content, nil
 }
 
-// Cancel ends an attempt at an endpoint. Without the endpoint's confirmation
-// it returns *CancelUnconfirmed.
+// Cancel ends an attempt at an endpoint. If the endpoint does not confirm it, Cancel
+// returns *CancelUnconfirmedError.
 func (c *HTTPClient) Cancel(ctx context.Context, at netip.AddrPort, attempt tables.AttemptID) error {
-	var answer CancelResponse
-	err := c.exchange(ctx, c.options.CancelTimeout, at, PathCancel, CancelRequest{Attempt: attempt}, &answer)
+	var response CancelResponse
+	err := c.postJSON(ctx, c.options.CancelTimeout, at, PathCancel, CancelRequest{Attempt: attempt}, &response)
 	if err != nil {
 		return &CancelUnconfirmedError{Attempt: attempt, Cause: err}
 	}
-	if answer.Attempt != attempt {
+	if response.Attempt != attempt {
 		return &CancelUnconfirmedError{
 			Attempt: attempt,
-			Cause:   c.mismatch(attempt, "attempt", string(attempt), string(answer.Attempt)),
+			Cause:   c.countMismatch(attempt, "attempt", string(attempt), string(response.Attempt)),
 		}
 	}
 	return nil
 }
 
-// exchange posts one JSON value and reads another.
-func (c *HTTPClient) exchange(ctx context.Context, timeout time.Duration, at netip.AddrPort, path string, ask, answer any) error {
-	content, err := json.Marshal(ask)
+// postJSON sends a POST request with a JSON body and decodes the JSON response.
+func (c *HTTPClient) postJSON(ctx context.Context, timeout time.Duration, at netip.AddrPort, path string, request, response any) error {
+	content, err := json.Marshal(request)
 	if err != nil {
-		return &ProtocolError{What: "question", Cause: err}
+		return &ProtocolError{What: "request", Cause: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	req := newRequest(ctx, http.MethodPost, endpointURL(at, path), newOnceBody(content))
-	req.Header.Set(headerType, typeJSON)
-	return c.answerJSON(req, answer)
+	req := newRequest(ctx, http.MethodPost, endpointURL(at, path), newTrackedBody(content))
+	req.Header.Set(headerContentType, typeJSON)
+	return c.roundTripJSON(req, response)
 }
 
-// fetch reads one JSON value.
-func (c *HTTPClient) fetch(ctx context.Context, timeout time.Duration, to *url.URL, answer any) error {
+// getJSON sends a GET request and decodes the JSON response.
+func (c *HTTPClient) getJSON(ctx context.Context, timeout time.Duration, to *url.URL, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.answerJSON(newRequest(ctx, http.MethodGet, to, nil), answer)
+	return c.roundTripJSON(newRequest(ctx, http.MethodGet, to, nil), response)
 }
 
-func (c *HTTPClient) answerJSON(req *http.Request, answer any) error {
+func (c *HTTPClient) roundTripJSON(req *http.Request, out any) error {
 	resp, err := c.pooled.RoundTrip(req)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	content, err := readBounded(resp.Body, c.options.MaxResponseBytes, "answer")
+	content, err := readLimited(resp.Body, c.options.MaxResponseBytes, "response")
 	if err != nil {
 		return err
 	}
-	if resp.StatusCode != http.StatusOK || !isType(resp.Header, typeJSON) {
-		unexpected := &UnexpectedStatusError{Status: resp.StatusCode, ContentType: resp.Header.Get(headerType)}
-		_ = json.Unmarshal(content, &unexpected.refusal)
+	if resp.StatusCode != http.StatusOK || !hasContentType(resp.Header, typeJSON) {
+		unexpected := &UnexpectedStatusError{Status: resp.StatusCode, ContentType: resp.Header.Get(headerContentType)}
+		_ = json.Unmarshal(content, &unexpected.orderRefusal)
 		return unexpected
 	}
-	if err := decodeAnswer(content, answer); err != nil {
-		return &ProtocolError{What: "answer", Cause: err}
+	if err := decodeJSON(content, out); err != nil {
+		return &ProtocolError{What: "response", Cause: err}
 	}
 	return nil
 }
 
-// decodeAnswer reads frequent answers by their own decoders. Through
-// encoding/json they would be scanned twice.
-func decodeAnswer(content []byte, answer any) error {
-	if own, ok := answer.(interface{ decode(d *jx.Decoder) error }); ok {
+// decodeJSON decodes a response, with the type's own decoder if it has one. Frequent
+// messages have one, because encoding/json scans a message twice when it calls
+// UnmarshalJSON.
+func decodeJSON(content []byte, out any) error {
+	if own, ok := out.(interface{ decode(d *jx.Decoder) error }); ok {
 		return own.decode(jx.DecodeBytes(content))
 	}
-	return json.Unmarshal(content, answer)
+	return json.Unmarshal(content, out)
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -12,34 +12,36 @@
 	"github.com/carawaystile/carawaystile/internal/defaults"
 )
 
-// Options bound what an endpoint can cost a client in time and memory. Zero
-// fields take the defaults below.
+// Options limit the time and memory that an endpoint can cost a client. Zero fields take
+// the defaults below.
 type Options struct {
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// ConnectTimeout bounds the opening of a connection.
+	// ConnectTimeout limits the time to open a connection.
 	ConnectTimeout time.Duration
-	// ResponseTimeout bounds the time from a request to the endpoint's first
-	// word on it.
+	// ResponseTimeout limits the time from a request to the accepted event of a stream,
+	// to the response header of a load stream, and to the whole response of a report or
+	// an order. Calls have no such limit.
 	ResponseTimeout time.Duration
-	// ReadIdleTimeout bounds the time between two lines of a stream, heartbeats
-	// included. It must be a few times HeartbeatInterval.
+	// ReadIdleTimeout limits the time between two lines of a stream, heartbeats included.
+	// It must be a few times HeartbeatInterval.
 	ReadIdleTimeout time.Duration
-	// CancelTimeout bounds the confirmation of a cancel.
+	// CancelTimeout limits the time until an endpoint confirms a cancellation.
 	CancelTimeout time.Duration
-	// IdleConnTimeout closes pooled connections. It must be shorter than the
-	// endpoints' own, so that they rarely close one that is about to be used.
+	// IdleConnTimeout is how long an idle connection stays in the pool. It must be
+	// shorter than the endpoints' own idle timeout, so that an endpoint rarely closes a
+	// connection that is about to be used.
 	IdleConnTimeout time.Duration
-	// MaxIdleConnsPerEndpoint bounds the pooled connections per endpoint.
+	// MaxIdleConnsPerEndpoint limits the idle connections in the pool per endpoint.
 	MaxIdleConnsPerEndpoint int
-	// MaxEventBytes bounds one line of a stream, AnswerBytes the whole answer of
-	// a call.
+	// MaxEventBytes limits the size of one event or line of a token stream, and
+	// MaxResponseBytes that of any other response and of the events of a load stream.
 	MaxEventBytes    int
 	MaxResponseBytes int64
 }
 
-// HeartbeatInterval is the longest that an endpoint may let a stream rest
-// without a line.
+// HeartbeatInterval is the longest time that an endpoint may leave a stream without a
+// line.
 const HeartbeatInterval = 500 * time.Millisecond
 
 // The defaults of Options.
@@ -69,26 +71,27 @@
 	return o
 }
 
-// Counters are what a client dropped so far.
+// Counters count the data that a client has discarded.
 type Counters struct {
-	// Mismatches are answers that named another attempt, boot or version.
+	// Mismatches counts responses and events that named another attempt, boot or weights
+	// version.
 	Mismatches uint64
-	// Duplicates are tokens that came twice.
+	// Duplicates counts tokens that were received twice.
 	Duplicates uint64
 }
 
-// HTTPClient speaks the protocol of docs/design/endpoint-protocol.md. It is
-// safe for concurrent use.
+// HTTPClient is the HTTP client for the protocol of docs/design/endpoint-protocol.md. It
+// is safe for concurrent use.
 type HTTPClient struct {
 	options Options
-	// pooled carries streams and reports. single opens a connection per call:
-	// a call to a plain service may be work that must not be repeated, and on
-	// a reused connection that the endpoint is just closing nobody could tell
-	// whether the call was read.
-	pooled *http.Transport
-	single *http.Transport
+	// pooled reuses connections; it carries streams and reports. unpooled opens a
+	// connection per request. Calls to plain services use it, because their work may have
+	// to run at most once: if an endpoint closes a reused connection during a request,
+	// the client cannot know whether the request was read.
+	pooled   *http.Transport
+	unpooled *http.Transport
 
-	doubts doubts
+	unresponsive unresponsiveEndpoints
 
 	mismatches atomic.Uint64
 	duplicates atomic.Uint64
@@ -96,32 +99,32 @@
 
 var _ Client = (*HTTPClient)(nil)
 
-// NewHTTPClient returns a client that is bounded by the options.
+// NewHTTPClient returns a client with the given limits.
 func NewHTTPClient(options Options) *HTTPClient {
 	options = options.withDefaults()
 	return &HTTPClient{
-		options: options,
-		pooled:  newTransport(options, false),
-		single:  newTransport(options, true),
+		options:  options,
+		pooled:   newTransport(options, false),
+		unpooled: newTransport(options, true),
 	}
 }
 
-func newTransport(o Options, single bool) *http.Transport {
+func newTransport(o Options, disableKeepAlives bool) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, o.ConnectTimeout)
 			defer cancel()
 			return o.Dial(ctx, network, address)
 		},
-		DisableKeepAlives:      single,
+		DisableKeepAlives:      disableKeepAlives,
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    o.MaxIdleConnsPerEndpoint,
 		IdleConnTimeout:        o.IdleConnTimeout,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// Counters returns what was dropped so far.
+// Counters returns a snapshot of the counters.
 func (c *HTTPClient) Counters() Counters {
 	return Counters{Mismatches: c.mismatches.Load(), Duplicates: c.duplicates.Load()}
 }
@@ -129,21 +132,19 @@
 // CloseIdleConnections closes the pooled connections that are not in use.
 func (c *HTTPClient) CloseIdleConnections() {
 	c.pooled.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 func endpointURL(at netip.AddrPort, path string) *url.URL {
 	return &url.URL{Scheme: "http", Host: at.String(), Path: path}
 }
 
-// newRequest builds a request that net/http cannot repeat by itself once a
-// byte of its body was read. net/http repeats a request on a fresh connection
-// when a reused one breaks, if the request carries an Idempotency-Key and its
-// body can be had again through GetBody. For work that must run at most once
-// such a silent second run would break the promise, so GetBody stays nil. What
-// remains is the repetition of requests of which nothing was written, which is
-// harmless.
-func newRequest(ctx context.Context, method string, to *url.URL, body *onceBody) *http.Request {
+// newRequest builds a request that net/http cannot retry by itself once a byte of its
+// body was read. net/http retries a request on a new connection when a reused one breaks,
+// if the request carries an Idempotency-Key and GetBody can provide its body again. Such
+// a hidden retry would break at-most-once execution, so GetBody stays nil. net/http then
+// only retries requests of which nothing was written, which is harmless.
+func newRequest(ctx context.Context, method string, to *url.URL, body *trackedBody) *http.Request {
 	req := &http.Request{
 		Method:     method,
 		URL:        to,
--- a/engine/contract.go
+++ b/engine/contract.go
@@ -1,6 +1,7 @@
-// Package engine is the client side of the protocols that endpoints speak:
-// completions, load reports, cache events and orders. Everything that consumes
-// it does so through small interfaces of its own.
+// Package engine is the client of the protocols that endpoints speak: token streams over
+// server-sent events, plain calls, load reports, cache events and orders. Its errors tell
+// whether a failed attempt provably did not start or may have run, which decides whether
+// a retry is safe. Its users depend on it through small interfaces of their own.
 package engine
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// GenerateRequest is one attempt at a completion.
+// GenerateRequest is the request of one attempt at a completion.
 type GenerateRequest struct {
 	Attempt   tables.AttemptID      `json:"attempt"`
 	Model     tables.ModelName      `json:"model"`
@@ -20,44 +21,45 @@
 	Prompt    string                `json:"prompt"`
 	MaxTokens int                   `json:"max_tokens"`
 	Priority  tables.Priority       `json:"priority"`
-	// Salt keeps cache entries of different organisations apart.
+	// Salt separates the cache entries of different organisations.
 	Salt string `json:"cache_salt"`
-	// ResumeFrom asks for tokens from this offset on; the text of the earlier
-	// ones is in Emitted, so that the endpoint can prefill it.
+	// ResumeFrom is the index of the first token to send, for resuming a stream. Emitted
+	// is the text of the tokens before it, which the endpoint prefills.
 	ResumeFrom int    `json:"resume_from,omitempty"`
 	Emitted    string `json:"emitted,omitempty"`
 }
 
-// AcceptedEvent is the first thing an endpoint says of an attempt.
+// AcceptedEvent is the first event of a stream: the endpoint has accepted the attempt.
 type AcceptedEvent struct {
 	Attempt tables.AttemptID      `json:"attempt"`
 	Boot    tables.BootID         `json:"boot"`
 	Weights tables.WeightsVersion `json:"weights"`
-	// CachedTokens is how much of the prompt came from the cache.
+	// CachedTokens is the number of prompt tokens that were found in the prefix cache.
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Token is one piece of the answer. Index counts from 0 over the whole answer,
-// also when the stream was resumed.
+// Token is one token of the output. Index counts from 0 over the whole output, also in a
+// resumed stream.
 type Token struct {
 	Attempt tables.AttemptID `json:"attempt"`
 	Index   int              `json:"index"`
 	Text    string           `json:"text"`
 }
 
-// Stream delivers an attempt's answer. It is used by one goroutine.
+// Stream is the output of an attempt, token by token. It must be used by one goroutine at
+// a time.
 type Stream interface {
-	// Accepted is known once Generate has returned.
+	// Accepted returns the accepted event. It is available once Generate has returned.
 	Accepted() AcceptedEvent
-	// Next returns the next token, io.EOF after the end mark, or one of the
-	// failures of this package. A stream that stops without its end mark gives
-	// *Interrupted, never io.EOF.
+	// Next returns the next token, io.EOF after the done event, or an error of this
+	// package. A stream that stops without a done event gives *InterruptedError, never
+	// io.EOF.
 	Next() (Token, error)
-	// Close cancels what is left of the attempt at the endpoint.
+	// Close cancels the rest of the attempt at the endpoint.
 	Close() error
 }
 
-// CallRequest is one attempt at a call to a plain service.
+// CallRequest is the request of one attempt at a call to a plain service.
 type CallRequest struct {
 	Attempt        tables.AttemptID
 	Method         string
@@ -67,7 +69,7 @@
 	Body           []byte
 }
 
-// CallResponse is a plain service's whole answer.
+// CallResponse is the whole response of a plain service.
 type CallResponse struct {
 	Attempt     tables.AttemptID
 	Boot        tables.BootID
@@ -83,44 +85,47 @@
 	Cancel(ctx context.Context, at netip.AddrPort, attempt tables.AttemptID) error
 }
 
-// NotStartedError means that the endpoint provably did not begin the work: no byte
-// of the request left, or the endpoint itself said so before running it.
+// NotStartedError means that the work provably did not start at the endpoint: either no
+// byte of the request was sent, or the endpoint rejected the request before running it. A
+// retry is safe.
 type NotStartedError struct {
 	Attempt tables.AttemptID
-	// Rejected is set when the endpoint answered no (full, other weights).
+	// Rejected is set when the endpoint rejected the request, for example because it is
+	// full or serves other weights.
 	Rejected bool
-	// Unreachable is set when the connection was refused.
+	// Unreachable is set when the endpoint refused the connection. HTTPClient also sets
+	// it when the host is unreachable or connecting timed out.
 	Unreachable bool
 	Reason      string
 	Cause       error
 }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *NotStartedError) Error() string {
 	return fmt.Sprintf("attempt %s not started: %s", e.Attempt, e.Reason)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotStartedError) Unwrap() error { return e.Cause }
 
-// InterruptedError means that the attempt was handed over and did not end properly;
-// the work may have run.
+// InterruptedError means that the request was sent and did not complete; the work may
+// have run. Tokens is the number of tokens that were received.
 type InterruptedError struct {
 	Attempt tables.AttemptID
 	Tokens  int
 	Cause   error
 }
 
-// Error gives the cause.
+// Error returns the cause.
 func (e *InterruptedError) Error() string {
 	return fmt.Sprintf("attempt %s interrupted after %d tokens: %v", e.Attempt, e.Tokens, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// MismatchError means that an answer names another attempt, boot or weights version
-// than the one asked for, and was dropped.
+// MismatchError means that a response named another attempt, boot or weights version than
+// the request, and was discarded.
 type MismatchError struct {
 	Attempt tables.AttemptID
 	Field   string
@@ -128,7 +133,7 @@
 	Got     string
 }
 
-// Error says what did not match.
+// Error returns the field with its received and its expected value.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("attempt %s: answer has %s %q, want %q", e.Attempt, e.Field, e.Got, e.Want)
+	return fmt.Sprintf("attempt %s: response has %s %q, want %q", e.Attempt, e.Field, e.Got, e.Want)
 }
--- a/engine/dial.go
+++ b/engine/dial.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// deadPeerTimeout is how long an endpoint's machine may leave data
-	// unacknowledged or probes unanswered.
-	deadPeerTimeout = 4 * time.Second
-	probePeriod     = time.Second
-	probeCount      = int(deadPeerTimeout / probePeriod)
+	// deadPeerTimeout is how long a peer may leave sent data unacknowledged or keepalive
+	// probes unanswered before the kernel closes the connection.
+	deadPeerTimeout   = 4 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = int(deadPeerTimeout / keepAliveInterval)
 )
 
-// newDialer opens TCP connections that notice when the endpoint's machine is
-// gone: half-open connections, on which a call that is not streamed would
-// otherwise wait for its whole timeout.
+// newDialer returns a dialer for TCP connections that detect a dead peer by keepalive
+// probes and TCP_USER_TIMEOUT. A half-open connection would otherwise block a call
+// without a stream for its whole timeout. A valid source is the local IP address.
 func newDialer(source netip.Addr) *net.Dialer {
 	var local net.Addr
 	if source.IsValid() {
@@ -25,22 +25,21 @@
 	}
 	return &net.Dialer{
 		LocalAddr:       local,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probePeriod, Interval: probePeriod, Count: probeCount},
-		Control:         boundUnacknowledged,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
+		Control:         setUserTimeout,
 	}
 }
 
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
-// DialTCP opens a connection to an endpoint that notices when the endpoint's
-// machine is gone.
+// DialTCP opens a connection to an endpoint with dead peer detection.
 func DialTCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	return DialFrom(netip.Addr{})(ctx, to)
 }
 
-// DialFrom is DialTCP from an IP number of this machine. An invalid one leaves
-// the choice to the machine.
+// DialFrom returns a DialFunc like DialTCP that binds to a local IP address. If source is
+// invalid, the kernel chooses the address.
 func DialFrom(source netip.Addr) DialFunc {
 	dialer := newDialer(source)
 	return func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
--- a/engine/dial_linux_test.go
+++ b/engine/dial_linux_test.go
@@ -23,8 +23,8 @@
 	assert.NilError(t, err)
 	for option, want := range map[int]int{
 		unix.TCP_USER_TIMEOUT: int(deadPeerTimeout.Milliseconds()),
-		unix.TCP_KEEPIDLE:     int(probePeriod.Seconds()),
-		unix.TCP_KEEPCNT:      probeCount,
+		unix.TCP_KEEPIDLE:     int(keepAliveInterval.Seconds()),
+		unix.TCP_KEEPCNT:      keepAliveProbes,
 	} {
 		var got int
 		assert.NilError(t, raw.Control(func(fd uintptr) {
--- a/engine/dial_other.go
+++ b/engine/dial_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// boundUnacknowledged does nothing where the kernel has no such bound; the
-// client's own timeouts remain.
-func boundUnacknowledged(_, _ string, _ syscall.RawConn) error { return nil }
+// setUserTimeout does nothing where the kernel has no TCP_USER_TIMEOUT; only the client's
+// own timeouts apply.
+func setUserTimeout(_, _ string, _ syscall.RawConn) error { return nil }
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -7,87 +7,92 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// UnexpectedStatusError means that an endpoint, or something before it, answered
-// with a status that says nothing about whether the work began.
+// UnexpectedStatusError means that an endpoint, or a proxy in front of it, responded with
+// a status that does not tell whether the work started.
 type UnexpectedStatusError struct {
 	Status      int
 	ContentType string
-	// refusal is what an endpoint said beside refusing an order.
-	refusal OrderRefusal
+	// orderRefusal is the decoded body if the endpoint refused an order.
+	orderRefusal OrderRefusal
 }
 
-// Error gives the status.
+// Error returns the status and the content type.
 func (e *UnexpectedStatusError) Error() string {
-	return fmt.Sprintf("unexpected answer with status %d and type %q", e.Status, e.ContentType)
+	return fmt.Sprintf("unexpected response with status %d and content type %q", e.Status, e.ContentType)
 }
 
 // ReadTimeoutError means that an endpoint sent nothing, not even a heartbeat, for After.
 type ReadTimeoutError struct{ After time.Duration }
 
-// Error gives the time.
-func (e *ReadTimeoutError) Error() string { return fmt.Sprintf("endpoint silent for %v", e.After) }
+// Error returns the timeout.
+func (e *ReadTimeoutError) Error() string {
+	return fmt.Sprintf("no data from the endpoint for %v", e.After)
+}
 
-// TooLargeError means that an endpoint sent more than Limit bytes where the protocol
-// allows no more.
+// TooLargeError means that an endpoint sent more than Limit bytes for the part that What
+// names.
 type TooLargeError struct {
 	What  string
 	Limit int64
 }
 
-// Error names the part and the limit.
+// Error returns the part and its limit.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%s longer than %d bytes", e.What, e.Limit)
+	return fmt.Sprintf("%s exceeds %d bytes", e.What, e.Limit)
 }
 
-// TokenGapError means that a stream skipped at least one token.
+// TokenGapError means that the index of a token, or the number of tokens in the done
+// event, was not the expected one.
 type TokenGapError struct{ Want, Got int }
 
-// Error gives both indexes.
+// Error returns both indexes.
 func (e *TokenGapError) Error() string {
-	return fmt.Sprintf("token %d came, %d was due", e.Got, e.Want)
+	return fmt.Sprintf("received token index %d, expected %d", e.Got, e.Want)
 }
 
-// TruncatedStreamError means that a stream ended without its end mark.
+// TruncatedStreamError means that a stream ended without its done event.
 type TruncatedStreamError struct{}
 
-// Error says so.
-func (e *TruncatedStreamError) Error() string { return "stream ended without its end mark" }
+// Error returns a fixed text.
+func (e *TruncatedStreamError) Error() string { return "stream ended without a done event" }
 
-// ProtocolError means that an endpoint broke the protocol.
+// ProtocolError means that a message could not be encoded or decoded, or broke the
+// protocol.
 type ProtocolError struct {
 	What  string
 	Cause error
 }
 
-// Error says where.
-func (e *ProtocolError) Error() string { return fmt.Sprintf("garbled %s: %v", e.What, e.Cause) }
+// Error returns the kind of message and the cause.
+func (e *ProtocolError) Error() string { return fmt.Sprintf("malformed %s: %v", e.What, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ProtocolError) Unwrap() error { return e.Cause }
 
-// EndpointError is the endpoint's own word that an attempt failed after it
-// began.
+// EndpointError means that the endpoint reported the failure of an attempt that had
+// started.
 type EndpointError struct{ Reason string }
 
-// Error gives the endpoint's reason.
-func (e *EndpointError) Error() string { return "endpoint failed: " + e.Reason }
+// Error returns the endpoint's reason.
+func (e *EndpointError) Error() string { return "endpoint reported a failure: " + e.Reason }
 
-// CancelUnconfirmedError means that an endpoint did not confirm the end of an
+// CancelUnconfirmedError means that an endpoint did not confirm the cancellation of an
 // attempt, which may still be running there.
 type CancelUnconfirmedError struct {
 	Attempt tables.AttemptID
 	Cause   error
 }
 
-// Error gives the cause.
+// Error returns the cause.
 func (e *CancelUnconfirmedError) Error() string {
-	return fmt.Sprintf("end of attempt %s not confirmed: %v", e.Attempt, e.Cause)
+	return fmt.Sprintf("cancellation of attempt %s not confirmed: %v", e.Attempt, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CancelUnconfirmedError) Unwrap() error { return e.Cause }
 
-// sealedBody is what a request body gives after its attempt was given up.
-type sealedBody struct{}
+// sealedBodyError is returned by reads of a trackedBody whose attempt was already
+// reported as not started.
+type sealedBodyError struct{}
 
-func (e *sealedBody) Error() string { return "attempt was given up before its body left" }
+func (e *sealedBodyError) Error() string { return "attempt was abandoned before its body was sent" }
--- a/engine/eventreader.go
+++ b/engine/eventreader.go
@@ -8,34 +8,34 @@
 	"sync"
 )
 
-const eventBuffer = 4 << 10
+const readBufferBytes = 4 << 10
 
-var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBuffer) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 
 var (
 	fieldEvent = []byte("event:")
 	fieldData  = []byte("data:")
 )
 
-// eventReader reads server-sent events in bounded memory. The slices it
-// returns hold until the next call.
+// eventReader is a parser of server-sent events that uses bounded memory. The slices that
+// it returns are valid until the next call.
 type eventReader struct {
 	r     *bufio.Reader
 	limit int
-	// alive is called for every line, comments included.
-	alive func()
-	name  [16]byte
-	data  []byte
-	line  []byte
+	// onLine is called for every line, comments included.
+	onLine func()
+	name   [16]byte
+	data   []byte
+	line   []byte
 }
 
-func newEventReader(r io.Reader, limit int, alive func()) *eventReader {
+func newEventReader(r io.Reader, limit int, onLine func()) *eventReader {
 	buffered := readerPool.Get().(*bufio.Reader)
 	buffered.Reset(r)
-	return &eventReader{r: buffered, limit: limit, alive: alive}
+	return &eventReader{r: buffered, limit: limit, onLine: onLine}
 }
 
-// release gives the buffer back; the reader must not be used afterwards.
+// release returns the buffer to the pool; the reader must not be used afterwards.
 func (e *eventReader) release() {
 	if e.r == nil {
 		return
@@ -45,8 +45,8 @@
 	e.r = nil
 }
 
-// next returns the name and data of the next event. An event that is cut off
-// before its empty line is not returned.
+// next returns the name and data of the next event. An event that is truncated before its
+// empty line is not returned.
 func (e *eventReader) next() (name, data []byte, err error) {
 	if e.r == nil {
 		return nil, nil, io.ErrClosedPipe
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		e.alive()
+		e.onLine()
 		switch {
 		case len(line) == 0:
 			if named > 0 || len(e.data) > 0 {
@@ -76,11 +76,11 @@
 	}
 }
 
-// readLine returns one line without its end.
+// readLine returns one line without its line ending.
 func (e *eventReader) readLine() ([]byte, error) {
 	line, err := e.r.ReadSlice('\n')
 	if err == nil {
-		return trimEnd(line), nil
+		return trimLineEnd(line), nil
 	}
 	e.line = e.line[:0]
 	for errors.Is(err, bufio.ErrBufferFull) {
@@ -94,10 +94,10 @@
 		return nil, err
 	}
 	e.line = append(e.line, line...)
-	return trimEnd(e.line), nil
+	return trimLineEnd(e.line), nil
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnd(line []byte) []byte {
 	line = line[:len(line)-1]
 	if n := len(line); n > 0 && line[n-1] == '\r' {
 		line = line[:n-1]
--- a/engine/loaddelta.go
+++ b/engine/loaddelta.go
@@ -7,9 +7,9 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// LoadDelta is one event of a load stream: what changed since the event before
-// it. A field that is left out is unchanged. The first event of a stream, and
-// the first after another boot, changes an empty report.
+// LoadDelta is one event of a load stream, delta-encoded against the event before it. A
+// nil field is unchanged. The first event of a stream, and the first after a change of
+// the boot identity, is a delta to an empty report.
 type LoadDelta struct {
 	Boot         tables.BootID                               `json:"boot"`
 	Weights      *map[tables.ModelName]tables.WeightsVersion `json:"weights,omitempty"`
@@ -17,26 +17,26 @@
 	Queued       *int                                        `json:"queued,omitempty"`
 	QueuedTokens *int                                        `json:"queued_tokens,omitempty"`
 	CacheBlocks  *int                                        `json:"cache_blocks,omitempty"`
-	// Started and Ended are the attempts that are new or gone.
+	// Started and Ended are the attempts that were added to or removed from the report.
 	Started []tables.AttemptID `json:"began,omitempty"`
 	Ended   []tables.AttemptID `json:"ended,omitempty"`
-	// AgeMillis is always that of this report; left out means zero.
+	// AgeMillis is the age of this report and not a difference; it is omitted if zero.
 	AgeMillis int64 `json:"age_ms,omitempty"`
 }
 
-// NewLoadDelta returns what leads from one report to another.
+// NewLoadDelta returns the delta between two reports.
 func NewLoadDelta(from, to Load) LoadDelta {
 	if from.Boot != to.Boot {
 		from = Load{}
 	}
 	d := LoadDelta{
 		Boot:         to.Boot,
-		Running:      changed(from.Running, to.Running),
-		Queued:       changed(from.Queued, to.Queued),
-		QueuedTokens: changed(from.QueuedTokens, to.QueuedTokens),
-		CacheBlocks:  changed(from.CacheBlocks, to.CacheBlocks),
-		Started:      missing(to.Attempts, from.Attempts),
-		Ended:        missing(from.Attempts, to.Attempts),
+		Running:      ifChanged(from.Running, to.Running),
+		Queued:       ifChanged(from.Queued, to.Queued),
+		QueuedTokens: ifChanged(from.QueuedTokens, to.QueuedTokens),
+		CacheBlocks:  ifChanged(from.CacheBlocks, to.CacheBlocks),
+		Started:      difference(to.Attempts, from.Attempts),
+		Ended:        difference(from.Attempts, to.Attempts),
 		AgeMillis:    to.AgeMillis,
 	}
 	if !maps.Equal(from.Weights, to.Weights) {
@@ -48,33 +48,34 @@
 	return d
 }
 
-func changed(from, to int) *int {
+func ifChanged(from, to int) *int {
 	if from == to {
 		return nil
 	}
 	return &to
 }
 
-// missing returns the attempts of one list that the other does not hold.
-func missing(of, in []tables.AttemptID) []tables.AttemptID {
-	if slices.Equal(of, in) {
+// difference returns the attempts of minuend that are not in subtrahend.
+func difference(minuend, subtrahend []tables.AttemptID) []tables.AttemptID {
+	if slices.Equal(minuend, subtrahend) {
 		return nil
 	}
-	held := make(map[tables.AttemptID]struct{}, len(in))
-	for _, id := range in {
-		held[id] = struct{}{}
+	excluded := make(map[tables.AttemptID]struct{}, len(subtrahend))
+	for _, id := range subtrahend {
+		excluded[id] = struct{}{}
 	}
 	var out []tables.AttemptID
-	for _, id := range of {
-		if _, ok := held[id]; !ok {
+	for _, id := range minuend {
+		if _, ok := excluded[id]; !ok {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Apply returns the report after the change. It shares no list that a later
-// change writes to. The attempts are a set; their order is not the endpoint's.
+// Apply returns the report that results from the delta. It does not modify the lists of
+// the report before it. The attempts are a set: their order may differ from the
+// endpoint's.
 func (d LoadDelta) Apply(load Load) Load {
 	if d.Boot != load.Boot {
 		load = Load{Boot: d.Boot}
@@ -82,19 +83,19 @@
 	if d.Weights != nil {
 		load.Weights = *d.Weights
 	}
-	set(&load.Running, d.Running)
-	set(&load.Queued, d.Queued)
-	set(&load.QueuedTokens, d.QueuedTokens)
-	set(&load.CacheBlocks, d.CacheBlocks)
+	setIfPresent(&load.Running, d.Running)
+	setIfPresent(&load.Queued, d.Queued)
+	setIfPresent(&load.QueuedTokens, d.QueuedTokens)
+	setIfPresent(&load.CacheBlocks, d.CacheBlocks)
 	load.AgeMillis = d.AgeMillis
 	if len(d.Started)+len(d.Ended) > 0 {
-		kept := missing(load.Attempts, d.Ended)
-		load.Attempts = slices.Concat(kept, missing(d.Started, kept))
+		kept := difference(load.Attempts, d.Ended)
+		load.Attempts = slices.Concat(kept, difference(d.Started, kept))
 	}
 	return load
 }
 
-func set(field, value *int) {
+func setIfPresent(field, value *int) {
 	if value != nil {
 		*field = *value
 	}
--- a/engine/loadstream.go
+++ b/engine/loadstream.go
@@ -12,38 +12,40 @@
 	"time"
 )
 
-// silentIntervals is after how many intervals without an event a load stream
-// has failed. The time is at least the same part of SilenceTimeout, so that one
-// late process does not end streams of short intervals.
-const silentIntervals = 3
+// maxMissedIntervals is the number of intervals without an event after which a load
+// stream has failed. The timeout is at least ReadIdleTimeout divided by the same number,
+// so that one delayed process does not end streams with short intervals.
+const maxMissedIntervals = 3
 
-// LoadStream gives an endpoint's load reports as they come. Its methods must
-// not be called concurrently.
+// LoadStream is a subscription to the load reports of an endpoint. It must be used by one
+// goroutine at a time.
 type LoadStream interface {
-	// Next waits for the next report. After an error the stream is over.
+	// Next waits for the next report. The stream has ended after an error.
 	Next() (Load, error)
+	// Close ends the subscription.
 	Close()
 }
 
-// LoadStreamer opens load streams. An endpoint that only answers single
-// questions gives *NoLoadStream.
+// LoadStreamer opens load streams. For an endpoint that only supports polling it returns
+// *LoadStreamUnsupportedError.
 type LoadStreamer interface {
 	LoadStream(ctx context.Context, at netip.AddrPort, interval time.Duration) (LoadStream, error)
 }
 
 var _ LoadStreamer = (*HTTPClient)(nil)
 
-// LoadStreamUnsupportedError means that an endpoint answered with a single report.
+// LoadStreamUnsupportedError means that an endpoint responded with a single report, Load,
+// instead of a stream.
 type LoadStreamUnsupportedError struct{ Load Load }
 
-// Error says so.
+// Error returns a fixed text.
 func (e *LoadStreamUnsupportedError) Error() string { return "endpoint does not stream load reports" }
 
-// WantsLoadStream reports whether a question for load asks for a stream, and
-// the interval between its events. An interval that is no number or below a
-// millisecond is a millisecond.
+// WantsLoadStream reports whether a request for the load asks for a stream, and the
+// interval between its events. An interval that is not a number or is below one
+// millisecond counts as one millisecond.
 func WantsLoadStream(r *http.Request) (time.Duration, bool) {
-	if !strings.Contains(r.Header.Get(headerAccept), typeEvents) {
+	if !strings.Contains(r.Header.Get(headerAccept), typeEventStream) {
 		return 0, false
 	}
 	millis, _ := strconv.ParseInt(r.URL.Query().Get("interval_ms"), 10, 32)
@@ -54,96 +56,96 @@
 type httpLoadStream struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// silence ends the stream. It runs only while Next waits.
-	silence  *time.Timer
-	patience time.Duration
-	// limit bounds an event, and the bytes of the attempts of one report:
-	// changes add up over a stream, so that no event's limit bounds them.
-	limit  int
-	body   io.ReadCloser
-	events *eventReader
-	load   Load
+	// readTimer cancels the stream at the read timeout. It runs only while Next waits.
+	readTimer   *time.Timer
+	readTimeout time.Duration
+	// maxBytes limits the size of one event, and the total size of the attempt IDs of one
+	// report: deltas accumulate over a stream, so that a limit per event does not bound
+	// the report.
+	maxBytes int
+	body     io.ReadCloser
+	events   *eventReader
+	load     Load
 }
 
-// LoadStream opens a stream of load reports. It has a connection of its own: a
-// pooled connection to a machine that is gone looks healthy until a question
-// on it times out.
+// LoadStream opens a stream of load reports. It uses a connection of its own: a pooled
+// connection to a machine that is gone looks healthy until a request on it times out.
 func (c *HTTPClient) LoadStream(ctx context.Context, at netip.AddrPort, interval time.Duration) (LoadStream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &httpLoadStream{
-		ctx:      ctx,
-		cancel:   cancel,
-		patience: max(silentIntervals*interval, c.options.ReadIdleTimeout/silentIntervals),
-		limit:    int(c.options.MaxResponseBytes),
+		ctx:         ctx,
+		cancel:      cancel,
+		readTimeout: max(maxMissedIntervals*interval, c.options.ReadIdleTimeout/maxMissedIntervals),
+		maxBytes:    int(c.options.MaxResponseBytes),
 	}
 	accept := c.options.ResponseTimeout
-	s.silence = time.AfterFunc(accept, func() { cancel(&ReadTimeoutError{After: accept}) })
+	s.readTimer = time.AfterFunc(accept, func() { cancel(&ReadTimeoutError{After: accept}) })
 	to := endpointURL(at, PathLoad)
 	to.RawQuery = url.Values{"interval_ms": {strconv.FormatInt(max(interval.Milliseconds(), 1), 10)}}.Encode()
 	req := newRequest(ctx, http.MethodGet, to, nil)
-	req.Header.Set(headerAccept, typeEvents+", "+typeJSON)
-	resp, err := c.single.RoundTrip(req)
+	req.Header.Set(headerAccept, typeEventStream+", "+typeJSON)
+	resp, err := c.unpooled.RoundTrip(req)
 	if err != nil {
 		s.Close()
-		return nil, causeOf(ctx, err)
+		return nil, contextCause(ctx, err)
 	}
 	s.body = resp.Body
-	if resp.StatusCode == http.StatusOK && isType(resp.Header, typeEvents) {
-		s.silence.Stop()
-		s.silence = time.AfterFunc(s.patience, func() { cancel(&ReadTimeoutError{After: s.patience}) })
-		s.events = newEventReader(resp.Body, s.limit, func() {})
+	if resp.StatusCode == http.StatusOK && hasContentType(resp.Header, typeEventStream) {
+		s.readTimer.Stop()
+		s.readTimer = time.AfterFunc(s.readTimeout, func() { cancel(&ReadTimeoutError{After: s.readTimeout}) })
+		s.events = newEventReader(resp.Body, s.maxBytes, func() {})
 		return s, nil
 	}
 	defer s.Close()
-	return nil, c.singleReport(ctx, resp)
+	return nil, c.readSingleReport(ctx, resp)
 }
 
-// singleReport reads the answer of an endpoint that does not stream.
-func (c *HTTPClient) singleReport(ctx context.Context, resp *http.Response) error {
-	if resp.StatusCode != http.StatusOK || !isType(resp.Header, typeJSON) {
-		return &UnexpectedStatusError{Status: resp.StatusCode, ContentType: resp.Header.Get(headerType)}
+// readSingleReport reads the response of an endpoint that does not stream.
+func (c *HTTPClient) readSingleReport(ctx context.Context, resp *http.Response) error {
+	if resp.StatusCode != http.StatusOK || !hasContentType(resp.Header, typeJSON) {
+		return &UnexpectedStatusError{Status: resp.StatusCode, ContentType: resp.Header.Get(headerContentType)}
 	}
-	content, err := readBounded(resp.Body, c.options.MaxResponseBytes, "answer")
+	content, err := readLimited(resp.Body, c.options.MaxResponseBytes, "response")
 	if err != nil {
-		return causeOf(ctx, err)
+		return contextCause(ctx, err)
 	}
 	single := &LoadStreamUnsupportedError{}
 	if err := json.Unmarshal(content, &single.Load); err != nil {
-		return &ProtocolError{What: "answer", Cause: err}
+		return &ProtocolError{What: "response", Cause: err}
 	}
 	return single
 }
 
-// Next waits for the next event. Comment lines do not count as life: an
-// endpoint that sends no report has no current one.
+// Next waits for the next event. Comment lines do not reset the read timeout: an endpoint
+// that sends no report has no current one.
 func (s *httpLoadStream) Next() (Load, error) {
-	s.silence.Reset(s.patience)
-	defer s.silence.Stop()
+	s.readTimer.Reset(s.readTimeout)
+	defer s.readTimer.Stop()
 	_, data, err := s.events.next()
 	if err != nil {
-		return Load{}, causeOf(s.ctx, err)
+		return Load{}, contextCause(s.ctx, err)
 	}
 	var delta LoadDelta
 	if err := json.Unmarshal(data, &delta); err != nil {
 		return Load{}, &ProtocolError{What: "load event", Cause: err}
 	}
 	s.load = delta.Apply(s.load)
-	if len(delta.Started) > 0 && attemptBytes(s.load) > s.limit {
-		return Load{}, &TooLargeError{What: "list of attempts", Limit: int64(s.limit)}
+	if len(delta.Started) > 0 && attemptIDBytes(s.load) > s.maxBytes {
+		return Load{}, &TooLargeError{What: "list of attempts", Limit: int64(s.maxBytes)}
 	}
 	return s.load, nil
 }
 
-func attemptBytes(load Load) (sum int) {
+func attemptIDBytes(load Load) (sum int) {
 	for _, id := range load.Attempts {
 		sum += len(id)
 	}
 	return sum
 }
 
-// Close ends the stream and its connection.
+// Close ends the stream and closes its connection.
 func (s *httpLoadStream) Close() {
-	s.silence.Stop()
+	s.readTimer.Stop()
 	s.cancel(nil)
 	if s.body != nil {
 		_ = s.body.Close()
--- a/engine/loadstream_test.go
+++ b/engine/loadstream_test.go
@@ -70,7 +70,7 @@
 // the report that they add up to must not grow without limit in the instance.
 func TestLoadStreamIsBounded(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("Content-Type", typeEvents)
+		w.Header().Set("Content-Type", typeEventStream)
 		for i := range 100 {
 			_, _ = fmt.Fprintf(w, "data: {\"boot\":\"b\",\"began\":[\"%d-%s\"]}\n\n", i, strings.Repeat("x", 100))
 		}
--- a/engine/platform.go
+++ b/engine/platform.go
@@ -7,10 +7,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// PathPlatform is where the platform serves its list of instances.
+// PathPlatform is the path of the platform's list of instances.
 const PathPlatform = "/v1/instances"
 
-// PlatformState is what the platform says of an instance.
+// PlatformState is the state of an instance in the platform's list.
 type PlatformState string
 
 // The states of an instance.
@@ -19,25 +19,25 @@
 	PlatformLeaving PlatformState = "leaving"
 )
 
-// PlatformInstance is one line of the platform's list.
+// PlatformInstance is one entry of the platform's list.
 type PlatformInstance struct {
 	ID    tables.EndpointID `json:"id"`
 	State PlatformState     `json:"state"`
-	// Life grows each time the instance joins again.
+	// Life is a generation number that grows each time the instance joins again.
 	Life uint64 `json:"life"`
-	// Membership is where an instance of the system takes the datagrams of
-	// failure detection; it is left out for endpoints.
+	// Membership is the address at which an instance of the system receives the datagrams
+	// of failure detection; it is omitted for endpoints.
 	Membership netip.AddrPort `json:"membership,omitzero"`
 }
 
-// PlatformList is the platform's list. It lags behind the truth.
+// PlatformList is the platform's list of instances. It lags behind their actual state.
 type PlatformList struct {
 	Instances []PlatformInstance `json:"instances"`
 }
 
-// PlatformList reads the platform's list.
+// PlatformList reads the platform's list of instances.
 func (c *HTTPClient) PlatformList(ctx context.Context, at netip.AddrPort) (PlatformList, error) {
 	var list PlatformList
-	err := c.fetch(ctx, c.options.ResponseTimeout, endpointURL(at, PathPlatform), &list)
+	err := c.getJSON(ctx, c.options.ResponseTimeout, endpointURL(at, PathPlatform), &list)
 	return list, err
 }
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -12,10 +12,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// position is where a stream stands.
-type position struct {
-	// next is the index of the token that is due, limit the number of tokens
-	// of the longest answer that was asked for.
+// streamPosition is the read position in the token sequence of a stream.
+type streamPosition struct {
+	// next is the index of the next expected token, and limit the requested maximum
+	// number of tokens.
 	next  int
 	limit int
 }
@@ -28,105 +28,108 @@
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 
-	// silence ends the stream when the endpoint says nothing for the time
-	// allowed. It runs only while Next waits, so that a slow caller does not
-	// look like a hanging endpoint.
-	silence *time.Timer
-	allowed atomic.Int64
+	// readTimer cancels the stream when the endpoint sends nothing for the read timeout.
+	// It runs only while Next waits, so that a slow caller is not taken for a hung
+	// endpoint.
+	readTimer        *time.Timer
+	readTimeoutNanos atomic.Int64
 
 	body     io.ReadCloser
 	events   *eventReader
 	token    tokenDecoder
 	accepted AcceptedEvent
-	position position
+	position streamPosition
 	tokens   int
-	// failure is what Next returns from now on.
+	// failure is the error that every further call of Next returns.
 	failure error
-	// settled is set once the endpoint itself ended the attempt.
-	settled bool
-	closed  bool
+	// endedByEndpoint is set once the endpoint itself has ended the attempt, so that
+	// Close need not cancel it.
+	endedByEndpoint bool
+	closed          bool
 }
 
 func (s *httpStream) open(body io.ReadCloser) {
 	s.body = body
 	s.token.init()
-	s.events = newEventReader(body, s.client.options.MaxEventBytes, s.alive)
+	s.events = newEventReader(body, s.client.options.MaxEventBytes, s.resetReadTimer)
 }
 
-func (s *httpStream) expire() { s.cancel(&ReadTimeoutError{After: s.patience()}) }
+func (s *httpStream) onReadTimeout() { s.cancel(&ReadTimeoutError{After: s.readTimeout()}) }
 
-func (s *httpStream) patience() time.Duration { return time.Duration(s.allowed.Load()) }
+func (s *httpStream) readTimeout() time.Duration { return time.Duration(s.readTimeoutNanos.Load()) }
 
-// alive notes that the endpoint said something.
-func (s *httpStream) alive() {
+// resetReadTimer restarts the read timeout after a received line, if no further data is
+// buffered.
+func (s *httpStream) resetReadTimer() {
 	if s.events.r.Buffered() == 0 {
-		s.silence.Reset(s.patience())
+		s.readTimer.Reset(s.readTimeout())
 	}
 }
 
-// accept reads the first event.
-func (s *httpStream) accept(req GenerateRequest) error {
+// readAccepted reads and checks the first event.
+func (s *httpStream) readAccepted(req GenerateRequest) error {
 	name, data, err := s.events.next()
 	if err != nil {
-		return s.interrupt(err)
+		return s.fail(err)
 	}
 	if string(name) == EventError {
-		return s.endpointFailure(data)
+		return s.handleErrorEvent(data)
 	}
 	if string(name) != EventAccepted {
-		return s.interrupt(&ProtocolError{What: "first event", Cause: &TruncatedStreamError{}})
+		return s.fail(&ProtocolError{What: "first event", Cause: &TruncatedStreamError{}})
 	}
 	if err := json.Unmarshal(data, &s.accepted); err != nil {
-		return s.interrupt(&ProtocolError{What: "accepted event", Cause: err})
+		return s.fail(&ProtocolError{What: "accepted event", Cause: err})
 	}
 	got := s.accepted
 	switch {
 	case got.Attempt != req.Attempt:
-		return s.client.mismatch(req.Attempt, "attempt", string(req.Attempt), string(got.Attempt))
+		return s.client.countMismatch(req.Attempt, "attempt", string(req.Attempt), string(got.Attempt))
 	case got.Boot == "":
-		return s.client.mismatch(req.Attempt, "boot", "a boot identity", "")
+		return s.client.countMismatch(req.Attempt, "boot", "a boot identity", "")
 	case req.Weights != "" && got.Weights != req.Weights:
-		return s.client.mismatch(req.Attempt, "weights", string(req.Weights), string(got.Weights))
+		return s.client.countMismatch(req.Attempt, "weights", string(req.Weights), string(got.Weights))
 	}
-	s.allowed.Store(int64(s.client.options.ReadIdleTimeout))
-	s.silence.Stop()
+	s.readTimeoutNanos.Store(int64(s.client.options.ReadIdleTimeout))
+	s.readTimer.Stop()
 	return nil
 }
 
-// Accepted returns the endpoint's first word on the attempt.
+// Accepted returns the accepted event.
 func (s *httpStream) Accepted() AcceptedEvent { return s.accepted }
 
-// Next returns the next token in order, or the end of the stream.
+// Next returns the next token in order, or the error that ends the stream.
 func (s *httpStream) Next() (Token, error) {
 	if s.failure != nil {
 		return Token{}, s.failure
 	}
-	s.silence.Reset(s.patience())
-	defer s.silence.Stop()
+	s.readTimer.Reset(s.readTimeout())
+	defer s.readTimer.Stop()
 	for {
 		name, data, err := s.events.next()
 		if err != nil {
-			return Token{}, s.interrupt(err)
+			return Token{}, s.fail(err)
 		}
 		switch string(name) {
 		case EventToken:
-			token, ok, err := s.take(data)
+			token, ok, err := s.validateToken(data)
 			if err != nil {
-				return Token{}, s.interrupt(err)
+				return Token{}, s.fail(err)
 			}
 			if ok {
 				return token, nil
 			}
 		case EventDone:
-			return Token{}, s.finish(data)
+			return Token{}, s.handleDone(data)
 		case EventError:
-			return Token{}, s.endpointFailure(data)
+			return Token{}, s.handleErrorEvent(data)
 		}
 	}
 }
 
-// take checks one token. It reports false for a token that must be dropped.
-func (s *httpStream) take(data []byte) (Token, bool, error) {
+// validateToken decodes and checks one token event and advances the position. It returns
+// false for a token that must be discarded: one of another attempt, or a duplicate.
+func (s *httpStream) validateToken(data []byte) (Token, bool, error) {
 	if err := s.token.decode(data); err != nil {
 		return Token{}, false, &ProtocolError{What: "token event", Cause: err}
 	}
@@ -147,59 +150,60 @@
 	return Token{Attempt: s.attempt, Index: index, Text: string(s.token.text)}, true, nil
 }
 
-// finish checks the end mark against what came before it.
-func (s *httpStream) finish(data []byte) error {
+// handleDone checks the done event against the tokens before it and ends the stream.
+func (s *httpStream) handleDone(data []byte) error {
 	var done DoneEvent
 	if err := json.Unmarshal(data, &done); err != nil {
-		return s.interrupt(&ProtocolError{What: "done event", Cause: err})
+		return s.fail(&ProtocolError{What: "done event", Cause: err})
 	}
 	if done.Attempt != s.attempt {
 		s.client.mismatches.Add(1)
-		return s.interrupt(&MismatchError{Attempt: s.attempt, Field: "attempt", Want: string(s.attempt), Got: string(done.Attempt)})
+		return s.fail(&MismatchError{Attempt: s.attempt, Field: "attempt", Want: string(s.attempt), Got: string(done.Attempt)})
 	}
 	if done.Tokens != s.position.next {
-		return s.interrupt(&TokenGapError{Want: s.position.next, Got: done.Tokens})
+		return s.fail(&TokenGapError{Want: s.position.next, Got: done.Tokens})
 	}
-	s.settled = true
+	s.endedByEndpoint = true
 	s.failure = io.EOF
-	s.drain()
+	s.drainBody()
 	return io.EOF
 }
 
-// drain reads to the end of the body, so that the connection can be reused.
-func (s *httpStream) drain() {
+// drainBody reads the end of the body after the done event, so that the connection can be
+// reused. It reads at most 64 bytes.
+func (s *httpStream) drainBody() {
 	var rest [64]byte
 	_, _ = s.body.Read(rest[:])
 }
 
-func (s *httpStream) endpointFailure(data []byte) error {
+func (s *httpStream) handleErrorEvent(data []byte) error {
 	var failure ErrorEvent
 	if err := json.Unmarshal(data, &failure); err != nil {
-		return s.interrupt(&ProtocolError{What: "error event", Cause: err})
+		return s.fail(&ProtocolError{What: "error event", Cause: err})
 	}
-	s.settled = failure.Attempt == s.attempt
-	return s.interrupt(&EndpointError{Reason: failure.Reason})
+	s.endedByEndpoint = failure.Attempt == s.attempt
+	return s.fail(&EndpointError{Reason: failure.Reason})
 }
 
-// interrupt ends the stream for good.
-func (s *httpStream) interrupt(cause error) error {
+// fail ends the stream with an error that all further calls of Next return.
+func (s *httpStream) fail(cause error) error {
 	if errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) {
 		cause = &TruncatedStreamError{}
 	}
-	s.failure = &InterruptedError{Attempt: s.attempt, Tokens: s.tokens, Cause: causeOf(s.ctx, cause)}
+	s.failure = &InterruptedError{Attempt: s.attempt, Tokens: s.tokens, Cause: contextCause(s.ctx, cause)}
 	return s.failure
 }
 
-// Close frees the stream. Unless the endpoint already ended the attempt it is
-// cancelled there; without the endpoint's confirmation Close returns
-// *CancelUnconfirmed.
+// Close releases the stream. It cancels the attempt at the endpoint unless the endpoint
+// has already ended it; if the endpoint does not confirm that, Close returns
+// *CancelUnconfirmedError.
 func (s *httpStream) Close() error {
 	if s.closed {
 		return nil
 	}
 	s.closed = true
-	s.abandon()
-	if s.settled {
+	s.release()
+	if s.endedByEndpoint {
 		return nil
 	}
 	if s.failure == nil {
@@ -208,10 +212,10 @@
 	return s.client.Cancel(context.WithoutCancel(s.ctx), s.at, s.attempt)
 }
 
-// abandon frees what the stream holds on this side.
-func (s *httpStream) abandon() {
-	s.silence.Stop()
-	if !s.settled {
+// release frees the local resources of the stream.
+func (s *httpStream) release() {
+	s.readTimer.Stop()
+	if !s.endedByEndpoint {
 		s.cancel(context.Canceled)
 	}
 	if s.body != nil {
--- a/engine/token.go
+++ b/engine/token.go
@@ -2,8 +2,8 @@
 
 import "github.com/go-faster/jx"
 
-// tokenDecoder decodes token events without allocating. Its fields hold until
-// the next call of decode.
+// tokenDecoder decodes token events without allocating. Its fields are valid until the
+// next call of decode.
 type tokenDecoder struct {
 	decoder jx.Decoder
 	field   func(d *jx.Decoder, key []byte) error
@@ -34,7 +34,7 @@
 	return err
 }
 
-// AppendTokenEvent appends a token event as an endpoint sends it.
+// AppendTokenEvent appends a token event in its wire format.
 func AppendTokenEvent(dst []byte, token Token) []byte {
 	var e jx.Encoder
 	e.SetBytes(append(dst, "event: token\ndata: "...))
--- a/engine/unresponsive.go
+++ b/engine/unresponsive.go
@@ -7,39 +7,39 @@
 	"sync"
 )
 
-// doubts holds the endpoints that were silent when last tried. When a zone is
-// cut off without resets, every pooled connection into it looks healthy, and
-// each attempt on one waits for the whole AcceptTimeout and may have run. An
-// endpoint in doubt gets a fresh connection instead: that fails sooner, and
-// provably before anything ran. The number of doubts is bounded by that of the
-// endpoints.
-type doubts struct{ endpoints sync.Map }
+// unresponsiveEndpoints is the set of endpoints whose last attempt timed out. Attempts at
+// them use a new connection instead of a pooled one. When a zone is cut off without TCP
+// resets, every pooled connection into it looks healthy: an attempt on one waits for the
+// whole ResponseTimeout and may have run. Opening a connection fails sooner, and provably
+// before anything ran. The number of endpoints bounds the size of the set.
+type unresponsiveEndpoints struct{ endpoints sync.Map }
 
-// failed notes a failed attempt, if it failed by silence.
-func (d *doubts) failed(at netip.AddrPort, cause error) {
+// recordFailure adds an endpoint if its attempt failed by a timeout or because it was
+// unreachable.
+func (d *unresponsiveEndpoints) recordFailure(at netip.AddrPort, cause error) {
 	var silent *ReadTimeoutError
 	if errors.As(cause, &silent) || isUnreachable(cause) {
 		d.endpoints.Store(at, struct{}{})
 	}
 }
 
-// answered notes that an endpoint answered.
-func (d *doubts) answered(at netip.AddrPort) {
-	if d.has(at) {
+// recordResponse removes an endpoint, because it responded.
+func (d *unresponsiveEndpoints) recordResponse(at netip.AddrPort) {
+	if d.contains(at) {
 		d.endpoints.Delete(at)
 	}
 }
 
-func (d *doubts) has(at netip.AddrPort) bool {
+func (d *unresponsiveEndpoints) contains(at netip.AddrPort) bool {
 	_, ok := d.endpoints.Load(at)
 	return ok
 }
 
-// transportTo returns the pooled connections, or fresh ones to an endpoint in
-// doubt.
-func (c *HTTPClient) transportTo(at netip.AddrPort) *http.Transport {
-	if c.doubts.has(at) {
-		return c.single
+// transportFor returns the transport with the connection pool, or the one without for an
+// unresponsive endpoint.
+func (c *HTTPClient) transportFor(at netip.AddrPort) *http.Transport {
+	if c.unresponsive.contains(at) {
+		return c.unpooled
 	}
 	return c.pooled
 }
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -2,8 +2,7 @@
 
 import "github.com/carawaystile/carawaystile/tables"
 
-// The paths of the protocol. They are described in
-// docs/design/endpoint-protocol.md.
+// The paths of the protocol, which docs/design/endpoint-protocol.md describes.
 const (
 	PathGenerate    = "/v1/generate"
 	PathCancel      = "/v1/cancel"
@@ -13,13 +12,13 @@
 	PathOrderState  = "/v1/orders/state"
 	PathCacheExport = "/v1/cache/export"
 	PathCacheImport = "/v1/cache/import"
-	// PathCall is followed by the name of the call.
+	// PathCall is a prefix; the name of the call follows it.
 	PathCall = "/v1/call/"
 )
 
-// The names of the events of a generate stream. Lines that open with a colon
-// are comments; an endpoint sends one at least every HeartbeatInterval while it
-// has nothing else to say.
+// The names of the events of a token stream. Lines that begin with a colon are comments;
+// an endpoint that has nothing else to send sends one as a heartbeat at least every
+// HeartbeatInterval.
 const (
 	EventAccepted = "accepted"
 	EventToken    = "token"
@@ -29,36 +28,36 @@
 
 // The headers of the protocol.
 const (
-	// HeaderAttempt carries the attempt of a call and is echoed by the answer.
+	// HeaderAttempt carries the attempt ID of a call; the response echoes it.
 	HeaderAttempt = "X-Attempt"
-	// HeaderBoot carries the boot identity of the endpoint that answers.
+	// HeaderBoot carries the boot identity of the responding endpoint.
 	HeaderBoot = "X-Boot"
 	// HeaderIdempotencyKey carries the idempotency key of a call.
 	HeaderIdempotencyKey = "Idempotency-Key"
 
-	headerType   = "Content-Type"
-	headerAccept = "Accept"
-	typeJSON     = "application/json"
-	typeEvents   = "text/event-stream"
-	maxHeader    = 64 << 10
-	maxErrorBody = 64 << 10
+	headerContentType = "Content-Type"
+	headerAccept      = "Accept"
+	typeJSON          = "application/json"
+	typeEventStream   = "text/event-stream"
+	maxHeaderBytes    = 64 << 10
+	maxErrorBodyBytes = 64 << 10
 )
 
-// Rejection is the body of every answer that says no before anything ran.
-// Without NotStarted set, an answer other than 200 proves nothing.
+// Rejection is the body of every response that rejects a request before anything ran.
+// Unless NotStarted is set, a response other than 200 proves nothing.
 type Rejection struct {
 	Attempt    tables.AttemptID `json:"attempt"`
 	NotStarted bool             `json:"not_started"`
 	Reason     string           `json:"reason"`
 }
 
-// DoneEvent is the end mark of a stream that is whole.
+// DoneEvent is the last event of a complete stream.
 type DoneEvent struct {
 	Attempt tables.AttemptID `json:"attempt"`
-	// Tokens is the length of the whole answer, the part before ResumeFrom
-	// included.
+	// Tokens is the length of the whole output, including the part before ResumeFrom.
 	Tokens int `json:"tokens"`
-	// CachedTokens is how much of the prompt came from the cache in the end.
+	// CachedTokens is the final number of prompt tokens that were found in the prefix
+	// cache.
 	CachedTokens int `json:"cached_tokens"`
 }
 
@@ -73,10 +72,10 @@
 	Attempt tables.AttemptID `json:"attempt"`
 }
 
-// CancelResponse confirms that an attempt is not running any more.
+// CancelResponse confirms that an attempt is no longer running.
 type CancelResponse struct {
 	Attempt tables.AttemptID `json:"attempt"`
 	Boot    tables.BootID    `json:"boot"`
-	// Found is set when the attempt was queued or running until now.
+	// Found is set if the attempt was queued or running until the request.
 	Found bool `json:"found"`
 }
