--- a/engine/exchange/response.go
+++ b/engine/exchange/response.go
@@ -29,24 +29,24 @@
 
 // ReadAll returns the whole body, or *engine.InterruptedError if the body is truncated or
 // exceeds the client's limit.
-func (a *Response) ReadAll() ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.resp.Body, a.client.maxResponseBytes+1))
-	if err == nil && int64(len(body)) > a.client.maxResponseBytes {
-		err = &engine.TooLargeError{What: "response", Limit: a.client.maxResponseBytes}
+func (res *Response) ReadAll() ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(res.resp.Body, res.client.maxResponseBytes+1))
+	if err == nil && int64(len(body)) > res.client.maxResponseBytes {
+		err = &engine.TooLargeError{What: "response", Limit: res.client.maxResponseBytes}
 	}
 	if err != nil {
-		a.Close()
-		return nil, &engine.InterruptedError{Attempt: a.attempt, Cause: err}
+		res.Close()
+		return nil, &engine.InterruptedError{Attempt: res.attempt, Cause: err}
 	}
-	a.finish()
+	res.finish()
 	return body, nil
 }
 
 // Read reads from the body of a stream. io.EOF means that the response is complete.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.resp.Body.Read(p)
+func (res *Response) Read(p []byte) (int, error) {
+	n, err := res.resp.Body.Read(p)
 	if err == io.EOF {
-		a.finish()
+		res.finish()
 	}
 	return n, err
 }
@@ -54,26 +54,26 @@
 // finish ends a complete response and returns the connection to the pool if it can be
 // reused. It cannot if further bytes have arrived, which belong to no request, or if the
 // endpoint responded before it read the whole request.
-func (a *Response) finish() {
-	if a.finished {
+func (res *Response) finish() {
+	if res.finished {
 		return
 	}
-	a.finished = true
-	clean := a.stopCancellation() && !a.resp.Close && a.conn.reader.Buffered() == 0 && a.requestSent()
+	res.finished = true
+	clean := res.stopCancellation() && !res.resp.Close && res.conn.reader.Buffered() == 0 && res.requestSent()
 	if !clean {
-		_ = a.conn.Close()
+		_ = res.conn.Close()
 		return
 	}
-	a.client.pool.put(a.conn, idleTimeout(a.Header))
+	res.client.pool.put(res.conn, idleTimeout(res.Header))
 }
 
 // requestSent reports whether the whole request was written.
-func (a *Response) requestSent() bool {
-	if a.writeResult == nil {
+func (res *Response) requestSent() bool {
+	if res.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-a.writeResult:
+	case err := <-res.writeResult:
 		return err == nil
 	default:
 		return false
@@ -81,15 +81,15 @@
 }
 
 // Close ends the attempt by closing the connection, which tells the endpoint to stop.
-func (a *Response) Close() {
-	if a.finished {
+func (res *Response) Close() {
+	if res.finished {
 		return
 	}
-	a.closeConnection()
+	res.closeConnection()
 }
 
-func (a *Response) closeConnection() {
-	a.finished = true
-	a.stopCancellation()
-	_ = a.conn.Close()
+func (res *Response) closeConnection() {
+	res.finished = true
+	res.stopCancellation()
+	_ = res.conn.Close()
 }
--- a/engine/exchange/send.go
+++ b/engine/exchange/send.go
@@ -50,40 +50,40 @@
 
 // sendOn sends a request on a connection and reads the header of its response.
 func (c *Client) sendOn(ctx context.Context, conn *connection, r *Request) (*Response, error) {
-	a := &Response{client: c, conn: conn, attempt: r.Attempt}
-	a.stopCancellation = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	if err := a.write(r); err != nil {
-		a.closeConnection()
+	res := &Response{client: c, conn: conn, attempt: r.Attempt}
+	res.stopCancellation = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	if err := res.write(r); err != nil {
+		res.closeConnection()
 		return nil, err
 	}
-	if err := a.readHeader(r); err != nil {
-		a.closeConnection()
+	if err := res.readHeader(r); err != nil {
+		res.closeConnection()
 		return nil, &engine.InterruptedError{Attempt: r.Attempt, Cause: err}
 	}
-	if declined := c.rejection(a, r); declined != nil {
-		return nil, declined
+	if rejected := c.rejection(res, r); rejected != nil {
+		return nil, rejected
 	}
-	return a, nil
+	return res, nil
 }
 
 // write writes the request. It writes a long request in the background while the response
 // is read.
-func (a *Response) write(r *Request) error {
+func (res *Response) write(r *Request) error {
 	message := encodeRequest(r)
 	if len(message) <= maxSyncWriteBytes {
-		n, err := a.conn.Write(message)
+		n, err := res.conn.Write(message)
 		switch {
 		case err == nil:
 			return nil
-		case n == 0 && a.conn.reused:
+		case n == 0 && res.conn.reused:
 			return &nothingWrittenError{cause: err}
 		}
 		return &engine.InterruptedError{Attempt: r.Attempt, Cause: err}
 	}
-	a.writeResult = make(chan error, 1)
+	res.writeResult = make(chan error, 1)
 	go func() {
-		_, err := a.conn.Write(message)
-		a.writeResult <- err
+		_, err := res.conn.Write(message)
+		res.writeResult <- err
 	}()
 	return nil
 }
@@ -112,51 +112,51 @@
 // readHeader reads the header of the response to this request. It skips responses that
 // name another request: an endpoint may respond twice to an earlier request of the
 // connection, and the second copy must not be taken for the response to this one.
-func (a *Response) readHeader(r *Request) error {
+func (res *Response) readHeader(r *Request) error {
 	request := &http.Request{Method: r.Method, URL: &url.URL{}}
 	for stale := 0; ; {
-		resp, err := http.ReadResponse(a.conn.reader, request)
+		resp, err := http.ReadResponse(res.conn.reader, request)
 		if err != nil {
 			return err
 		}
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		echoed := resp.Header.Get(a.client.headers.RequestID)
-		if echoed == r.ID || echoed == "" && (!a.conn.reused || a.saysNotExecuted(resp)) {
-			a.resp = resp
-			a.Status, a.Header = resp.StatusCode, resp.Header
+		echoed := resp.Header.Get(res.client.headers.RequestID)
+		if echoed == r.ID || echoed == "" && (!res.conn.reused || res.saysNotExecuted(resp)) {
+			res.resp = resp
+			res.Status, res.Header = resp.StatusCode, resp.Header
 			return nil
 		}
 		stale++
 		if stale > maxStaleResponses {
 			return &engine.MismatchError{Attempt: r.Attempt, Field: "request", Want: r.ID, Got: echoed}
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, a.client.maxResponseBytes)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, res.client.maxResponseBytes)); err != nil {
 			return err
 		}
 	}
 }
 
 // saysNotExecuted reports whether a response states that the request did not run.
-func (a *Response) saysNotExecuted(resp *http.Response) bool {
-	return resp.Header.Get(a.client.headers.NotExecuted) != ""
+func (res *Response) saysNotExecuted(resp *http.Response) bool {
+	return resp.Header.Get(res.client.headers.NotExecuted) != ""
 }
 
 // rejection returns *RejectedError if the endpoint states that it did not run the
 // request, and nil otherwise. The connection stays usable.
-func (c *Client) rejection(a *Response, r *Request) error {
-	misdirected := a.Status == http.StatusMisdirectedRequest
-	if !misdirected && a.Header.Get(c.headers.NotExecuted) == "" {
+func (c *Client) rejection(res *Response, r *Request) error {
+	misdirected := res.Status == http.StatusMisdirectedRequest
+	if !misdirected && res.Header.Get(c.headers.NotExecuted) == "" {
 		return nil
 	}
 	failure := &RejectedError{
-		NotStartedError: engine.NotStartedError{Attempt: r.Attempt, Rejected: true, Reason: http.StatusText(a.Status)},
-		Status:          a.Status,
-		Header:          a.Header,
+		NotStartedError: engine.NotStartedError{Attempt: r.Attempt, Rejected: true, Reason: http.StatusText(res.Status)},
+		Status:          res.Status,
+		Header:          res.Header,
 	}
-	if _, err := a.ReadAll(); err != nil {
-		a.Close()
+	if _, err := res.ReadAll(); err != nil {
+		res.Close()
 	}
 	return failure
 }
