--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -1,86 +1,87 @@
-// Package dialect holds the names that a forwarding deployment's callers and
-// endpoints use on the wire. The product decides by what the fields below mean;
-// which words stand for them is the platform's, and package platform fills them
-// in.
+// Package dialect maps the meaning of HTTP headers to the names that the clients and
+// endpoints of a forwarding deployment use for them, and parses their values. Other
+// packages refer to the fields of Headers; package platform sets the names.
 package dialect
 
 import "net/http"
 
-// Headers names the headers of requests and answers.
+// Headers holds the header names of requests and responses.
 type Headers struct {
-	// RequestID carries the caller's identity of one request. Endpoints echo it.
+	// RequestID carries the client's ID of a request. Endpoints echo it.
 	RequestID string
-	// Deadline carries how many milliseconds the sender will still wait.
+	// Deadline carries the remaining time in milliseconds for which the sender will wait.
 	Deadline string
-	// Organisation tells endpoints on whose behalf a request runs.
+	// Organisation tells endpoints for which organisation a request runs.
 	Organisation string
-	// ExpectEndpoint names the only endpoint process that may run the request,
-	// and ExpectWeights the only weights version.
+	// ExpectEndpoint names the only endpoint process that may run the request, and
+	// ExpectWeights the only weights version.
 	ExpectEndpoint string
 	ExpectWeights  string
-	// Signature is on every answer that an endpoint's work produced.
+	// Signature is present on every response that an endpoint itself produced by running
+	// a request.
 	Signature string
-	// NotExecuted is on answers that say the request did not run and will not.
+	// NotExecuted is present on responses which state that the request did not run and
+	// will not run.
 	NotExecuted string
-	// Load carries "running,waiting,slots" of the endpoint that answers.
+	// Load carries "running,waiting,slots" of the responding endpoint.
 	Load string
-	// RateLimit carries the requests a second that the endpoint takes from all instances
-	// together. An answer without it says that there is no such limit.
+	// RateLimit carries the number of requests per second that the endpoint accepts from
+	// all instances together. A response without it states that there is no such limit.
 	RateLimit string
-	// Weights carries the version that produced an answer.
+	// Weights carries the weights version that produced a response.
 	Weights string
-	// Model, Tokens ("prompt,most output") and Prefix ("part:tokens,...")
-	// describe a generation. The endpoint must get them as the caller sent them.
+	// Model, TokenCounts ("prompt,max output") and PromptParts ("part:tokens,...")
+	// describe a generation. They must reach the endpoint unchanged.
 	Model       string
 	TokenCounts string
 	PromptParts string
-	// CacheSalt keeps cached prompts apart, and CacheSource names the address
-	// from which missing parts are fetched.
+	// CacheSalt separates the cached prompts of different organisations. CacheSource
+	// carries the address from which the endpoint fetches missing parts, and CacheStore
+	// that to which it copies the parts that it computes.
 	CacheSalt   string
 	CacheSource string
 	CacheStore  string
-	// Priority is the urgency at the endpoint, from 0 (first) to 9.
+	// Priority is the priority class at the endpoint, from 0 (highest) to 9.
 	Priority string
-	// LastEventID names the last event that the caller has of a stream.
+	// LastEventID is the ID of the last event of a stream that the client has received.
 	LastEventID string
-	// Reserved are further headers that only the system may send to endpoints.
+	// Reserved lists further headers that only the system may send to endpoints.
 	Reserved []string
-	// AuthScheme precedes a caller's key in Authorization.
+	// AuthScheme precedes a client's API key in the Authorization header.
 	AuthScheme string
 }
 
-// hopByHop headers concern one connection only.
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
-// EndpointRequestHeaders returns the caller's headers without those that concern only the
-// caller's connection, the key, and those that only the system may set. Were
-// one of the latter passed on, a caller could name another organisation or the
-// memory of another request.
+// EndpointRequestHeaders returns the headers of a client's request that are forwarded to
+// an endpoint. It removes hop-by-hop headers, the API key and the headers that only the
+// system may set. With the latter a client could name another organisation, or the cache
+// entries of another request.
 func (h *Headers) EndpointRequestHeaders(from http.Header) http.Header {
 	to := from.Clone()
-	for _, name := range connectionNames(from) {
+	for _, name := range connectionHeaders(from) {
 		to.Del(name)
 	}
 	for _, name := range hopByHop {
 		to.Del(name)
 	}
 	to.Del("Authorization")
-	for _, name := range h.systemOnly() {
+	for _, name := range h.systemHeaders() {
 		to.Del(name)
 	}
 	return to
 }
 
-// CopyResponseHeaders copies an answer's headers without those of the endpoint's
-// connection. Headers that concern the caller's own connection are in place
-// already and stay: without them a draining instance could not tell callers to
-// leave their connections.
+// CopyResponseHeaders copies the headers of an endpoint's response, except hop-by-hop
+// headers, to the response to the client. Hop-by-hop headers that are already set there
+// stay: a draining instance uses them to make clients close their connections.
 func (h *Headers) CopyResponseHeaders(to, from http.Header) {
 	passed := from.Clone()
-	for _, name := range connectionNames(from) {
+	for _, name := range connectionHeaders(from) {
 		passed.Del(name)
 	}
 	for _, name := range hopByHop {
@@ -91,7 +92,8 @@
 	}
 }
 
-func (h *Headers) systemOnly() []string {
+// systemHeaders returns the headers that only the system may send to endpoints.
+func (h *Headers) systemHeaders() []string {
 	own := []string{
 		h.Deadline, h.Organisation, h.ExpectEndpoint, h.ExpectWeights,
 		h.CacheSalt, h.CacheSource, h.CacheStore, h.Priority, h.LastEventID,
--- a/dialect/parse.go
+++ b/dialect/parse.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// connectionNames lists the headers that Connection names as its own.
-func connectionNames(header http.Header) []string {
+// connectionHeaders returns the headers that the Connection header lists as hop-by-hop.
+func connectionHeaders(header http.Header) []string {
 	var names []string
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -20,15 +20,15 @@
 	return names
 }
 
-// PromptPart is a piece of a prompt that the caller names, so that requests with the
-// same pieces in the same order can share cached work.
+// PromptPart is a part of a prompt that the client names. Requests whose prompts begin
+// with the same parts in the same order can share cached work.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// ParsePromptParts reads "id:tokens,id:tokens". Parts after one that cannot be read
-// are left out: what stands before them is still shared.
+// ParsePromptParts parses "id:tokens,id:tokens". It stops at the first part that is
+// malformed, because the parts before it can still be shared.
 func ParsePromptParts(text string) []PromptPart {
 	if text == "" {
 		return nil
@@ -45,7 +45,8 @@
 	return parts
 }
 
-// ParseTokenCounts reads "prompt,most output"; zeros where it cannot be read.
+// ParseTokenCounts parses "prompt,max output". A count that is malformed or negative is
+// zero.
 func ParseTokenCounts(text string) (prompt, output int) {
 	first, second, _ := strings.Cut(text, ",")
 	prompt, _ = strconv.Atoi(strings.TrimSpace(first))
@@ -53,12 +54,12 @@
 	return max(prompt, 0), max(output, 0)
 }
 
-// EndpointLoad is what an endpoint says of itself in an answer.
+// EndpointLoad is the load that an endpoint reports in a response.
 type EndpointLoad struct {
 	Running, Waiting, Slots int
 }
 
-// ParseLoad reads "running,waiting,slots" and says whether it could.
+// ParseLoad parses "running,waiting,slots" and reports whether the text is well-formed.
 func ParseLoad(text string) (EndpointLoad, bool) {
 	fields := strings.Split(text, ",")
 	if len(fields) != 3 {
@@ -75,8 +76,8 @@
 	return EndpointLoad{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// ParseRateLimit reads a rate limit in requests a second; limited is false if the text holds none
-// that can be read.
+// ParseRateLimit parses a rate limit in requests per second. It returns limited as false
+// if the text is not a finite number of at least zero.
 func ParseRateLimit(text string) (perSecond float64, limited bool) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || rate < 0 || math.IsNaN(rate) || math.IsInf(rate, 0) {
