--- a/engine/feed/group.go
+++ b/engine/feed/group.go
@@ -8,44 +8,45 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// target is what a running feed was started for.
+// target identifies the process that a poller reads. A change of it restarts the poller.
 type target struct {
 	at   netip.AddrPort
 	life uint64
 	kind tables.EndpointKind
 }
 
-type running struct {
+// runningPoller is the target of a poller with the function that stops it.
+type runningPoller struct {
 	target
 	stop context.CancelFunc
 }
 
-// PollerGroup holds the feeds of all endpoints of the configuration in force. Its
-// methods are safe for concurrent use.
+// PollerGroup runs the pollers of all endpoints of the current configuration. Its methods
+// are safe for concurrent use.
 type PollerGroup struct {
-	options Options
-	ctx     context.Context
-	end     context.CancelFunc
-	loops   sync.WaitGroup
+	options    Options
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu    sync.Mutex
-	feeds map[tables.EndpointID]running
+	mu      sync.Mutex
+	pollers map[tables.EndpointID]runningPoller
 }
 
-// NewPollerGroup returns a group without feeds.
+// NewPollerGroup returns a group without pollers.
 func NewPollerGroup(options Options) *PollerGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &PollerGroup{
 		options: options.withDefaults(),
 		ctx:     ctx,
-		end:     cancel,
-		feeds:   make(map[tables.EndpointID]running),
+		cancel:  cancel,
+		pollers: make(map[tables.EndpointID]runningPoller),
 	}
 }
 
-// Reconcile starts feeds for new endpoints, stops those of endpoints that are
-// gone and restarts those whose address or life changed. A leaving endpoint is
-// read on, because its attempts still run.
+// Reconcile starts pollers for new endpoints, stops those of removed endpoints, and
+// restarts those whose address, life or kind changed. It keeps polling an endpoint that
+// is leaving, because its attempts still run.
 func (g *PollerGroup) Reconcile(c *tables.Configuration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,14 +60,14 @@
 			wanted[e.ID] = target{at: e.Address, life: e.Life, kind: e.Kind}
 		}
 	}
-	for id, feed := range g.feeds {
-		if wanted[id] != feed.target {
-			feed.stop()
-			delete(g.feeds, id)
+	for id, current := range g.pollers {
+		if wanted[id] != current.target {
+			current.stop()
+			delete(g.pollers, id)
 		}
 	}
 	for id, t := range wanted {
-		if _, ok := g.feeds[id]; !ok {
+		if _, ok := g.pollers[id]; !ok {
 			g.start(id, t)
 		}
 	}
@@ -74,20 +75,20 @@
 
 func (g *PollerGroup) start(id tables.EndpointID, t target) {
 	ctx, cancel := context.WithCancel(g.ctx)
-	g.feeds[id] = running{target: t, stop: cancel}
-	f := &feed{Options: g.options, id: id, at: t.at}
+	g.pollers[id] = runningPoller{target: t, stop: cancel}
+	f := &poller{Options: g.options, id: id, at: t.at}
 	if g.options.DeliverBatch == nil {
-		g.loops.Go(func() { f.readLoads(ctx) })
+		g.goroutines.Go(func() { f.pollLoads(ctx) })
 	}
 	if t.kind == tables.Engine {
-		g.loops.Go(func() { f.readChanges(ctx) })
+		g.goroutines.Go(func() { f.pollCacheChanges(ctx) })
 	}
 }
 
-// Close stops all feeds and waits for them.
+// Close stops all pollers and waits for them.
 func (g *PollerGroup) Close() {
 	g.mu.Lock()
-	g.end()
+	g.cancel()
 	g.mu.Unlock()
-	g.loops.Wait()
+	g.goroutines.Wait()
 }
--- a/engine/feed/loadpoller.go
+++ b/engine/feed/loadpoller.go
@@ -10,104 +10,106 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// pollsPerTry is how many load reports are asked for one by one before an
-// endpoint that does not stream is tried again: it may have been replaced by
-// one that does.
-const pollsPerTry = 240
+// pollsPerStreamRetry is the number of polls after which an endpoint that did not stream
+// is asked for a stream again. Another process that does may have replaced it.
+const pollsPerStreamRetry = 240
 
-// loadReader reads the load reports of one endpoint: by a stream if the
-// endpoint has one, and by single questions otherwise.
-type loadReader struct {
-	*feed
+// loadPoller reads the load reports of one endpoint, by a stream if the endpoint supports
+// it and by polling otherwise.
+type loadPoller struct {
+	*poller
 	streamer engine.LoadStreamer
+	// boot is the boot identity of the last report, failures the number of consecutive
+	// failures.
 	boot     tables.BootID
 	failures int
-	// polls counts the single questions until a stream is tried again.
-	polls int
+	// pollsLeft is the number of polls until a stream is tried again.
+	pollsLeft int
 }
 
-// readLoads delivers load reports until the context ends.
-func (f *feed) readLoads(ctx context.Context) {
-	r := &loadReader{feed: f}
-	r.streamer, _ = f.Reporter.(engine.LoadStreamer)
-	wait := time.Duration(f.Random() * float64(f.LoadInterval))
-	for f.Sleep(ctx, wait) == nil {
-		wait = r.read(ctx)
+// pollLoads delivers load reports until the context ends.
+func (p *poller) pollLoads(ctx context.Context) {
+	r := &loadPoller{poller: p}
+	r.streamer, _ = p.Reporter.(engine.LoadStreamer)
+	wait := time.Duration(p.Random() * float64(p.LoadInterval))
+	for p.Sleep(ctx, wait) == nil {
+		wait = r.next(ctx)
 	}
 }
 
-// read reads until it must wait, and returns for how long.
-func (r *loadReader) read(ctx context.Context) time.Duration {
-	if r.streamer != nil && r.polls == 0 {
-		return r.stream(ctx)
+// next reads one report or a whole stream of them, and returns the wait before the next
+// call.
+func (p *loadPoller) next(ctx context.Context) time.Duration {
+	if p.streamer != nil && p.pollsLeft == 0 {
+		return p.readStream(ctx)
 	}
-	r.polls = max(r.polls-1, 0)
-	return r.take(r.Reporter.Load(ctx, r.at))
+	p.pollsLeft = max(p.pollsLeft-1, 0)
+	return p.handleReport(p.Reporter.Load(ctx, p.at))
 }
 
-// stream reads a stream to its end, which is a failure always. An endpoint that
-// answers with one report, or refuses a stream, is asked one by one. Between two
-// reports it rests for half a period, so that an endpoint that sends faster
-// than it was asked to is held back by its connection.
-func (r *loadReader) stream(ctx context.Context) time.Duration {
-	s, err := r.streamer.LoadStream(ctx, r.at, r.LoadInterval)
+// readStream reads a stream until it breaks; it counts every break as a failure. It falls
+// back to polling if the endpoint responds with a single report or refuses the stream. It
+// sleeps for half an interval between two reports, so that TCP flow control slows down an
+// endpoint that sends faster than requested.
+func (p *loadPoller) readStream(ctx context.Context) time.Duration {
+	s, err := p.streamer.LoadStream(ctx, p.at, p.LoadInterval)
 	var single *engine.LoadStreamUnsupportedError
 	if errors.As(err, &single) {
-		r.polls = pollsPerTry
-		return r.take(single.Load, nil)
+		p.pollsLeft = pollsPerStreamRetry
+		return p.handleReport(single.Load, nil)
 	}
 	var refused *engine.UnexpectedStatusError
 	if errors.As(err, &refused) {
-		r.polls = pollsPerTry
-		return r.take(r.Reporter.Load(ctx, r.at))
+		p.pollsLeft = pollsPerStreamRetry
+		return p.handleReport(p.Reporter.Load(ctx, p.at))
 	}
 	if err != nil {
-		return r.take(engine.Load{}, err)
+		return p.handleReport(engine.Load{}, err)
 	}
 	defer s.Close()
 	for first := true; ; first = false {
 		load, err := s.Next()
-		if first && isSilent(err) {
-			return r.askInstead(ctx, err)
+		if first && isReadTimeout(err) {
+			return p.pollInstead(ctx, err)
 		}
-		wait := r.take(load, err)
-		if err != nil || load.Boot == "" || r.Sleep(ctx, r.LoadInterval/2) != nil {
+		wait := p.handleReport(load, err)
+		if err != nil || load.Boot == "" || p.Sleep(ctx, p.LoadInterval/2) != nil {
 			return wait
 		}
 	}
 }
 
-func isSilent(err error) bool {
+func isReadTimeout(err error) bool {
 	var silent *engine.ReadTimeoutError
 	return errors.As(err, &silent)
 }
 
-// askInstead asks one by one after a stream that opened and gave nothing. A
-// proxy between may hold streams back until they end: the endpoint works, and
-// would look silent for good. One that hangs does not answer the question
-// either, and its stream is opened again.
-func (r *loadReader) askInstead(ctx context.Context, silent error) time.Duration {
-	load, err := r.Reporter.Load(ctx, r.at)
+// pollInstead falls back to polling after a stream that opened and sent nothing. A proxy
+// in between may buffer streams until they end: the endpoint works and would look
+// unresponsive for ever. An endpoint that hangs does not respond to the poll either, and
+// its stream is opened again.
+func (p *loadPoller) pollInstead(ctx context.Context, timeoutErr error) time.Duration {
+	load, err := p.Reporter.Load(ctx, p.at)
 	if err != nil || load.Boot == "" {
-		return r.take(engine.Load{}, silent)
+		return p.handleReport(engine.Load{}, timeoutErr)
 	}
-	r.polls = pollsPerTry
-	return r.take(load, nil)
+	p.pollsLeft = pollsPerStreamRetry
+	return p.handleReport(load, nil)
 }
 
-// take delivers a report or notes a failure, and returns the wait after it.
-func (r *loadReader) take(load engine.Load, err error) time.Duration {
+// handleReport delivers a report or records a failure, and returns the wait after it.
+func (p *loadPoller) handleReport(load engine.Load, err error) time.Duration {
 	if err != nil || load.Boot == "" {
-		r.failures++
-		r.noteSilence(r.failures, err)
-		return r.backOff(r.LoadInterval, r.failures)
+		p.failures++
+		p.recordFailure(p.failures, err)
+		return p.backoff(p.LoadInterval, p.failures)
 	}
-	r.noteAnswer(r.failures)
-	r.failures = 0
-	if r.boot != "" && load.Boot != r.boot {
-		events.EndpointRebooted.Log(r.Log, r.named())
+	p.recordSuccess(p.failures)
+	p.failures = 0
+	if p.boot != "" && load.Boot != p.boot {
+		events.EndpointRebooted.Log(p.Log, p.endpointField())
 	}
-	r.boot = load.Boot
-	r.Deliver(r.report(load))
-	return r.spread(r.LoadInterval)
+	p.boot = load.Boot
+	p.Deliver(p.loadReport(load))
+	return p.withJitter(p.LoadInterval)
 }
--- a/engine/feed/loadpoller_bench_test.go
+++ b/engine/feed/loadpoller_bench_test.go
@@ -122,12 +122,12 @@
 	}})
 	defer client.CloseIdleConnections()
 	next := open(client, server.Listener.Addr().(*net.TCPAddr).AddrPort(), due)
-	f := &feed{id: "e", Options: Options{Deliver: func(router.Input) {}}.withDefaults()}
+	f := &poller{id: "e", Options: Options{Deliver: func(router.Input) {}}.withDefaults()}
 	read := func() {
 		load, err := next()
 		assert.NilError(b, err)
 		assert.Equal(b, len(load.Attempts), attempts)
-		f.Deliver(f.report(load))
+		f.Deliver(f.loadReport(load))
 	}
 	read()
 	b.ReportAllocs()
--- a/engine/feed/loadpoller_test.go
+++ b/engine/feed/loadpoller_test.go
@@ -19,45 +19,45 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// streamScript is a script whose every step opens a stream or fails to. A
+// scriptedStreamer is a script whose every step opens a stream or fails to. A
 // stream gives one report and fails.
-type streamScript struct{ *script }
+type scriptedStreamer struct{ *scriptedReader }
 
-func (s streamScript) LoadStream(ctx context.Context, at netip.AddrPort, _ time.Duration) (engine.LoadStream, error) {
+func (s scriptedStreamer) LoadStream(ctx context.Context, at netip.AddrPort, _ time.Duration) (engine.LoadStream, error) {
 	load, err := s.Load(ctx, at)
 	if err != nil {
 		return nil, err
 	}
-	return &oneReport{load: load}, nil
+	return &singleReportStream{load: load}, nil
 }
 
-type oneReport struct {
-	load engine.Load
-	over bool
+type singleReportStream struct {
+	load  engine.Load
+	ended bool
 }
 
-func (s *oneReport) Next() (engine.Load, error) {
-	if s.over {
+func (s *singleReportStream) Next() (engine.Load, error) {
+	if s.ended {
 		return engine.Load{}, &engine.ReadTimeoutError{}
 	}
-	s.over = true
+	s.ended = true
 	return s.load, nil
 }
 
-func (s *oneReport) Close() {}
+func (s *singleReportStream) Close() {}
 
 // A stream of load reports breaks and the endpoint is away for a while. Each
 // break counts as a failed report, the stream is opened less and less often,
 // and the silence and its end are told once each.
 func TestBrokenStreamIsReopenedLessOften(t *testing.T) {
 	down := errors.New("refused")
-	s := &script{
+	s := &scriptedReader{
 		errs:  []error{nil, down, down, down, nil},
 		loads: []engine.Load{{Boot: "b1", Running: 1}, {Boot: "b2"}},
 	}
-	r := newRig(t, s)
-	r.Reporter = streamScript{s}
-	r.readLoads(r.ctx)
+	r := newFixture(t, s)
+	r.Reporter = scriptedStreamer{s}
+	r.pollLoads(r.ctx)
 	p := r.LoadInterval
 	assert.DeepEqual(t, r.waits[1:7], []time.Duration{p / 2, p, 2 * p, 4 * p, 8 * p, p / 2})
 	assert.DeepEqual(t, r.silent, []bool{true, false})
@@ -71,9 +71,9 @@
 // It must be read as before, one report for each question, and be tried for a
 // stream only now and then.
 func TestOldEndpointIsPolled(t *testing.T) {
-	const questions = pollsPerTry + 10
-	s := &script{}
-	r := newRig(t, s)
+	const questions = pollsPerStreamRetry + 10
+	s := &scriptedReader{}
+	r := newFixture(t, s)
 	var streams []int
 	asked := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -93,42 +93,42 @@
 			s.end()
 		}
 	}
-	r.readLoads(r.ctx)
-	assert.DeepEqual(t, streams, []int{0, pollsPerTry + 1})
+	r.pollLoads(r.ctx)
+	assert.DeepEqual(t, streams, []int{0, pollsPerStreamRetry + 1})
 	assert.Equal(t, asked, questions)
 	for i, in := range r.inputs {
 		assert.Equal(t, in.(router.LoadReport).Running, i+1)
 	}
 }
 
-// heldBack opens streams that give nothing, as through a proxy that waits for
+// bufferingProxy opens streams that give nothing, as through a proxy that waits for
 // their end. Single questions are answered.
-type heldBack struct {
-	*script
+type bufferingProxy struct {
+	*scriptedReader
 	opened *int
 }
 
-func (h heldBack) LoadStream(context.Context, netip.AddrPort, time.Duration) (engine.LoadStream, error) {
+func (h bufferingProxy) LoadStream(context.Context, netip.AddrPort, time.Duration) (engine.LoadStream, error) {
 	*h.opened++
-	return nothing{}, nil
+	return silentStream{}, nil
 }
 
-type nothing struct{}
+type silentStream struct{}
 
-func (nothing) Next() (engine.Load, error) { return engine.Load{}, &engine.ReadTimeoutError{} }
-func (nothing) Close()                     {}
+func (silentStream) Next() (engine.Load, error) { return engine.Load{}, &engine.ReadTimeoutError{} }
+func (silentStream) Close()                     {}
 
 // A proxy between an instance and an endpoint holds streams back. The endpoint
 // works; it must not be taken for silent, and must be asked one by one.
 func TestEndpointBehindAProxyThatHoldsStreamsBackIsPolled(t *testing.T) {
-	s := &script{
+	s := &scriptedReader{
 		errs:  []error{nil, nil, nil},
 		loads: []engine.Load{{Boot: "b1", Running: 1}, {Boot: "b1", Running: 2}, {Boot: "b1", Running: 3}},
 	}
-	r := newRig(t, s)
+	r := newFixture(t, s)
 	opened := 0
-	r.Reporter = heldBack{script: s, opened: &opened}
-	r.readLoads(r.ctx)
+	r.Reporter = bufferingProxy{scriptedReader: s, opened: &opened}
+	r.pollLoads(r.ctx)
 	assert.Equal(t, opened, 1)
 	assert.Equal(t, len(r.silent), 0)
 	assert.Assert(t, len(r.inputs) >= 3)
@@ -155,7 +155,7 @@
 	loads := make(chan router.LoadReport)
 	silent := make(chan bool, 1024)
 	ctx, cancel := context.WithCancel(t.Context())
-	f := &feed{id: "e1", at: e.Address(), Options: Options{
+	f := &poller{id: "e1", at: e.Address(), Options: Options{
 		Reporter: streamsOnly{engine.NewHTTPClient(engine.Options{ResponseTimeout: 50 * time.Millisecond, ReadIdleTimeout: 150 * time.Millisecond})},
 		Deliver: func(in router.Input) {
 			select {
@@ -170,7 +170,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.readLoads(ctx)
+		f.pollLoads(ctx)
 	}()
 	defer func() {
 		cancel()
--- a/engine/feed/poller.go
+++ b/engine/feed/poller.go
@@ -1,6 +1,7 @@
-// Package feed reads what endpoints say of themselves, their load reports and
-// cache events, and hands it on as inputs of the router. It is the shell around
-// engine.Reporter: it has goroutines and waits, and decides nothing.
+// Package feed polls endpoints for their load reports, by a stream where the endpoint has
+// one, and long-polls engines for their cache events. It passes both to the router as
+// inputs. It contains the goroutines and timers around engine.ReportReader and makes no
+// placement decisions.
 package feed
 
 import (
@@ -28,37 +29,39 @@
 	DefaultFailureThreshold = 3
 )
 
-// jitter is the part of each wait that is random. Without it instances that
-// started together would ask every endpoint at the same moment for good.
+// jitter is the random part of each wait. Without it instances that started together
+// would poll every endpoint at the same moment for ever.
 const jitter = 0.3
 
-// Options are shared by the feeds of all endpoints.
+// Options are shared by the pollers of all endpoints.
 type Options struct {
+	// Reporter reads the reports of endpoints.
 	Reporter engine.ReportReader
-	// Deliver takes the inputs. It is called by many goroutines.
+	// Deliver receives the inputs. Many goroutines call it.
 	Deliver func(router.Input)
-	// DeliverBatch takes the changes of caches instead of Deliver, an answer at a time,
-	// where it is set; load reports are not read then.
+	// DeliverBatch, if set, receives the cache changes instead of Deliver, one response
+	// at a time. Load reports are not read then.
 	DeliverBatch func(CacheBatch)
-	// OnUnresponsive is told when an endpoint stops answering and when it answers
-	// again; nil means nobody.
-	OnUnresponsive func(id tables.EndpointID, silent bool)
-	// ShouldPoll chooses the endpoints that this instance reads; nil means all.
-	// At many instances and endpoints each instance reads its share only.
+	// OnUnresponsive is called with true when an endpoint stops responding and with false
+	// when it responds again; nil means no callback.
+	OnUnresponsive func(id tables.EndpointID, unresponsive bool)
+	// ShouldPoll selects the endpoints that this instance polls; nil means all. With many
+	// instances and endpoints each instance polls its share only.
 	ShouldPoll func(id tables.EndpointID) bool
-	// LoadInterval is the time between two load reports, EventWait how long an
-	// endpoint may hold back the question for cache events, EventPause the
-	// least time between two such questions, so that a busy cache is read in
-	// batches.
+	// LoadInterval is the time between two load reports. LongPollTimeout is how long an
+	// endpoint may delay the response to a request for cache events while there are none.
+	// MinEventInterval is the least time between two such requests, so that the events of
+	// a busy cache are read in batches.
 	LoadInterval     time.Duration
 	LongPollTimeout  time.Duration
 	MinEventInterval time.Duration
-	// MaxBackoff bounds the waits between questions that fail.
+	// MaxBackoff limits the exponential backoff after failed requests.
 	MaxBackoff time.Duration
-	// FailureThreshold is the number of load reports in a row that must fail.
+	// FailureThreshold is the number of consecutive failed load reports after which an
+	// endpoint counts as unresponsive.
 	FailureThreshold int
-	// Sleep waits, or returns early with the context's error; nil means real
-	// time. Random gives numbers in [0, 1); nil means math/rand.
+	// Sleep waits, or returns early with the context's error; nil means real time. Random
+	// returns numbers in [0, 1); nil means math/rand.
 	Sleep  func(ctx context.Context, d time.Duration) error
 	Random func() float64
 	Log    *zap.Logger
@@ -85,56 +88,61 @@
 	return o
 }
 
-// CacheBatch is the changes of an endpoint's cache that came with one answer.
+// CacheBatch holds the cache changes of an endpoint from one response.
 type CacheBatch struct {
 	Endpoint tables.EndpointID
 	Boot     tables.BootID
-	// FirstOfBoot is set for the first answer of a boot.
+	// FirstOfBoot is set for the first response after a change of the boot identity.
 	FirstOfBoot bool
 	Changes     []engine.CacheChange
 }
 
-// feed reads one endpoint.
-type feed struct {
+// poller polls one endpoint.
+type poller struct {
 	Options
 	id tables.EndpointID
 	at netip.AddrPort
 }
 
-// backOff is the wait after so many failures in a row. It doubles, so that an
-// endpoint that is down or overloaded is not asked at full rate by every
-// instance.
-func (f *feed) backOff(base time.Duration, failures int) time.Duration {
+// backoff returns the wait after a number of consecutive failures. It doubles with each
+// of them up to MaxBackoff, so that the instances do not poll an endpoint that is down or
+// overloaded at the full rate.
+func (p *poller) backoff(base time.Duration, failures int) time.Duration {
 	wait := base
-	for i := 1; i < failures && wait < f.MaxBackoff; i++ {
+	for i := 1; i < failures && wait < p.MaxBackoff; i++ {
 		wait *= 2
 	}
-	return f.spread(min(wait, f.MaxBackoff))
+	return p.withJitter(min(wait, p.MaxBackoff))
 }
 
-func (f *feed) spread(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 - jitter/2 + jitter*f.Random()))
+// withJitter randomizes a wait by up to half of jitter in both directions.
+func (p *poller) withJitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - jitter/2 + jitter*p.Random()))
 }
 
-func (f *feed) named() zap.Field { return zap.String("endpoint", string(f.id)) }
+func (p *poller) endpointField() zap.Field { return zap.String("endpoint", string(p.id)) }
 
-func (f *feed) noteSilence(failures int, err error) {
-	if failures == f.FailureThreshold {
-		events.EndpointSilent.Log(f.Log, f.named(), zap.Error(err))
-		f.OnUnresponsive(f.id, true)
+// recordFailure reports the endpoint as unresponsive when its consecutive failures reach
+// FailureThreshold.
+func (p *poller) recordFailure(failures int, err error) {
+	if failures == p.FailureThreshold {
+		events.EndpointSilent.Log(p.Log, p.endpointField(), zap.Error(err))
+		p.OnUnresponsive(p.id, true)
 	}
 }
 
-func (f *feed) noteAnswer(failures int) {
-	if failures >= f.FailureThreshold {
-		events.EndpointAnswers.Log(f.Log, f.named())
-		f.OnUnresponsive(f.id, false)
+// recordSuccess reports that the endpoint responds again, if it was reported as
+// unresponsive. It takes the number of failures before the success.
+func (p *poller) recordSuccess(failures int) {
+	if failures >= p.FailureThreshold {
+		events.EndpointAnswers.Log(p.Log, p.endpointField())
+		p.OnUnresponsive(p.id, false)
 	}
 }
 
-func (f *feed) report(load engine.Load) router.LoadReport {
+func (p *poller) loadReport(load engine.Load) router.LoadReport {
 	return router.LoadReport{
-		Endpoint:            f.id,
+		Endpoint:            p.id,
 		Boot:                load.Boot,
 		Weights:             load.Weights,
 		Running:             max(load.Running, 0),
@@ -145,17 +153,17 @@
 	}
 }
 
-// readChanges delivers cache events until the context ends.
-func (f *feed) readChanges(ctx context.Context) {
+// pollCacheChanges delivers cache changes until the context ends.
+func (p *poller) pollCacheChanges(ctx context.Context) {
 	var boot tables.BootID
 	var after uint64
 	failures := 0
-	wait := f.spread(f.MinEventInterval)
-	for f.Sleep(ctx, wait) == nil {
-		changes, err := f.Reporter.CacheChanges(ctx, f.at, boot, after, f.LongPollTimeout)
+	wait := p.withJitter(p.MinEventInterval)
+	for p.Sleep(ctx, wait) == nil {
+		changes, err := p.Reporter.CacheChanges(ctx, p.at, boot, after, p.LongPollTimeout)
 		if err != nil || changes.Boot == "" {
 			failures++
-			wait = f.backOff(f.LoadInterval, failures)
+			wait = p.backoff(p.LoadInterval, failures)
 			continue
 		}
 		failures = 0
@@ -163,18 +171,18 @@
 		if first {
 			boot, after = changes.Boot, 0
 		}
-		if f.DeliverBatch != nil {
-			after = f.deliverBatch(CacheBatch{Endpoint: f.id, Boot: boot, FirstOfBoot: first}, after, changes.Changes)
+		if p.DeliverBatch != nil {
+			after = p.deliverBatch(CacheBatch{Endpoint: p.id, Boot: boot, FirstOfBoot: first}, after, changes.Changes)
 		} else {
-			after = f.deliverChanges(boot, after, changes.Changes)
+			after = p.deliverChanges(boot, after, changes.Changes)
 		}
-		wait = f.spread(f.MinEventInterval)
+		wait = p.withJitter(p.MinEventInterval)
 	}
 }
 
-// deliverBatch hands on what is new of an answer, and returns the last sequence
+// deliverBatch delivers the new changes of a response and returns the last sequence
 // number.
-func (f *feed) deliverBatch(b CacheBatch, after uint64, changes []engine.CacheChange) uint64 {
+func (p *poller) deliverBatch(b CacheBatch, after uint64, changes []engine.CacheChange) uint64 {
 	for _, change := range changes {
 		if change.Sequence > after || b.FirstOfBoot {
 			after = max(after, change.Sequence)
@@ -182,24 +190,25 @@
 		}
 	}
 	if b.FirstOfBoot || len(b.Changes) > 0 {
-		f.DeliverBatch(b)
+		p.DeliverBatch(b)
 	}
 	return after
 }
 
-// deliverChanges hands on what is new, in order, and returns the last sequence
-// number. A gap is left to the router, which sees the jump itself.
-func (f *feed) deliverChanges(boot tables.BootID, after uint64, changes []engine.CacheChange) uint64 {
+// deliverChanges delivers the new changes of a response in order and returns the last
+// sequence number. It only logs a gap: the router detects it by the sequence numbers and
+// handles it.
+func (p *poller) deliverChanges(boot tables.BootID, after uint64, changes []engine.CacheChange) uint64 {
 	for _, change := range changes {
 		if change.Sequence <= after {
 			continue
 		}
 		if change.Sequence > after+1 {
-			events.CacheEventGap.Log(f.Log, f.named(), zap.Uint64("after", after), zap.Uint64("sequence", change.Sequence))
+			events.CacheEventGap.Log(p.Log, p.endpointField(), zap.Uint64("after", after), zap.Uint64("sequence", change.Sequence))
 		}
 		after = change.Sequence
-		f.Deliver(router.CacheEvent{
-			Endpoint: f.id,
+		p.Deliver(router.CacheEvent{
+			Endpoint: p.id,
 			Boot:     boot,
 			Sequence: change.Sequence,
 			Stored:   change.Stored,
--- a/engine/feed/poller_bench_test.go
+++ b/engine/feed/poller_bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// endpointSaying serves one answer to every question.
-func endpointSaying(b *testing.B, answer any) (f *feed, size int) {
+// startFixedEndpoint serves one answer to every question.
+func startFixedEndpoint(b *testing.B, answer any) (f *poller, size int) {
 	content, err := json.Marshal(answer)
 	assert.NilError(b, err)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -24,7 +24,7 @@
 		_, _ = w.Write(content)
 	}))
 	b.Cleanup(s.Close)
-	return &feed{id: "e", at: s.Listener.Addr().(*net.TCPAddr).AddrPort(), Options: Options{
+	return &poller{id: "e", at: s.Listener.Addr().(*net.TCPAddr).AddrPort(), Options: Options{
 		Reporter: engine.NewHTTPClient(engine.Options{}), Deliver: func(router.Input) {},
 	}.withDefaults()}, len(content)
 }
@@ -40,7 +40,7 @@
 			Sequence: uint64(i + 1), Stored: []tables.BlockHash{h, h + 1}, Evicted: []tables.BlockHash{h + 2},
 		})
 	}
-	f, size := endpointSaying(b, changes)
+	f, size := startFixedEndpoint(b, changes)
 	b.ReportAllocs()
 	defer func() { b.ReportMetric(float64(size)/batch, "wire_B/event") }()
 	for read := 0; read < b.N; read += batch {
--- a/engine/feed/poller_test.go
+++ b/engine/feed/poller_test.go
@@ -16,8 +16,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// script answers questions one after another and ends the feed after the last.
-type script struct {
+// scriptedReader answers questions one after another and ends the feed after the last.
+type scriptedReader struct {
 	loads   []engine.Load
 	changes []engine.CacheChanges
 	errs    []error
@@ -25,7 +25,7 @@
 	end     context.CancelFunc
 }
 
-func (s *script) step() error {
+func (s *scriptedReader) step() error {
 	if len(s.errs) == 0 {
 		s.end()
 		return context.Canceled
@@ -35,7 +35,7 @@
 	return err
 }
 
-func (s *script) Load(context.Context, netip.AddrPort) (engine.Load, error) {
+func (s *scriptedReader) Load(context.Context, netip.AddrPort) (engine.Load, error) {
 	if err := s.step(); err != nil {
 		return engine.Load{}, err
 	}
@@ -44,7 +44,7 @@
 	return load, nil
 }
 
-func (s *script) CacheChanges(_ context.Context, _ netip.AddrPort, _ tables.BootID, after uint64, _ time.Duration) (engine.CacheChanges, error) {
+func (s *scriptedReader) CacheChanges(_ context.Context, _ netip.AddrPort, _ tables.BootID, after uint64, _ time.Duration) (engine.CacheChanges, error) {
 	s.asked = append(s.asked, after)
 	if err := s.step(); err != nil {
 		return engine.CacheChanges{}, err
@@ -54,20 +54,20 @@
 	return changes, nil
 }
 
-// rig is a feed that does not wait and notes what it would have waited.
-type rig struct {
-	feed
+// fixture is a feed that does not wait and notes what it would have waited.
+type fixture struct {
+	poller
 	ctx    context.Context
 	inputs []router.Input
 	silent []bool
 	waits  []time.Duration
 }
 
-func newRig(t *testing.T, s *script) *rig {
+func newFixture(t *testing.T, s *scriptedReader) *fixture {
 	ctx, cancel := context.WithCancel(t.Context())
 	s.end = cancel
-	r := &rig{ctx: ctx}
-	r.feed = feed{id: "e", Options: Options{
+	r := &fixture{ctx: ctx}
+	r.poller = poller{id: "e", Options: Options{
 		Reporter:       s,
 		Deliver:        func(in router.Input) { r.inputs = append(r.inputs, in) },
 		OnUnresponsive: func(_ tables.EndpointID, silent bool) { r.silent = append(r.silent, silent) },
@@ -84,12 +84,12 @@
 // less often, say so once, and go on at the normal rate afterwards.
 func TestSilentEndpointIsAskedLessOften(t *testing.T) {
 	down := errors.New("refused")
-	s := &script{
+	s := &scriptedReader{
 		errs:  []error{nil, down, down, down, down, nil},
 		loads: []engine.Load{{Boot: "b1", Running: 1}, {Boot: "b2"}},
 	}
-	r := newRig(t, s)
-	r.readLoads(r.ctx)
+	r := newFixture(t, s)
+	r.pollLoads(r.ctx)
 	assert.DeepEqual(t, r.silent, []bool{true, false})
 	p := r.LoadInterval
 	assert.DeepEqual(t, r.waits[1:7], []time.Duration{p, p, 2 * p, 4 * p, 8 * p, p})
@@ -103,7 +103,7 @@
 // and counts from the beginning. Every event must be handed on once, under the
 // boot that it belongs to.
 func TestChangesAreDeliveredOncePerBoot(t *testing.T) {
-	s := &script{
+	s := &scriptedReader{
 		errs: []error{nil, nil, nil},
 		changes: []engine.CacheChanges{
 			{Boot: "b1", Changes: []engine.CacheChange{{Sequence: 1}, {Sequence: 2}}},
@@ -111,8 +111,8 @@
 			{Boot: "b2", Changes: []engine.CacheChange{{Sequence: 1}}},
 		},
 	}
-	r := newRig(t, s)
-	r.readChanges(r.ctx)
+	r := newFixture(t, s)
+	r.pollCacheChanges(r.ctx)
 	assert.DeepEqual(t, s.asked, []uint64{0, 2, 5, 1})
 	assert.DeepEqual(t, r.inputs, []router.Input{
 		router.CacheEvent{Endpoint: "e", Boot: "b1", Sequence: 1},
@@ -168,7 +168,7 @@
 // A reader of caches alone gets whole answers, the first of each boot marked: what
 // an endpoint tells first is all that it keeps. Its numbers may be the same again.
 func TestBatchesAreHandedOnWhole(t *testing.T) {
-	s := &script{
+	s := &scriptedReader{
 		errs: []error{nil, nil, nil, nil},
 		changes: []engine.CacheChanges{
 			{Boot: "b1"},
@@ -177,10 +177,10 @@
 			{Boot: "b2", Changes: []engine.CacheChange{{Sequence: 0}}},
 		},
 	}
-	r := newRig(t, s)
+	r := newFixture(t, s)
 	var batches []CacheBatch
 	r.DeliverBatch = func(b CacheBatch) { batches = append(batches, b) }
-	r.readChanges(r.ctx)
+	r.pollCacheChanges(r.ctx)
 	assert.DeepEqual(t, s.asked, []uint64{0, 0, 2, 2, 0})
 	assert.DeepEqual(t, batches, []CacheBatch{
 		{Endpoint: "e", Boot: "b1", FirstOfBoot: true},
