--- a/engine/call.go
+++ b/engine/call.go
@@ -38,6 +38,9 @@
 	return c.readCallResponse(req, resp)
 }
 
+// readCallResponse reads the response to a call. A response without the attempt or boot
+// header does not come from the service itself; it proves nothing unless it is a
+// Rejection.
 func (c *HTTPClient) readCallResponse(req CallRequest, resp *http.Response) (CallResponse, error) {
 	boot := resp.Header.Get(HeaderBoot)
 	switch echoed := resp.Header.Get(HeaderAttempt); {
@@ -85,6 +88,8 @@
 	return false
 }
 
+// readLimited reads r to its end, or fails with *TooLargeError if it holds more than
+// limit bytes.
 func readLimited(r io.Reader, limit int64, what string) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
--- a/engine/client.go
+++ b/engine/client.go
@@ -109,6 +109,8 @@
 	}
 }
 
+// newTransport returns an HTTP transport, with a connection pool unless disableKeepAlives
+// is set.
 func newTransport(o Options, disableKeepAlives bool) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -25,9 +25,7 @@
 type ReadTimeoutError struct{ After time.Duration }
 
 // Error returns the timeout.
-func (e *ReadTimeoutError) Error() string {
-	return fmt.Sprintf("no data from the endpoint for %v", e.After)
-}
+func (e *ReadTimeoutError) Error() string { return fmt.Sprintf("no data received for %v", e.After) }
 
 // TooLargeError means that an endpoint sent more than Limit bytes for the part that What
 // names.
--- a/engine/faulty_endpoint_test.go
+++ b/engine/faulty_endpoint_test.go
@@ -136,7 +136,7 @@
 		"rejected":          {503, "application/json", `{"attempt":"a1","not_started":true,"reason":"full"}`, true},
 		"rejected with 429": {429, "application/json", `{"attempt":"a1","not_started":true}`, true},
 		"another attempt":   {503, "application/json", `{"attempt":"a0","not_started":true}`, false},
-		"no not_started":    {503, "application/json", `{"attempt":"a1"}`, false},
+		"not_started unset": {503, "application/json", `{"attempt":"a1"}`, false},
 		"proxy error page":  {503, "text/html", `{"attempt":"a1","not_started":true}`, false},
 		"redirect":          {307, "text/plain", "", false},
 		"not a stream":      {200, "application/json", `{}`, false},
--- a/engine/feed/loadpoller.go
+++ b/engine/feed/loadpoller.go
@@ -79,6 +79,7 @@
 	}
 }
 
+// isReadTimeout reports whether the endpoint sent nothing until the read timeout.
 func isReadTimeout(err error) bool {
 	var timeout *engine.ReadTimeoutError
 	return errors.As(err, &timeout)
--- a/engine/feed/poller.go
+++ b/engine/feed/poller.go
@@ -140,6 +140,7 @@
 	}
 }
 
+// loadReport converts a report to an input of the router. Negative numbers count as zero.
 func (p *poller) loadReport(load engine.Load) router.LoadReport {
 	return router.LoadReport{
 		Endpoint:            p.id,
--- a/engine/loaddelta.go
+++ b/engine/loaddelta.go
@@ -48,6 +48,7 @@
 	return d
 }
 
+// ifChanged returns the new value, or nil if it equals the old one.
 func ifChanged(from, to int) *int {
 	if from == to {
 		return nil
@@ -95,6 +96,7 @@
 	return load
 }
 
+// setIfPresent sets a field to a value unless that is nil.
 func setIfPresent(field, value *int) {
 	if value != nil {
 		*field = *value
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -39,7 +39,8 @@
 	token    tokenDecoder
 	accepted AcceptedEvent
 	position streamPosition
-	tokens   int
+	// tokens is the number of tokens that were received in this stream.
+	tokens int
 	// failure is the error that every further call of Next returns.
 	failure error
 	// endedByEndpoint is set once the endpoint itself has ended the attempt, so that
@@ -54,6 +55,7 @@
 	s.events = newEventReader(body, s.client.options.MaxEventBytes, s.resetReadTimer)
 }
 
+// onReadTimeout cancels the stream; the read timer calls it.
 func (s *httpStream) onReadTimeout() { s.cancel(&ReadTimeoutError{After: s.readTimeout()}) }
 
 func (s *httpStream) readTimeout() time.Duration { return time.Duration(s.readTimeoutNanos.Load()) }
@@ -176,6 +178,7 @@
 	_, _ = s.body.Read(rest[:])
 }
 
+// handleErrorEvent ends the stream with the failure that the endpoint reported.
 func (s *httpStream) handleErrorEvent(data []byte) error {
 	var failure ErrorEvent
 	if err := json.Unmarshal(data, &failure); err != nil {
--- a/engine/token.go
+++ b/engine/token.go
@@ -6,6 +6,7 @@
 // next call of decode.
 type tokenDecoder struct {
 	decoder jx.Decoder
+	// field is the method value decodeField, bound once to avoid an allocation per event.
 	field   func(d *jx.Decoder, key []byte) error
 	attempt []byte
 	index   int
