--- a/engine/dial_linux_test.go
+++ b/engine/dial_linux_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A machine loses its power in the middle of a call. Nothing is reset, so only
-// the kernel's own bounds on silence end the connection. Packets cannot be
-// dropped on loopback here; the test holds that the bounds are set.
-func TestConnectionsNoticeDeadMachines(t *testing.T) {
+// A machine loses its power in the middle of a call. No reset arrives, so only the
+// kernel's timeouts end the connection. Packets cannot be dropped on loopback here, so
+// the test only checks that the socket options are set.
+func TestConnectionsDetectDeadPeers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
@@ -23,8 +23,8 @@
 	assert.NilError(t, err)
 	for option, want := range map[int]int{
 		unix.TCP_USER_TIMEOUT: int(deadPeerTimeout.Milliseconds()),
-		unix.TCP_KEEPIDLE:     int(probePeriod.Seconds()),
-		unix.TCP_KEEPCNT:      probeCount,
+		unix.TCP_KEEPIDLE:     int(keepAliveInterval.Seconds()),
+		unix.TCP_KEEPCNT:      keepAliveProbes,
 	} {
 		var got int
 		assert.NilError(t, raw.Control(func(fd uintptr) {
--- a/engine/exchange/response.go
+++ b/engine/exchange/response.go
@@ -8,8 +8,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Response is an endpoint's answer whose header has arrived. One goroutine uses
-// it and ends it by reading to the end or by Close.
+// Response is an endpoint's response whose header has arrived. One goroutine uses it and
+// ends it by reading the whole body or by Close.
 type Response struct {
 	Status int
 	Header http.Header
@@ -18,79 +18,78 @@
 	conn    *connection
 	attempt tables.AttemptID
 	resp    *http.Response
-	// release takes the connection from the context's hands; false means that
-	// the context has ended.
-	release func() bool
-	// written gives the end of a long body's sending, nil for a short one.
-	written chan error
-	ended   bool
+	// stopCancellation detaches the connection from the context; false means that the
+	// context has already ended.
+	stopCancellation func() bool
+	// writeResult receives the result of writing a long request; it is nil for a short
+	// one.
+	writeResult chan error
+	finished    bool
 }
 
-// ReadAll gives the whole body, or *engine.Interrupted if it broke off or is
-// longer than the client's limit.
-func (a *Response) ReadAll() ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.resp.Body, a.client.limit+1))
-	if err == nil && int64(len(body)) > a.client.limit {
-		err = &engine.TooLargeError{What: "answer", Limit: a.client.limit}
+// ReadAll returns the whole body, or *engine.InterruptedError if the body is truncated or
+// exceeds the client's limit.
+func (res *Response) ReadAll() ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(res.resp.Body, res.client.maxResponseBytes+1))
+	if err == nil && int64(len(body)) > res.client.maxResponseBytes {
+		err = &engine.TooLargeError{What: "response", Limit: res.client.maxResponseBytes}
 	}
 	if err != nil {
-		a.Close()
-		return nil, &engine.InterruptedError{Attempt: a.attempt, Cause: err}
+		res.Close()
+		return nil, &engine.InterruptedError{Attempt: res.attempt, Cause: err}
 	}
-	a.finish()
+	res.finish()
 	return body, nil
 }
 
-// Read reads on in the body; it is for streams. io.EOF means that the answer is
-// whole.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.resp.Body.Read(p)
+// Read reads from the body of a stream. io.EOF means that the response is complete.
+func (res *Response) Read(p []byte) (int, error) {
+	n, err := res.resp.Body.Read(p)
 	if err == io.EOF {
-		a.finish()
+		res.finish()
 	}
 	return n, err
 }
 
-// finish ends a whole answer and keeps the connection if it is clean. Bytes
-// after the answer belong to no request, and a body that was answered before it
-// was read leaves the connection in the middle of it.
-func (a *Response) finish() {
-	if a.ended {
+// finish ends a complete response and returns the connection to the pool if it can be
+// reused. It cannot if further bytes have arrived, which belong to no request, or if the
+// endpoint responded before it read the whole request.
+func (res *Response) finish() {
+	if res.finished {
 		return
 	}
-	a.ended = true
-	clean := a.release() && !a.resp.Close && a.conn.reader.Buffered() == 0 && a.sent()
+	res.finished = true
+	clean := res.stopCancellation() && !res.resp.Close && res.conn.reader.Buffered() == 0 && res.requestSent()
 	if !clean {
-		_ = a.conn.Close()
+		_ = res.conn.Close()
 		return
 	}
-	a.client.pool.put(a.conn, keepFor(a.Header))
+	res.client.pool.put(res.conn, idleTimeout(res.Header))
 }
 
-// sent says whether the whole request has left.
-func (a *Response) sent() bool {
-	if a.written == nil {
+// requestSent reports whether the whole request was written.
+func (res *Response) requestSent() bool {
+	if res.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-a.written:
+	case err := <-res.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// Close ends the attempt: the connection is closed, which tells the endpoint to
-// stop.
-func (a *Response) Close() {
-	if a.ended {
+// Close ends the attempt by closing the connection, which tells the endpoint to stop.
+func (res *Response) Close() {
+	if res.finished {
 		return
 	}
-	a.drop()
+	res.closeConnection()
 }
 
-func (a *Response) drop() {
-	a.ended = true
-	a.release()
-	_ = a.conn.Close()
+func (res *Response) closeConnection() {
+	res.finished = true
+	res.stopCancellation()
+	_ = res.conn.Close()
 }
--- a/engine/feed/poller_test.go
+++ b/engine/feed/poller_test.go
@@ -16,16 +16,17 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// script answers questions one after another and ends the feed after the last.
-type script struct {
-	loads   []engine.Load
-	changes []engine.CacheChanges
-	errs    []error
-	asked   []uint64
-	end     context.CancelFunc
+// scriptedReader returns scripted responses one after another and cancels the poller's
+// context after the last.
+type scriptedReader struct {
+	loads          []engine.Load
+	changes        []engine.CacheChanges
+	errs           []error
+	requestedAfter []uint64
+	end            context.CancelFunc
 }
 
-func (s *script) step() error {
+func (s *scriptedReader) step() error {
 	if len(s.errs) == 0 {
 		s.end()
 		return context.Canceled
@@ -35,7 +36,7 @@
 	return err
 }
 
-func (s *script) Load(context.Context, netip.AddrPort) (engine.Load, error) {
+func (s *scriptedReader) Load(context.Context, netip.AddrPort) (engine.Load, error) {
 	if err := s.step(); err != nil {
 		return engine.Load{}, err
 	}
@@ -44,8 +45,8 @@
 	return load, nil
 }
 
-func (s *script) CacheChanges(_ context.Context, _ netip.AddrPort, _ tables.BootID, after uint64, _ time.Duration) (engine.CacheChanges, error) {
-	s.asked = append(s.asked, after)
+func (s *scriptedReader) CacheChanges(_ context.Context, _ netip.AddrPort, _ tables.BootID, after uint64, _ time.Duration) (engine.CacheChanges, error) {
+	s.requestedAfter = append(s.requestedAfter, after)
 	if err := s.step(); err != nil {
 		return engine.CacheChanges{}, err
 	}
@@ -54,23 +55,23 @@
 	return changes, nil
 }
 
-// rig is a feed that does not wait and notes what it would have waited.
-type rig struct {
-	feed
-	ctx    context.Context
-	inputs []router.Input
-	silent []bool
-	waits  []time.Duration
+// fixture is a poller that does not sleep but records the waits.
+type fixture struct {
+	poller
+	ctx          context.Context
+	inputs       []router.Input
+	unresponsive []bool
+	waits        []time.Duration
 }
 
-func newRig(t *testing.T, s *script) *rig {
+func newFixture(t *testing.T, s *scriptedReader) *fixture {
 	ctx, cancel := context.WithCancel(t.Context())
 	s.end = cancel
-	r := &rig{ctx: ctx}
-	r.feed = feed{id: "e", Options: Options{
+	r := &fixture{ctx: ctx}
+	r.poller = poller{id: "e", Options: Options{
 		Reporter:       s,
 		Deliver:        func(in router.Input) { r.inputs = append(r.inputs, in) },
-		OnUnresponsive: func(_ tables.EndpointID, silent bool) { r.silent = append(r.silent, silent) },
+		OnUnresponsive: func(_ tables.EndpointID, silent bool) { r.unresponsive = append(r.unresponsive, silent) },
 		Random:         func() float64 { return 0.5 },
 		Sleep: func(ctx context.Context, d time.Duration) error {
 			r.waits = append(r.waits, d)
@@ -80,17 +81,17 @@
 	return r
 }
 
-// An endpoint stops answering and comes back. Instances must ask it less and
-// less often, say so once, and go on at the normal rate afterwards.
-func TestSilentEndpointIsAskedLessOften(t *testing.T) {
+// An endpoint stops responding and comes back. The instance must back off exponentially,
+// report each transition once, and return to the normal rate afterwards.
+func TestBacksOffFromUnresponsiveEndpoint(t *testing.T) {
 	down := errors.New("refused")
-	s := &script{
+	s := &scriptedReader{
 		errs:  []error{nil, down, down, down, down, nil},
 		loads: []engine.Load{{Boot: "b1", Running: 1}, {Boot: "b2"}},
 	}
-	r := newRig(t, s)
-	r.readLoads(r.ctx)
-	assert.DeepEqual(t, r.silent, []bool{true, false})
+	r := newFixture(t, s)
+	r.pollLoads(r.ctx)
+	assert.DeepEqual(t, r.unresponsive, []bool{true, false})
 	p := r.LoadInterval
 	assert.DeepEqual(t, r.waits[1:7], []time.Duration{p, p, 2 * p, 4 * p, 8 * p, p})
 	assert.DeepEqual(t, r.inputs, []router.Input{
@@ -99,11 +100,11 @@
 	})
 }
 
-// Cache events come twice and with a gap, and then the endpoint has restarted
-// and counts from the beginning. Every event must be handed on once, under the
-// boot that it belongs to.
+// Cache events arrive twice and with a gap, and then the endpoint restarts and its
+// sequence numbers begin again. Every event must be delivered once, with the boot
+// identity that it belongs to.
 func TestChangesAreDeliveredOncePerBoot(t *testing.T) {
-	s := &script{
+	s := &scriptedReader{
 		errs: []error{nil, nil, nil},
 		changes: []engine.CacheChanges{
 			{Boot: "b1", Changes: []engine.CacheChange{{Sequence: 1}, {Sequence: 2}}},
@@ -111,9 +112,9 @@
 			{Boot: "b2", Changes: []engine.CacheChange{{Sequence: 1}}},
 		},
 	}
-	r := newRig(t, s)
-	r.readChanges(r.ctx)
-	assert.DeepEqual(t, s.asked, []uint64{0, 2, 5, 1})
+	r := newFixture(t, s)
+	r.pollCacheChanges(r.ctx)
+	assert.DeepEqual(t, s.requestedAfter, []uint64{0, 2, 5, 1})
 	assert.DeepEqual(t, r.inputs, []router.Input{
 		router.CacheEvent{Endpoint: "e", Boot: "b1", Sequence: 1},
 		router.CacheEvent{Endpoint: "e", Boot: "b1", Sequence: 2},
@@ -122,9 +123,9 @@
 	})
 }
 
-// The whole way from a stand-in: an engine computes a prompt, its event names
-// the block that the router hashes, and a crash gives a new boot identity.
-func TestGroupReadsAnEngine(t *testing.T) {
+// End to end with a stand-in engine: its cache event names the block hash that the router
+// computes for the prompt, and after a crash its reports carry a new boot identity.
+func TestPollerGroupReadsEngine(t *testing.T) {
 	e, err := standin.StartEngine(standin.EngineOptions{
 		ID: "e1", Speedup: -1, Weights: map[tables.ModelName]tables.WeightsVersion{"m": "v1"},
 	})
@@ -165,10 +166,11 @@
 	}
 }
 
-// A reader of caches alone gets whole answers, the first of each boot marked: what
-// an endpoint tells first is all that it keeps. Its numbers may be the same again.
-func TestBatchesAreHandedOnWhole(t *testing.T) {
-	s := &script{
+// A reader of cache changes alone gets whole responses, with the first of each boot
+// marked, since that one replaces all that the reader knows of the endpoint. Sequence
+// numbers of a new boot may repeat those of the last one.
+func TestBatchesHoldWholeResponses(t *testing.T) {
+	s := &scriptedReader{
 		errs: []error{nil, nil, nil, nil},
 		changes: []engine.CacheChanges{
 			{Boot: "b1"},
@@ -177,11 +179,11 @@
 			{Boot: "b2", Changes: []engine.CacheChange{{Sequence: 0}}},
 		},
 	}
-	r := newRig(t, s)
+	r := newFixture(t, s)
 	var batches []CacheBatch
 	r.DeliverBatch = func(b CacheBatch) { batches = append(batches, b) }
-	r.readChanges(r.ctx)
-	assert.DeepEqual(t, s.asked, []uint64{0, 0, 2, 2, 0})
+	r.pollCacheChanges(r.ctx)
+	assert.DeepEqual(t, s.requestedAfter, []uint64{0, 0, 2, 2, 0})
 	assert.DeepEqual(t, batches, []CacheBatch{
 		{Endpoint: "e", Boot: "b1", FirstOfBoot: true},
 		{Endpoint: "e", Boot: "b1", Changes: []engine.CacheChange{{Sequence: 1}, {Sequence: 2}}},
