--- a/cli/backup.go
+++ b/cli/backup.go
@@ -80,7 +80,7 @@
 	if _, err := os.Stat(data); err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	folder, err := store.OpenFolder(data)
+	folder, err := store.OpenDataDir(data)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -140,7 +140,7 @@
 }
 
 func (c *restoreCommand) restore(backup *rpc.Backup) error {
-	folder, err := store.OpenFolder(c.data)
+	folder, err := store.OpenDataDir(c.data)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -220,8 +220,8 @@
 func (nilDialer) Control(string) rpc.Control { return nil }
 
 // startSingleReplica starts a group of one replica on a data folder.
-func startSingleReplica(b *testing.B, dir string) (*server.Server, *store.Folder) {
-	folder, err := store.OpenFolder(dir)
+func startSingleReplica(b *testing.B, dir string) (*server.Server, *store.DataDir) {
+	folder, err := store.OpenDataDir(dir)
 	assert.NilError(b, err)
 	replica, err := server.Start(server.Options{
 		Self:     server.Instance{Name: "i", Address: "127.0.0.1:1"},
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -34,7 +34,7 @@
 	address    string
 	listener   net.Listener
 	http       *http.Server
-	dataFolder *store.Folder
+	dataFolder *store.DataDir
 	partition  *partitionTransport
 	dialer     *transport.Dialer
 	// The fields server and service are nil without the control role.
@@ -92,7 +92,7 @@
 	for i := range controls + others {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		folder, err := store.OpenFolder(filepath.Join(t.TempDir(), "data"))
+		folder, err := store.OpenDataDir(filepath.Join(t.TempDir(), "data"))
 		assert.NilError(t, err)
 		partition := &partitionTransport{base: &http.Transport{MaxIdleConnsPerHost: 64}, blocked: map[string]bool{}}
 		c.instances = append(c.instances, &instance{
--- a/control/deployment/service_test.go
+++ b/control/deployment/service_test.go
@@ -21,7 +21,7 @@
 // startSingleReplica starts a group of one replica.
 func startSingleReplica(t *testing.T) *server.Server {
 	t.Helper()
-	folder, err := store.OpenFolder(t.TempDir())
+	folder, err := store.OpenDataDir(t.TempDir())
 	assert.NilError(t, err)
 	replica, err := server.Start(server.Options{
 		Self: server.Instance{Name: "c", Address: "127.0.0.1:1"}, Dialer: noDialer{},
--- a/control/follower/relay.go
+++ b/control/follower/relay.go
@@ -85,6 +85,6 @@
 
 // isFileMissing reports whether the cause of an error is a missing file.
 func isFileMissing(err error) bool {
-	var missing *store.Missing
+	var missing *store.NotFoundError
 	return errors.As(err, &missing)
 }
--- a/control/server/disk_full_test.go
+++ b/control/server/disk_full_test.go
@@ -42,7 +42,7 @@
 
 func (l limitedLog) Save(rd replog.Ready) error {
 	if l.full.Load() {
-		return &store.IOFailed{Op: store.OpWrite, File: "log", Cause: syscall.ENOSPC}
+		return &store.IOError{Op: store.OpWrite, File: "log", Cause: syscall.ENOSPC}
 	}
 	return l.Log.Save(rd)
 }
--- a/control/server/log_store.go
+++ b/control/server/log_store.go
@@ -16,13 +16,13 @@
 
 // FolderLogStore is a LogStore in a data folder.
 type FolderLogStore struct {
-	Folder *store.Folder
+	Folder *store.DataDir
 }
 
 // Open opens the log in the folder.
 func (d FolderLogStore) Open() (Log, error) {
 	log, err := d.Folder.OpenLog(store.Identity{})
-	var missing *store.NotInitialised
+	var missing *store.NoLogError
 	if errors.As(err, &missing) {
 		return nil, nil
 	}
@@ -47,11 +47,11 @@
 	if err == nil && len(encoded) == 8 {
 		return replog.ReplicaID(binary.LittleEndian.Uint64(encoded)), nil
 	}
-	var missing *store.Missing
+	var missing *store.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
 		return replog.None, trace.Wrap(err)
 	}
-	generated, err := store.MintIdentity(0)
+	generated, err := store.NewIdentity(0)
 	if err != nil {
 		return replog.None, trace.Wrap(err)
 	}
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -198,7 +198,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !store.IsFull(err) {
+		if !store.IsDiskFull(err) {
 			s.fail(err)
 			return
 		}
@@ -250,7 +250,7 @@
 			s.resetReplica()
 			return log
 		}
-		if err != nil && !store.IsFull(err) {
+		if err != nil && !store.IsDiskFull(err) {
 			s.fail(err)
 			return nil
 		}
--- a/control/stale_source_test.go
+++ b/control/stale_source_test.go
@@ -51,7 +51,7 @@
 	for range voterCount + 1 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		folder, err := store.OpenFolder(filepath.Join(t.TempDir(), "data"))
+		folder, err := store.OpenDataDir(filepath.Join(t.TempDir(), "data"))
 		assert.NilError(t, err)
 		t.Cleanup(func() { _ = folder.Close() })
 		listeners = append(listeners, listener)
--- a/daemon/boot_epoch.go
+++ b/daemon/boot_epoch.go
@@ -18,10 +18,10 @@
 // is written to disk before it is used, because claims and request identifiers of
 // two starts must never be confused. The wall clock serves as minimum, so that an
 // instance that has lost its data folder does not reuse a number.
-func nextBootEpoch(folder *store.Folder, minimum uint64) (uint64, error) {
+func nextBootEpoch(folder *store.DataDir, minimum uint64) (uint64, error) {
 	boot := minimum
 	raw, err := folder.ReadAtomic(bootEpochFile)
-	var missing *store.Missing
+	var missing *store.NotFoundError
 	switch {
 	case errors.As(err, &missing):
 	case err != nil:
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -65,7 +65,7 @@
 	started   time.Time
 	bootEpoch uint64
 	registry  *metrics.Registry
-	folder    *store.Folder
+	folder    *store.DataDir
 
 	operatorKeys *keys.Ring
 	instanceKeys *keys.Ring
@@ -160,7 +160,7 @@
 
 // openFolder opens the data folder and determines the boot epoch.
 func (d *Daemon) openFolder() error {
-	folder, err := store.OpenFolder(d.options.Process.Data)
+	folder, err := store.OpenDataDir(d.options.Process.Data)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/node/control.go
+++ b/node/control.go
@@ -41,7 +41,7 @@
 // table, the rollout of weights and the servers that depend on them.
 func (n *Node) startControl() error {
 	s := n.options.Settings
-	folder, err := store.OpenFolder(s.Data)
+	folder, err := store.OpenDataDir(s.Data)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -133,7 +133,7 @@
 
 	// The following fields belong to the control role and are nil without it, except for
 	// initializedAt, which belongs to the entry role.
-	folder     *store.Folder
+	folder     *store.DataDir
 	replica    *server.Server
 	fleet      *fleet.Table
 	deployment *deployment.Service
--- a/store/atomic.go
+++ b/store/atomic.go
@@ -52,7 +52,7 @@
 	path := filepath.Join(dir, name)
 	content, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, &Missing{File: path}
+		return nil, &NotFoundError{File: path}
 	}
 	if err != nil {
 		return nil, failed(OpRead, path, err)
@@ -68,7 +68,7 @@
 func checkName(name string) error {
 	if name == "" || name != filepath.Base(name) || strings.HasPrefix(name, ".") ||
 		strings.HasSuffix(name, tempSuffix) || name == lockName || name == logDirName {
-		return &BadName{Name: name}
+		return &InvalidNameError{Name: name}
 	}
 	return nil
 }
@@ -82,33 +82,33 @@
 	return append(b, data...)
 }
 
-func decodeAtomic(b []byte) ([]byte, *Damaged) {
+func decodeAtomic(b []byte) ([]byte, *CorruptionError) {
 	if len(b) < atomicHeaderSize {
-		return nil, &Damaged{Reason: DamageLength}
+		return nil, &CorruptionError{Reason: LengthMismatch}
 	}
 	if reason := checkMagic(b, atomicMagic); reason != "" {
-		return nil, &Damaged{Reason: reason}
+		return nil, &CorruptionError{Reason: reason}
 	}
 	sumAt := len(atomicMagic) + 8
 	data := b[atomicHeaderSize:]
 	if binary.LittleEndian.Uint64(b[len(atomicMagic):]) != uint64(len(data)) {
-		return nil, &Damaged{Offset: int64(len(atomicMagic)), Reason: DamageLength}
+		return nil, &CorruptionError{Offset: int64(len(atomicMagic)), Reason: LengthMismatch}
 	}
 	sum := crc32.Update(crc32.Checksum(b[:sumAt], castagnoli), castagnoli, data)
 	if binary.LittleEndian.Uint32(b[sumAt:]) != sum {
-		return nil, &Damaged{Offset: int64(sumAt), Reason: DamagePayload}
+		return nil, &CorruptionError{Offset: int64(sumAt), Reason: ChecksumMismatch}
 	}
 	return data, nil
 }
 
 // checkMagic tells a file of another version from one that is damaged.
-func checkMagic(b []byte, magic string) DamageReason {
+func checkMagic(b []byte, magic string) CorruptionReason {
 	last := len(magic) - 1
 	switch {
 	case string(b[:last]) != magic[:last]:
-		return DamageHeader
+		return CorruptHeader
 	case b[last] != magic[last]:
-		return DamageVersion
+		return UnsupportedVersion
 	}
 	return ""
 }
--- a/store/atomic_test.go
+++ b/store/atomic_test.go
@@ -41,17 +41,17 @@
 	}
 	assert.NilError(t, os.Truncate(path, int64(len(b)-1)))
 	_, err = ReadAtomic(dir, "config")
-	var damaged *Damaged
+	var damaged *CorruptionError
 	assert.Assert(t, errors.As(err, &damaged))
 	assert.Equal(t, damaged.File, path)
 }
 
 func TestAtomicFileNames(t *testing.T) {
 	dir := t.TempDir()
-	var missing *Missing
+	var missing *NotFoundError
 	_, err := ReadAtomic(dir, "config")
 	assert.Assert(t, errors.As(err, &missing))
-	var bad *BadName
+	var bad *InvalidNameError
 	for _, name := range []string{"", ".hidden", "a/b", "..", "x.tmp", lockName, logDirName} {
 		assert.Assert(t, errors.As(WriteAtomic(dir, name, nil), &bad), "%q", name)
 	}
--- a/store/folder.go
+++ b/store/datadir.go
@@ -10,22 +10,22 @@
 
 const lockName = "LOCK"
 
-// Folder is a data folder that this process has locked.
-type Folder struct {
+// DataDir is a data folder that this process has locked.
+type DataDir struct {
 	dir  string
 	lock *os.File
 	fs   files
 }
 
-// OpenFolder locks a data folder and creates it, and the folders above it, if
+// OpenDataDir locks a data folder and creates it, and the folders above it, if
 // needed. It fails with *Locked if another process, or another Folder of this
 // one, has it: two processes that append to one log would overwrite each other.
-func OpenFolder(dir string) (*Folder, error) {
+func OpenDataDir(dir string) (*DataDir, error) {
 	f, err := openFolder(osFiles{}, dir)
 	return f, trace.Wrap(err)
 }
 
-func openFolder(fs files, dir string) (*Folder, error) {
+func openFolder(fs files, dir string) (*DataDir, error) {
 	if err := makeDir(fs, dir); err != nil {
 		return nil, err
 	}
@@ -36,11 +36,11 @@
 	}
 	err = unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	if err == nil {
-		return &Folder{dir: dir, lock: lock, fs: fs}, nil
+		return &DataDir{dir: dir, lock: lock, fs: fs}, nil
 	}
 	lock.Close()
 	if err == unix.EWOULDBLOCK {
-		return nil, &Locked{Dir: dir}
+		return nil, &LockedError{Dir: dir}
 	}
 	return nil, failed(OpLock, path, err)
 }
@@ -65,19 +65,19 @@
 }
 
 // Close gives the folder free.
-func (f *Folder) Close() error {
+func (f *DataDir) Close() error {
 	return trace.Wrap(failed(OpLock, f.dir, f.lock.Close()))
 }
 
-// Dir is the folder's path.
-func (f *Folder) Dir() string { return f.dir }
+// Path is the folder's path.
+func (f *DataDir) Path() string { return f.dir }
 
 // WriteAtomic is like the function of that name.
-func (f *Folder) WriteAtomic(name string, data []byte) error {
+func (f *DataDir) WriteAtomic(name string, data []byte) error {
 	return trace.Wrap(writeAtomic(f.fs, f.dir, name, data))
 }
 
 // ReadAtomic is like the function of that name.
-func (f *Folder) ReadAtomic(name string) ([]byte, error) {
+func (f *DataDir) ReadAtomic(name string) ([]byte, error) {
 	return ReadAtomic(f.dir, name)
 }
--- a/store/folder_test.go
+++ b/store/datadir_test.go
@@ -11,7 +11,7 @@
 // instance used to refuse to start.
 func TestFoldersAboveAreMade(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b", "c")
-	folder, err := OpenFolder(dir)
+	folder, err := OpenDataDir(dir)
 	assert.NilError(t, err)
 	assert.NilError(t, folder.WriteAtomic("file", []byte("x")))
 	assert.NilError(t, folder.Close())
--- a/store/files.go
+++ b/store/filesystem.go
@@ -43,7 +43,7 @@
 	if err == nil {
 		return nil
 	}
-	return &IOFailed{Op: op, File: file, Cause: err}
+	return &IOError{Op: op, File: file, Cause: err}
 }
 
 // createFile makes a new file with the given content and syncs it, but not the
--- a/store/frame.go
+++ b/store/frame.go
@@ -28,16 +28,16 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-func decodeSegmentHeader(b []byte) (salt uint32, reason DamageReason) {
+func decodeSegmentHeader(b []byte) (salt uint32, reason CorruptionReason) {
 	if len(b) < segmentHeaderSize {
-		return 0, DamageLength
+		return 0, LengthMismatch
 	}
 	if reason := checkMagic(b, segmentMagic); reason != "" {
 		return 0, reason
 	}
 	sumAt := segmentHeaderSize - 4
 	if binary.LittleEndian.Uint32(b[sumAt:]) != crc32.Checksum(b[:sumAt], castagnoli) {
-		return 0, DamageHeader
+		return 0, CorruptHeader
 	}
 	return binary.LittleEndian.Uint32(b[len(segmentMagic):]), ""
 }
--- a/store/group_bench_test.go
+++ b/store/group_bench_test.go
@@ -98,7 +98,7 @@
 }
 
 func newLiveReplica(b *testing.B, g *liveGroup, id replog.ReplicaID, ms replog.Members, batched bool) *liveReplica {
-	f, err := OpenFolder(b.TempDir())
+	f, err := OpenDataDir(b.TempDir())
 	assert.NilError(b, err)
 	b.Cleanup(func() { assert.NilError(b, f.Close()) })
 	assert.NilError(b, f.CreateLog(Identity{Replica: id}, replog.BootstrapGroupState(ms, 1, nil)))
--- a/store/identity.go
+++ b/store/identity.go
@@ -19,14 +19,14 @@
 	Replica replog.ReplicaID
 }
 
-// MintIdentity returns a new random identity in a group, or in a new group if
+// NewIdentity returns a new random identity in a group, or in a new group if
 // that is zero.
-func MintIdentity(group uint64) (Identity, error) {
+func NewIdentity(group uint64) (Identity, error) {
 	id := Identity{Group: group}
 	for id.Group == 0 || id.Replica == replog.None {
 		var b [16]byte
 		if _, err := rand.Read(b[:]); err != nil {
-			return Identity{}, trace.Wrap(failed(OpMint, logDirName, err))
+			return Identity{}, trace.Wrap(failed(OpGenerateIdentity, logDirName, err))
 		}
 		if id.Group == 0 {
 			id.Group = binary.LittleEndian.Uint64(b[:])
--- a/store/log.go
+++ b/store/log.go
@@ -48,14 +48,14 @@
 // none, so that a replica that lost its disk doesn't start with an empty one
 // under its old identity. It fails with *WrongIdentity, *Damaged or *IOFailed
 // otherwise.
-func (f *Folder) OpenLog(want Identity) (*Log, error) {
+func (f *DataDir) OpenLog(want Identity) (*Log, error) {
 	l, err := openLog(f.fs, filepath.Join(f.dir, logDirName), want)
 	return l, trace.Wrap(err)
 }
 
 func openLog(fs files, dir string, want Identity) (*Log, error) {
 	if _, err := os.Stat(dir); os.IsNotExist(err) {
-		return nil, &NotInitialised{Dir: dir}
+		return nil, &NoLogError{Dir: dir}
 	}
 	l := &Log{dir: dir, fs: fs, segmentBytes: defaultSegmentBytes}
 	if err := l.readIdentity(want); err != nil {
@@ -81,11 +81,11 @@
 	}
 	id, ok := decodeIdentity(content)
 	if !ok {
-		return &Damaged{File: filepath.Join(l.dir, identityName), Reason: DamageEncoding}
+		return &CorruptionError{File: filepath.Join(l.dir, identityName), Reason: UndecodableContent}
 	}
 	l.identity = id
 	if !want.allows(id) {
-		return &WrongIdentity{Dir: l.dir, Want: want, Got: id}
+		return &IdentityMismatchError{Dir: l.dir, Want: want, Got: id}
 	}
 	return nil
 }
@@ -93,9 +93,9 @@
 // read returns a small file that must exist.
 func (l *Log) read(name string) ([]byte, error) {
 	content, err := readAtomic(l.dir, name)
-	var missing *Missing
+	var missing *NotFoundError
 	if errors.As(err, &missing) {
-		return nil, &Damaged{File: missing.File, Reason: DamageMissing}
+		return nil, &CorruptionError{File: missing.File, Reason: MissingFile}
 	}
 	return content, err
 }
@@ -107,7 +107,7 @@
 // Save.
 func (l *Log) Load() (replog.PersistentState, error) {
 	if l.loaded == nil {
-		return replog.PersistentState{}, trace.Wrap(&AlreadyLoaded{Dir: l.dir})
+		return replog.PersistentState{}, trace.Wrap(&AlreadyLoadedError{Dir: l.dir})
 	}
 	s := *l.loaded
 	l.loaded = nil
@@ -125,7 +125,7 @@
 		return replog.PersistentState{}, err
 	}
 	if len(l.segments) == 0 {
-		return replog.PersistentState{}, &Damaged{File: l.dir, Reason: DamageMissing}
+		return replog.PersistentState{}, &CorruptionError{File: l.dir, Reason: MissingFile}
 	}
 	p := &replay{snapshot: snapshot}
 	l.seq = l.segments[0].first
@@ -136,7 +136,7 @@
 	}
 	saved, ok := p.result()
 	if !ok {
-		return saved, &Damaged{File: l.segments[0].path, Reason: DamageGap}
+		return saved, &CorruptionError{File: l.segments[0].path, Reason: MissingEntries}
 	}
 	return saved, nil
 }
@@ -148,7 +148,7 @@
 	}
 	s, err := DecodeSnapshot(content)
 	if err != nil {
-		return s, &Damaged{File: filepath.Join(l.dir, snapshotName), Reason: DamageEncoding}
+		return s, &CorruptionError{File: filepath.Join(l.dir, snapshotName), Reason: UndecodableContent}
 	}
 	return s, nil
 }
@@ -160,7 +160,7 @@
 		return failed(OpRead, seg.path, err)
 	}
 	if seg.first != l.seq {
-		return &Damaged{File: seg.path, Reason: DamageOrder}
+		return &CorruptionError{File: seg.path, Reason: MissingFrames}
 	}
 	last := i == len(l.segments)-1
 	s, damage := scanSegment(content, seg.first, last)
@@ -172,7 +172,7 @@
 	seg.size = int64(s.end)
 	for _, r := range s.records {
 		if !p.add(r) {
-			return &Damaged{File: seg.path, Reason: DamageGap}
+			return &CorruptionError{File: seg.path, Reason: MissingEntries}
 		}
 		seg.note(r)
 		l.seq++
@@ -195,7 +195,7 @@
 		return l.fs.syncDir(l.dir)
 	}
 	if end == 0 {
-		return &Damaged{File: path, Reason: DamageHeader}
+		return &CorruptionError{File: path, Reason: CorruptHeader}
 	}
 	f, err := os.OpenFile(path, os.O_RDWR, filePerm)
 	if err != nil {
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -251,7 +251,7 @@
 		b[i] ^= 0x41
 		assert.NilError(t, os.WriteFile(path, b, filePerm))
 		_, err := openLog(osFiles{}, filepath.Join(dir, logDirName), testIdentity)
-		var d *Damaged
+		var d *CorruptionError
 		if !errors.As(err, &d) {
 			t.Fatalf("%s byte %d: got %v, want damage", path, i, err)
 		}
@@ -274,7 +274,7 @@
 	} {
 		assert.NilError(t, os.Rename(path, path+".away"))
 		_, err := openLog(osFiles{}, l.dir, testIdentity)
-		var d *Damaged
+		var d *CorruptionError
 		assert.Assert(t, errors.As(err, &d), "%s removed: %v", path, err)
 		assert.NilError(t, os.Rename(path+".away", path))
 	}
@@ -287,7 +287,7 @@
 	l := createAt(t, d, d.root)
 	d.failSync = true
 	rd := write(replog.HardState{Term: 2}, entry(2, 2))
-	var failure *IOFailed
+	var failure *IOError
 	assert.Assert(t, errors.As(l.Save(rd), &failure))
 	assert.Assert(t, errors.As(l.Save(rd), &failure))
 	assert.Equal(t, failure.Op, OpSync)
@@ -312,21 +312,21 @@
 // A replica's disk is lost and replaced by an empty one. If it started again
 // under its old identity, it could vote without what it had acknowledged.
 func TestLogIsNeverCreatedOnOpen(t *testing.T) {
-	f, err := OpenFolder(filepath.Join(t.TempDir(), "data"))
+	f, err := OpenDataDir(filepath.Join(t.TempDir(), "data"))
 	assert.NilError(t, err)
 	_, err = f.OpenLog(testIdentity)
-	var none *NotInitialised
+	var none *NoLogError
 	assert.Assert(t, errors.As(err, &none))
 
-	id, err := MintIdentity(testIdentity.Group)
+	id, err := NewIdentity(testIdentity.Group)
 	assert.NilError(t, err)
 	assert.Assert(t, id.Group == testIdentity.Group && id.Replica != replog.None)
 	assert.NilError(t, f.CreateLog(id, replog.PersistentState{}))
-	var already *AlreadyInitialised
+	var already *LogExistsError
 	assert.Assert(t, errors.As(f.CreateLog(id, replog.PersistentState{}), &already))
 
 	_, err = f.OpenLog(Identity{Replica: id.Replica + 1})
-	var wrong *WrongIdentity
+	var wrong *IdentityMismatchError
 	assert.Assert(t, errors.As(err, &wrong))
 	l, err := f.OpenLog(Identity{})
 	assert.NilError(t, err)
@@ -340,13 +340,13 @@
 // same log.
 func TestFolderIsLocked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
-	f, err := OpenFolder(dir)
+	f, err := OpenDataDir(dir)
 	assert.NilError(t, err)
-	_, err = OpenFolder(dir)
-	var locked *Locked
+	_, err = OpenDataDir(dir)
+	var locked *LockedError
 	assert.Assert(t, errors.As(err, &locked))
 	assert.NilError(t, f.Close())
-	f, err = OpenFolder(dir)
+	f, err = OpenDataDir(dir)
 	assert.NilError(t, err)
 	assert.NilError(t, f.Close())
 }
--- a/store/segment.go
+++ b/store/segment.go
@@ -48,7 +48,7 @@
 		path := filepath.Join(dir, n.Name())
 		first, err := strconv.ParseUint(hex, 16, 64)
 		if err != nil {
-			return nil, &Damaged{File: path, Reason: DamageHeader}
+			return nil, &CorruptionError{File: path, Reason: CorruptHeader}
 		}
 		out = append(out, segment{path: path, first: first})
 	}
@@ -69,13 +69,13 @@
 
 // scanSegment reads a segment whose first frame has the sequence number first.
 // Only the last segment of a log may end with a torn frame.
-func scanSegment(b []byte, first uint64, last bool) (scanned, *Damaged) {
+func scanSegment(b []byte, first uint64, last bool) (scanned, *CorruptionError) {
 	salt, reason := decodeSegmentHeader(b)
 	if reason != "" {
-		if last && (len(b) < segmentHeaderSize || hasZeroSector(b, 0, len(b))) && reason != DamageVersion {
+		if last && (len(b) < segmentHeaderSize || hasZeroSector(b, 0, len(b))) && reason != UnsupportedVersion {
 			return scanned{torn: true}, nil
 		}
-		return scanned{}, &Damaged{Reason: reason}
+		return scanned{}, &CorruptionError{Reason: reason}
 	}
 	s := scanned{salt: salt, end: segmentHeaderSize}
 	for s.end < len(b) {
@@ -89,31 +89,31 @@
 			s.torn = true
 			return s, nil
 		}
-		return scanned{}, &Damaged{Offset: int64(s.end), Reason: reason}
+		return scanned{}, &CorruptionError{Offset: int64(s.end), Reason: reason}
 	}
 	return s, nil
 }
 
 // readFrame decodes the frame at the start of b and returns its size in bytes.
-func readFrame(b []byte, salt uint32, seq uint64) (record, int, DamageReason) {
+func readFrame(b []byte, salt uint32, seq uint64) (record, int, CorruptionReason) {
 	h, ok := decodeFrameHeader(b, salt)
 	if !ok {
-		return record{}, 0, DamageFrame
+		return record{}, 0, CorruptFrameHeader
 	}
 	size := frameHeaderSize + h.length
 	if size > len(b) {
-		return record{}, 0, DamageLength
+		return record{}, 0, LengthMismatch
 	}
 	payload := b[frameHeaderSize:size]
 	if payloadSum(payload, salt) != h.sum {
-		return record{}, 0, DamagePayload
+		return record{}, 0, ChecksumMismatch
 	}
 	if h.seq != seq {
-		return record{}, 0, DamageOrder
+		return record{}, 0, MissingFrames
 	}
 	r, ok := decodeRecord(payload)
 	if !ok {
-		return record{}, 0, DamageEncoding
+		return record{}, 0, UndecodableContent
 	}
 	return r, size, ""
 }
--- a/store/write.go
+++ b/store/write.go
@@ -15,13 +15,13 @@
 // replog.Saved is a replica that waits to be added to its group. It fails with
 // *AlreadyInitialised or *IOFailed. After a crash either the whole log is there
 // or none.
-func (f *Folder) CreateLog(id Identity, s replog.PersistentState) error {
+func (f *DataDir) CreateLog(id Identity, s replog.PersistentState) error {
 	return trace.Wrap(createLog(f.fs, filepath.Join(f.dir, logDirName), id, s))
 }
 
 func createLog(fs files, dir string, id Identity, s replog.PersistentState) error {
 	if _, err := os.Stat(dir); err == nil {
-		return &AlreadyInitialised{Dir: dir}
+		return &LogExistsError{Dir: dir}
 	}
 	temp := dir + tempSuffix
 	if err := fs.remove(temp); err != nil {
