--- a/replog/bench_test.go
+++ b/replog/bench_test.go
@@ -7,9 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkNewLeader stops the leader of a group of three, five or eight, and
-// gives the ticks until the next one has committed an entry of its own term, at
-// the default of 10 election ticks and with messages that take no time.
+// BenchmarkNewLeader stops the leader of a group of three, five or eight
+// replicas and reports the ticks until the next leader has committed an entry
+// of its own term, with the default of 10 election ticks and messages without
+// latency.
 func BenchmarkNewLeader(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -28,6 +29,8 @@
 	}
 }
 
+// ticksToNewLeader returns the ticks from the loss of the leader to the first
+// commit of its successor.
 func ticksToNewLeader(b *testing.B, seed uint64, size int) int {
 	var ids []ReplicaID
 	for i := range size {
@@ -36,18 +39,19 @@
 	g := newGroup(b, seed, ids...)
 	old := g.elect()
 	g.tick(1)
-	old.up = false
+	old.running = false
 	for n := 1; ; n++ {
 		g.tick(1)
-		if id := g.leader(); id != None && g.replicas[id].node.committedInTerm() {
+		if id := g.leader(); id != None && g.replicas[id].node.hasCommittedInTerm() {
 			return n
 		}
 		assert.Assert(b, n < 1000)
 	}
 }
 
-// BenchmarkPropose commits entries of 200 bytes in a group of three without
-// disks, which is the processor's time for one entry on all three replicas.
+// BenchmarkPropose commits entries of 200 bytes in a group of three replicas
+// without disks. It measures the processor time per entry on all three
+// replicas.
 func BenchmarkPropose(b *testing.B) {
 	for _, c := range []struct {
 		name  string
@@ -66,7 +70,7 @@
 					g.deliver()
 				}
 				if i%10_000 == 0 {
-					g.discard()
+					g.compactAll()
 				}
 			}
 		})
@@ -75,9 +79,9 @@
 
 func defaultConfig(id ReplicaID, seed uint64) Config { return Config{ID: id, Seed: seed} }
 
-// discard compacts all replicas, so that a long benchmark doesn't measure the
-// growth of the log.
-func (g *group) discard() {
+// compactAll compacts all replicas, so that a long benchmark doesn't measure
+// the growth of the log.
+func (g *group) compactAll() {
 	g.deliver()
 	for _, id := range g.order {
 		r := g.replicas[id]
--- a/replog/chaos_test.go
+++ b/replog/chaos_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// Messages are lost, late, doubled and out of order, links fail in one
-// direction, processes pause, run at different speeds and crash with writes that
-// were not synced, disks are lost and replaced, and meanwhile operators change
-// the membership. Callers must never see an accepted change vanish or come back
-// in another order, and the group has to work again once the faults are over.
-func TestGroupUnderFaults(t *testing.T) {
+// Messages are lost, delayed, duplicated and reordered, links fail in one
+// direction, processes pause, run at different speeds and crash with unsynced
+// writes, disks are lost and replaced, and operators change the membership at
+// the same time. Committed entries must never disappear or change their order,
+// and the group has to recover once the faults are over.
+func TestGroupUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		steps := rapid.IntRange(100, 2500).Draw(rt, "steps")
@@ -21,30 +21,31 @@
 	})
 }
 
-// runChaos lets the steps that the seed determines happen, and then the group
-// recover.
+// runChaos runs the random steps that the seed determines and then lets the
+// group recover.
 func runChaos(t *rapid.T, seed uint64, steps int) {
 	c := newChaos(t, seed)
 	for range steps {
 		c.step()
 	}
-	c.recover()
-	c.copy.checkOutcome()
+	c.healAndCheck()
+	c.reference.checkOutcome()
 }
 
-// chaos does random things to a group and checks it after each.
+// chaos injects random faults into a group and checks the invariants of the
+// protocol after each step.
 type chaos struct {
 	*group
-	t      *rapid.T
-	rand   *rand.Rand
-	copy   *singleCopy
-	lost   map[ReplicaID]bool
-	paused map[ReplicaID]bool
-	nextID ReplicaID
-	nextNo uint64
-	// checked is the last commit of each leader that was checked.
+	t          *rapid.T
+	rand       *rand.Rand
+	reference  *referenceLog
+	lostDisk   map[ReplicaID]bool
+	paused     map[ReplicaID]bool
+	nextID     ReplicaID
+	nextNumber uint64
+	// checked holds the last commit position of each leader that was checked.
 	checked map[ReplicaID]Position
-	// proposed are proposals whose outcome is open, by proposer.
+	// proposed holds the proposals without a known outcome, by proposer.
 	proposed map[ReplicaID]map[Position]string
 }
 
@@ -58,12 +59,13 @@
 	g := newGroup(t, seed, ids...)
 	g.delay = true
 	return &chaos{
-		group: g, t: t, rand: r, copy: newSingleCopy(t),
-		lost: map[ReplicaID]bool{}, paused: map[ReplicaID]bool{}, nextID: ReplicaID(n + 1),
+		group: g, t: t, rand: r, reference: newSingleCopy(t),
+		lostDisk: map[ReplicaID]bool{}, paused: map[ReplicaID]bool{}, nextID: ReplicaID(n + 1),
 		checked: map[ReplicaID]Position{}, proposed: map[ReplicaID]map[Position]string{},
 	}
 }
 
+// step performs one random action and processes the resulting work.
 func (c *chaos) step() {
 	total := 0
 	for _, a := range actions {
@@ -77,46 +79,48 @@
 		}
 	}
 	for _, id := range c.running() {
-		c.take(id)
+		c.processReady(id)
 	}
 }
 
+// running returns the replicas that are neither stopped nor paused.
 func (c *chaos) running() []ReplicaID {
 	var ids []ReplicaID
 	for _, id := range c.order {
-		if c.replicas[id].up && !c.paused[id] {
+		if c.replicas[id].running && !c.paused[id] {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// pick draws one of the running replicas, or None.
-func (c *chaos) pick() ReplicaID {
-	return c.oneOf(c.running())
+// randomRunning returns a random running replica, or None.
+func (c *chaos) randomRunning() ReplicaID {
+	return c.randomOf(c.running())
 }
 
-func (c *chaos) oneOf(ids []ReplicaID) ReplicaID {
+// randomOf returns a random element of ids, or None.
+func (c *chaos) randomOf(ids []ReplicaID) ReplicaID {
 	if len(ids) == 0 {
 		return None
 	}
 	return ids[c.rand.IntN(len(ids))]
 }
 
-// chance is true once in n times.
-func (c *chaos) chance(n int) bool { return c.rand.IntN(n) == 0 }
+// oneIn returns true with a probability of one in n.
+func (c *chaos) oneIn(n int) bool { return c.rand.IntN(n) == 0 }
 
-// take collects what a replica wants done and checks it. Its writes stay
-// outstanding.
-func (c *chaos) take(id ReplicaID) {
+// processReady takes the pending work of a replica and checks it. Its writes
+// stay outstanding.
+func (c *chaos) processReady(id ReplicaID) {
 	r := c.replicas[id]
-	c.copy.checkNode(r.node)
+	c.reference.checkNode(r.node)
 	c.checkCommit(r.node)
 	for r.node.HasReady() {
 		rd := r.node.Ready()
 		disk, _ := r.store.Load()
 		for _, m := range rd.Messages {
-			c.copy.checkPromise(m, disk)
+			c.reference.checkDurable(m, disk)
 		}
 		c.queue = append(c.queue, rd.Messages...)
 		c.apply(id, rd)
@@ -124,11 +128,11 @@
 			r.pending = append(r.pending, rd)
 		}
 	}
-	c.copy.checkNode(r.node)
+	c.reference.checkNode(r.node)
 }
 
-// checkCommit checks that what a leader takes for committed is on the disks of a
-// quorum, those that were lost since included.
+// checkCommit checks that the entries that a leader regards as committed are on
+// the disks of a quorum, including disks that were lost since.
 func (c *chaos) checkCommit(n *Node) {
 	at := Position{Term: n.term, Index: n.log.commit}
 	if n.role != Leader || !n.log.matches(at.Index, at.Term) || c.checked[n.cfg.ID] == at {
@@ -147,57 +151,59 @@
 			have++
 		}
 	}
-	assert.Assert(c.t, 2*have > voters, "leader %d commits %+v, which is on %d disks of %d", n.cfg.ID, at, have, voters)
+	assert.Assert(c.t, 2*have > voters, "leader %d commits %+v, which is on %d of %d disks", n.cfg.ID, at, have, voters)
 }
 
+// apply checks the work that a replica hands to its application.
 func (c *chaos) apply(id ReplicaID, rd Ready) {
 	r := c.replicas[id]
 	if rd.Snapshot != nil {
-		c.copy.installed(*rd.Snapshot)
+		c.reference.checkSnapshot(*rd.Snapshot)
 	}
-	r.take(rd)
+	r.recordReady(rd)
 	for _, e := range rd.Committed {
-		c.copy.applied(id, e)
+		c.reference.checkApplied(id, e)
 		at := Position{Term: e.Term, Index: e.Index}
 		if data, ok := c.proposed[id][at]; ok {
-			c.copy.confirmed[data] = at
+			c.reference.confirmed[data] = at
 		}
 	}
 	for _, s := range rd.ReadStates {
-		c.copy.checkRead(s)
+		c.reference.checkRead(s)
 	}
 }
 
-// work lets a few rounds pass without further faults.
-func (c *chaos) work() {
+// runRounds runs a few rounds of ticks and deliveries without further faults.
+func (c *chaos) runRounds() {
 	for range 1 + c.rand.IntN(4) {
 		for _, id := range c.running() {
 			c.replicas[id].node.Tick()
 		}
 		for range 3 {
-			c.settle()
+			c.runRound()
 		}
 	}
 }
 
-// settle saves most writes and delivers what is queued.
-func (c *chaos) settle() {
+// runRound completes most outstanding writes and delivers the queued messages.
+func (c *chaos) runRound() {
 	for _, id := range c.running() {
-		c.take(id)
-		if !c.chance(4) {
+		c.processReady(id)
+		if !c.oneIn(4) {
 			c.save(id)
 		}
-		c.take(id)
+		c.processReady(id)
 	}
 	batch := c.queue
 	c.queue = nil
 	for _, m := range batch {
-		c.pass(m)
+		c.deliverOrHold(m)
 	}
 }
 
-// pass delivers a message, or keeps it if the receiver is paused.
-func (c *chaos) pass(m Message) {
+// deliverOrHold delivers a message, or keeps it in the queue if the receiver is
+// paused.
+func (c *chaos) deliverOrHold(m Message) {
 	if c.paused[m.To] {
 		c.queue = append(c.queue, m)
 		return
@@ -205,35 +211,36 @@
 	c.group.step(m)
 }
 
-// recover ends all faults and checks that the group works again and agrees.
-func (c *chaos) recover() {
-	clear(c.cut)
+// healAndCheck ends all faults and checks that the group recovers and
+// converges.
+func (c *chaos) healAndCheck() {
+	clear(c.blocked)
 	clear(c.paused)
 	for _, id := range c.order {
-		if !c.replicas[id].up && !c.lost[id] {
+		if !c.replicas[id].running && !c.lostDisk[id] {
 			c.start(id)
 		}
 	}
 	for range 40 * defaultElectionTicks {
-		c.work()
-		if c.leader() != None && c.agreed() {
+		c.runRounds()
+		if c.leader() != None && c.hasConverged() {
 			return
 		}
 	}
 	for _, id := range c.order {
-		if c.replicas[id].up {
+		if c.replicas[id].running {
 			c.t.Logf("%+v", c.replicas[id].node.Status())
 		}
 	}
-	c.t.Fatalf("the group doesn't work again")
+	c.t.Fatalf("the group did not recover")
 }
 
-// agreed reports whether the leader can commit, and all members have applied
-// all.
-func (c *chaos) agreed() bool {
+// hasConverged reports whether the leader can commit and all members have
+// applied its whole log.
+func (c *chaos) hasConverged() bool {
 	l := c.replicas[c.leader()].node
 	for _, m := range l.members.current() {
-		if c.lost[m.Replica] {
+		if c.lostDisk[m.Replica] {
 			continue
 		}
 		n := c.replicas[m.Replica].node
@@ -241,5 +248,5 @@
 			return false
 		}
 	}
-	return l.committedInTerm()
+	return l.hasCommittedInTerm()
 }
--- a/replog/config.go
+++ b/replog/config.go
@@ -1,64 +1,66 @@
 package replog
 
-// Config sets up a Node. Times are in ticks; the owner decides how long a tick
-// is.
+// Config configures a Node. Durations are in ticks; the application decides how
+// long a tick is.
 type Config struct {
-	// ID is this replica.
+	// ID is the ReplicaID of this replica.
 	ID ReplicaID
-	// Group is the group of replicas that this one belongs to. It goes with
-	// every message.
+	// Group identifies the group that this replica belongs to. Every message
+	// carries it.
 	Group uint64
-	// ElectionTicks is the time without a leader after which a follower starts
-	// an election, and the time without a quorum after which a leader steps
-	// down. The former is randomised up to twice the value. Default 10.
+	// ElectionTicks is the election timeout: a follower that hears no leader
+	// for this time starts an election, and a leader that hears no quorum for
+	// this time steps down. The follower's timeout is randomised between one
+	// and two times this value. Default 10.
 	ElectionTicks int
-	// HeartbeatTicks is the time between two heartbeats. Default 1.
+	// HeartbeatTicks is the heartbeat interval of a leader. Default 1.
 	HeartbeatTicks int
-	// WriteTimeoutTicks is the time that one write of the leader may take before it steps
-	// down. Default 2 times ElectionTicks.
+	// WriteTimeoutTicks is the time after which an unfinished write counts as a
+	// stalled disk. The leader then steps down, and other replicas don't start
+	// elections. Default 2 times ElectionTicks.
 	WriteTimeoutTicks int
-	// SnapshotTimeoutTicks is the time without an answer after which a snapshot is sent
-	// again. Default 20 times ElectionTicks.
+	// SnapshotTimeoutTicks is the time after which an unacknowledged snapshot
+	// is sent again. Default 20 times ElectionTicks.
 	SnapshotTimeoutTicks int
-	// MaxBatchBytes bounds the entries in one message; one entry may exceed it.
-	// Default 256 KiB.
+	// MaxBatchBytes limits the size of the entries in one message. A message
+	// with a single entry may exceed it. Default 256 KiB.
 	MaxBatchBytes int
-	// MaxEntryBytes bounds one proposal. Default 4 MiB.
+	// MaxEntryBytes limits the data of one proposal. Default 4 MiB.
 	MaxEntryBytes int
-	// MaxUncommittedBytes bounds what is proposed and not committed. Default
-	// 32 MiB.
+	// MaxUncommittedBytes limits the size of the entries that are proposed and
+	// not yet committed. Default 32 MiB.
 	MaxUncommittedBytes int
-	// MaxInflightMessages bounds the messages with entries that are sent to a replica
-	// and not acknowledged. Default 64.
+	// MaxInflightMessages limits the append messages that are sent to a replica
+	// and not yet acknowledged. Default 64.
 	MaxInflightMessages int
-	// TrailingEntries and TrailingBytes bound the entries that are kept in memory
-	// before a snapshot, for replicas that are only a little behind. Defaults
-	// 1000 and 4 MiB.
+	// TrailingEntries and TrailingBytes limit the entries before a snapshot
+	// that stay in memory, so that replicas that are only a little behind can
+	// catch up without the snapshot. Defaults 1000 and 4 MiB.
 	TrailingEntries uint64
 	TrailingBytes   int
-	// Seed determines the election timeouts. Replicas need different seeds or
-	// IDs.
+	// Seed seeds the randomised election timeouts. Replicas need different
+	// seeds or different IDs.
 	Seed uint64
 }
 
 const (
-	defaultElectionTicks       = 10
-	defaultHeartbeatTicks      = 1
-	defaultStallFactor         = 2
-	defaultSnapshotFactor      = 20
-	defaultMaxBatchBytes       = 256 << 10
-	defaultMaxEntryBytes       = 4 << 20
-	defaultMaxUncommittedBytes = 32 << 20
-	defaultMaxInflight         = 64
-	defaultTrailingEntries     = 1000
-	defaultTrailingBytes       = 4 << 20
+	defaultElectionTicks         = 10
+	defaultHeartbeatTicks        = 1
+	defaultWriteTimeoutFactor    = 2
+	defaultSnapshotTimeoutFactor = 20
+	defaultMaxBatchBytes         = 256 << 10
+	defaultMaxEntryBytes         = 4 << 20
+	defaultMaxUncommittedBytes   = 32 << 20
+	defaultMaxInflight           = 64
+	defaultTrailingEntries       = 1000
+	defaultTrailingBytes         = 4 << 20
 )
 
 func (c *Config) setDefaults() {
 	setDefault(&c.ElectionTicks, defaultElectionTicks)
 	setDefault(&c.HeartbeatTicks, defaultHeartbeatTicks)
-	setDefault(&c.WriteTimeoutTicks, defaultStallFactor*c.ElectionTicks)
-	setDefault(&c.SnapshotTimeoutTicks, defaultSnapshotFactor*c.ElectionTicks)
+	setDefault(&c.WriteTimeoutTicks, defaultWriteTimeoutFactor*c.ElectionTicks)
+	setDefault(&c.SnapshotTimeoutTicks, defaultSnapshotTimeoutFactor*c.ElectionTicks)
 	setDefault(&c.MaxBatchBytes, defaultMaxBatchBytes)
 	setDefault(&c.MaxEntryBytes, defaultMaxEntryBytes)
 	setDefault(&c.MaxUncommittedBytes, defaultMaxUncommittedBytes)
@@ -75,7 +77,8 @@
 	}
 }
 
-func (c *Config) check() error {
+// validate checks the settings after the defaults are filled in.
+func (c *Config) validate() error {
 	switch {
 	case c.ID == None:
 		return &InvalidConfigError{Field: "ID", Reason: "is zero"}
@@ -84,7 +87,7 @@
 	case c.ElectionTicks <= c.HeartbeatTicks:
 		return &InvalidConfigError{Field: "ElectionTicks", Reason: "is not more than HeartbeatTicks"}
 	case c.MaxInflightMessages < 1:
-		return &InvalidConfigError{Field: "MaxInflight", Reason: "is less than 1"}
+		return &InvalidConfigError{Field: "MaxInflightMessages", Reason: "is less than 1"}
 	}
 	return nil
 }
--- a/replog/faults_test.go
+++ b/replog/faults_test.go
@@ -8,21 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// action is one thing that may happen; weight says how often.
+// action is a random action; weight is its relative frequency.
 type action struct {
 	weight int
 	do     func(*chaos)
 }
 
 var actions = []action{
-	{50, (*chaos).work},
+	{50, (*chaos).runRounds},
 	{40, (*chaos).deliverOne},
 	{10, (*chaos).tickOne},
 	{20, (*chaos).saveOne},
 	{12, (*chaos).propose},
 	{6, (*chaos).read},
 	{4, (*chaos).dropOne},
-	{4, (*chaos).doubleOne},
+	{4, (*chaos).duplicateOne},
 	{3, (*chaos).cutLink},
 	{6, (*chaos).healLinks},
 	{2, (*chaos).isolateOne},
@@ -35,7 +35,8 @@
 	{2, (*chaos).transfer},
 }
 
-func (c *chaos) draw() int {
+// randomMessage returns the position of a random message in the queue, or -1.
+func (c *chaos) randomMessage() int {
 	if len(c.queue) == 0 {
 		return -1
 	}
@@ -43,27 +44,27 @@
 }
 
 func (c *chaos) deliverOne() {
-	if i := c.draw(); i >= 0 {
+	if i := c.randomMessage(); i >= 0 {
 		m := c.queue[i]
 		c.queue = slices.Delete(c.queue, i, i+1)
-		c.pass(m)
+		c.deliverOrHold(m)
 	}
 }
 
 func (c *chaos) dropOne() {
-	if i := c.draw(); i >= 0 {
+	if i := c.randomMessage(); i >= 0 {
 		c.queue = slices.Delete(c.queue, i, i+1)
 	}
 }
 
-func (c *chaos) doubleOne() {
-	if i := c.draw(); i >= 0 {
-		c.pass(c.queue[i])
+func (c *chaos) duplicateOne() {
+	if i := c.randomMessage(); i >= 0 {
+		c.deliverOrHold(c.queue[i])
 	}
 }
 
 func (c *chaos) tickOne() {
-	if id := c.pick(); id != None {
+	if id := c.randomRunning(); id != None {
 		for range 1 + c.rand.IntN(15) {
 			c.replicas[id].node.Tick()
 		}
@@ -71,30 +72,31 @@
 }
 
 func (c *chaos) saveOne() {
-	if id := c.pick(); id != None {
+	if id := c.randomRunning(); id != None {
 		c.save(id)
 	}
 }
 
-// pickLeader draws one of the replicas that believe they lead, or None.
-func (c *chaos) pickLeader() ReplicaID {
+// randomLeader returns a random replica among those that regard themselves as
+// leader, or None.
+func (c *chaos) randomLeader() ReplicaID {
 	var ids []ReplicaID
 	for _, id := range c.running() {
 		if c.replicas[id].node.role == Leader {
 			ids = append(ids, id)
 		}
 	}
-	return c.oneOf(ids)
+	return c.randomOf(ids)
 }
 
 func (c *chaos) propose() {
-	id := c.pickLeader()
+	id := c.randomLeader()
 	if id == None {
 		return
 	}
 	for range 1 + c.rand.IntN(4) {
-		c.nextNo++
-		data := fmt.Sprint("p", c.nextNo)
+		c.nextNumber++
+		data := fmt.Sprint("p", c.nextNumber)
 		at, err := c.replicas[id].node.Propose([]byte(data))
 		if err != nil {
 			return
@@ -107,44 +109,44 @@
 }
 
 func (c *chaos) read() {
-	id := c.pickLeader()
+	id := c.randomLeader()
 	if id == None {
 		return
 	}
-	c.nextNo++
-	c.copy.floors[c.nextNo] = c.copy.lastIndex()
-	assert.NilError(c.t, c.replicas[id].node.ReadIndex(c.nextNo))
+	c.nextNumber++
+	c.reference.readFloors[c.nextNumber] = c.reference.lastIndex()
+	assert.NilError(c.t, c.replicas[id].node.ReadIndex(c.nextNumber))
 }
 
 func (c *chaos) cutLink() {
-	from, to := c.pick(), c.pick()
-	c.cut[[2]ReplicaID{from, to}] = true
+	from, to := c.randomRunning(), c.randomRunning()
+	c.blocked[[2]ReplicaID{from, to}] = true
 }
 
-func (c *chaos) isolateOne() { c.isolate(c.pick(), true) }
+func (c *chaos) isolateOne() { c.isolate(c.randomRunning(), true) }
 
-func (c *chaos) healLinks() { clear(c.cut) }
+func (c *chaos) healLinks() { clear(c.blocked) }
 
-// crashOne stops a replica. Its outstanding write is lost, or was made and not
-// reported.
+// crashOne stops a replica. Its outstanding write is either lost, or completed
+// but not reported.
 func (c *chaos) crashOne() {
-	id := c.pick()
+	id := c.randomRunning()
 	if id == None {
 		return
 	}
 	r := c.replicas[id]
-	if c.chance(2) {
+	if c.oneIn(2) {
 		for _, rd := range r.pending {
 			assert.NilError(c.t, r.store.Save(rd))
 		}
 	}
-	r.up = false
+	r.running = false
 	r.pending = nil
 }
 
 func (c *chaos) startOne() {
 	for _, id := range c.order {
-		if !c.replicas[id].up && !c.lost[id] && c.chance(2) {
+		if !c.replicas[id].running && !c.lostDisk[id] && c.oneIn(2) {
 			c.start(id)
 		}
 	}
@@ -152,12 +154,12 @@
 
 func (c *chaos) start(id ReplicaID) {
 	c.restart(id)
-	c.copy.installed(c.replicas[id].start)
+	c.reference.checkSnapshot(c.replicas[id].start)
 	delete(c.proposed, id)
 }
 
 func (c *chaos) pauseOne() {
-	if id := c.pick(); id != None && len(c.paused) == 0 {
+	if id := c.randomRunning(); id != None && len(c.paused) == 0 {
 		c.paused[id] = true
 		return
 	}
@@ -165,7 +167,7 @@
 }
 
 func (c *chaos) compactOne() {
-	id := c.pick()
+	id := c.randomRunning()
 	if id == None {
 		return
 	}
@@ -174,35 +176,35 @@
 		return
 	}
 	index := n.log.snapshot.Index + 1 + c.rand.Uint64N(n.log.applied-n.log.snapshot.Index)
-	data := binary.LittleEndian.AppendUint64(nil, c.copy.stateAt(index))
+	data := binary.LittleEndian.AppendUint64(nil, c.reference.digestAt(index))
 	s, err := n.Compact(index, data)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, c.replicas[id].store.Compact(s))
 }
 
-// loseDisk destroys a replica for good and starts an empty one under a new
-// identity, unless the group could no longer form a quorum.
+// loseDisk destroys a replica permanently and starts an empty one under a new
+// ReplicaID, unless the group could no longer form a quorum.
 func (c *chaos) loseDisk() {
-	id := c.pick()
-	if id == None || !c.survives(id) {
+	id := c.randomRunning()
+	if id == None || !c.keepsQuorumWithout(id) {
 		return
 	}
-	c.lost[id] = true
-	c.replicas[id].up = false
+	c.lostDisk[id] = true
+	c.replicas[id].running = false
 	c.replicas[id].pending = nil
 	c.add(c.nextID, PersistentState{})
 	c.nextID++
 }
 
-// survives reports whether every membership that may be in force keeps a quorum
-// of disks without one more replica.
-func (c *chaos) survives(id ReplicaID) bool {
+// keepsQuorumWithout reports whether every membership that may be in force
+// keeps a quorum of disks if one more replica is lost.
+func (c *chaos) keepsQuorumWithout(id ReplicaID) bool {
 	for _, other := range c.order {
 		for _, at := range c.replicas[other].node.members {
 			if len(at.members) == 0 {
 				continue
 			}
-			if !at.members.hasQuorum(func(v ReplicaID) bool { return v != id && !c.lost[v] }) {
+			if !at.members.hasQuorum(func(v ReplicaID) bool { return v != id && !c.lostDisk[v] }) {
 				return false
 			}
 		}
@@ -210,23 +212,24 @@
 	return true
 }
 
-// changeMembers proposes a random change, mostly one that repairs the group.
+// changeMembers proposes a random membership change, usually one that repairs
+// the group.
 func (c *chaos) changeMembers() {
-	id := c.pickLeader()
+	id := c.randomLeader()
 	if id == None {
 		return
 	}
 	n := c.replicas[id].node
-	target := c.oneOf(c.order)
+	target := c.randomOf(c.order)
 	member, ok := n.members.current().Find(target)
 	change := Change{Kind: Promote, Replica: target}
 	switch {
-	case c.lost[target]:
+	case c.lostDisk[target]:
 		change.Kind = Remove
 	case !ok:
 		change.Kind = AddLearner
-	case !member.Learner && c.chance(4):
-		if c.removable(n, target) {
+	case !member.Learner && c.oneIn(4):
+		if c.canRemove(n, target) {
 			change.Kind = Remove
 		}
 	case !member.Learner:
@@ -235,12 +238,12 @@
 	_, _ = n.ProposeChange(change)
 }
 
-// removable keeps the group at three voters with a disk or more; smaller ones
-// leave nothing to fail.
-func (c *chaos) removable(n *Node, target ReplicaID) bool {
+// canRemove reports whether at least three voters with a disk remain without
+// the target. Smaller groups tolerate no failure.
+func (c *chaos) canRemove(n *Node, target ReplicaID) bool {
 	left := 0
 	for _, v := range n.members.current().Voters() {
-		if v != target && !c.lost[v] {
+		if v != target && !c.lostDisk[v] {
 			left++
 		}
 	}
@@ -248,7 +251,7 @@
 }
 
 func (c *chaos) transfer() {
-	if id := c.pickLeader(); id != None {
-		_ = c.replicas[id].node.TransferLeadership(c.pick())
+	if id := c.randomLeader(); id != None {
+		_ = c.replicas[id].node.TransferLeadership(c.randomRunning())
 	}
 }
--- a/replog/follower.go
+++ b/replog/follower.go
@@ -1,8 +1,10 @@
 package replog
 
-func (n *Node) handleFromLeader(m Message) error {
+// handleLeaderMessage handles a message from the leader of the current term and
+// restarts the election timer.
+func (n *Node) handleLeaderMessage(m Message) error {
 	if n.role == Leader {
-		// Two leaders in one term.
+		// There are two leaders in one term, which election safety rules out.
 		return &CommittedConflictError{Index: m.Index, Commit: n.log.commit, From: m.From}
 	}
 	if n.role != Follower {
@@ -14,7 +16,7 @@
 	case MessageHeartbeat:
 		n.log.commitTo(m.Commit)
 		if m.Index != 0 {
-			n.freshness.newest(m.Index, 0, n.log.applied)
+			n.staleness.observeCommit(m.Index, 0, n.log.applied)
 		}
 		n.send(Message{Type: MessageHeartbeatResponse, To: m.From, ReadRound: m.ReadRound})
 		return nil
@@ -24,12 +26,13 @@
 	return n.handleSnapshot(m)
 }
 
-// refuseAsFresh answers a leader that takes this replica for a voter though it
-// has no state. It must have had some and lost it: if it took the entries again
-// under its old identity, it could vote while it lacks entries that it once
-// acknowledged, and they could be lost for the whole group.
-func (n *Node) refuseAsFresh(m Message) bool {
-	if !n.fresh() || m.ToLearner {
+// rejectIfStateLost rejects entries and snapshots if this replica has no state
+// although the leader regards it as a voter. The replica must have lost its
+// state: if it accepted the entries again under its old ReplicaID, it could
+// vote while it lacks entries that it once acknowledged, and the whole group
+// could lose them.
+func (n *Node) rejectIfStateLost(m Message) bool {
+	if !n.hasNoState() || m.ToLearner {
 		return false
 	}
 	n.send(Message{
@@ -39,8 +42,10 @@
 	return true
 }
 
+// handleAppend appends the leader's entries if the entry before them matches
+// this log, and rejects them otherwise.
 func (n *Node) handleAppend(m Message) error {
-	if n.refuseAsFresh(m) {
+	if n.rejectIfStateLost(m) {
 		return nil
 	}
 	if m.Index < n.log.commit {
@@ -51,7 +56,7 @@
 		n.rejectAppend(m)
 		return nil
 	}
-	if err := n.takeEntries(m); err != nil {
+	if err := n.appendFromLeader(m); err != nil {
 		return err
 	}
 	last := m.Index + uint64(len(m.Entries))
@@ -60,22 +65,26 @@
 	return nil
 }
 
+// rejectAppend rejects an append whose previous entry doesn't match. The
+// response hints at the last entry that may match, so that the leader can skip
+// the entries of conflicting terms.
 func (n *Node) rejectAppend(m Message) {
-	hint := n.log.hint(m.Index, m.LogTerm)
+	hint := n.log.findConflictByTerm(m.Index, m.LogTerm)
 	n.send(Message{
 		Type: MessageAppendResponse, To: m.From,
 		Reject: true, RejectIndex: m.Index, HintIndex: hint.Index, HintTerm: hint.Term,
 	})
 }
 
+// acknowledge reports all entries up to index as durable once they are.
 func (n *Node) acknowledge(to ReplicaID, index uint64) {
 	n.send(Message{Type: MessageAppendResponse, To: to, Index: index})
 }
 
-// takeEntries appends the entries that this log doesn't hold and replaces those
-// of other leaders.
-func (n *Node) takeEntries(m Message) error {
-	es := m.Entries[n.log.conflict(m.Entries):]
+// appendFromLeader appends the entries that this log lacks and replaces the
+// conflicting entries of other leaders.
+func (n *Node) appendFromLeader(m Message) error {
+	es := m.Entries[n.log.findConflict(m.Entries):]
 	if len(es) == 0 {
 		return nil
 	}
@@ -96,8 +105,9 @@
 	return nil
 }
 
-func decodeMemberships(es []Entry) (memberHistory, error) {
-	var h memberHistory
+// decodeMemberships returns the memberships contained in a sequence of entries.
+func decodeMemberships(es []Entry) (membershipHistory, error) {
+	var h membershipHistory
 	for i := range es {
 		if es[i].Kind != EntryMembership {
 			continue
@@ -111,8 +121,10 @@
 	return h, nil
 }
 
+// handleSnapshot replaces the log by the leader's snapshot, unless the log
+// already holds all entries that the snapshot covers.
 func (n *Node) handleSnapshot(m Message) error {
-	if n.refuseAsFresh(m) {
+	if n.rejectIfStateLost(m) {
 		return nil
 	}
 	s := *m.Snapshot
@@ -125,8 +137,8 @@
 		n.acknowledge(m.From, s.Index)
 		return nil
 	}
-	n.log.install(s)
-	n.members = memberHistory{{index: s.Index, members: s.Members}}
+	n.log.restoreSnapshot(s)
+	n.members = membershipHistory{{index: s.Index, members: s.Members}}
 	n.acknowledge(m.From, s.Index)
 	return nil
 }
--- a/replog/group_test.go
+++ b/replog/group_test.go
@@ -6,21 +6,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// group drives replicas in one process. Messages wait in queue until they are
+// group runs replicas in one process. Messages stay in queue until they are
 // delivered.
 type group struct {
 	t        assert.TestingT
 	replicas map[ReplicaID]*replica
 	order    []ReplicaID
 	queue    []Message
-	// cut drops messages from the first to the second replica.
-	cut map[[2]ReplicaID]bool
+	// blocked drops the messages from the first replica to the second.
+	blocked map[[2]ReplicaID]bool
 	// delay keeps writes outstanding until save is called.
 	delay  bool
 	seed   uint64
 	config func(id ReplicaID, seed uint64) Config
 }
 
+// replica is a node with its storage and the work that it has handed out.
 type replica struct {
 	node    *Node
 	store   *MemoryStorage
@@ -29,9 +30,9 @@
 	start   Snapshot
 	reads   []ReadState
 	soft    SoftState
-	up      bool
-	// hangs keeps writes of this replica outstanding.
-	hangs bool
+	running bool
+	// diskStalled keeps the writes of this replica outstanding.
+	diskStalled bool
 }
 
 func testConfig(id ReplicaID, seed uint64) Config {
@@ -43,7 +44,7 @@
 }
 
 func newGroupOf(t assert.TestingT, config func(ReplicaID, uint64) Config, seed uint64, ids ...ReplicaID) *group {
-	g := &group{t: t, replicas: map[ReplicaID]*replica{}, cut: map[[2]ReplicaID]bool{}, seed: seed, config: config}
+	g := &group{t: t, replicas: map[ReplicaID]*replica{}, blocked: map[[2]ReplicaID]bool{}, seed: seed, config: config}
 	var ms Members
 	for _, id := range ids {
 		ms = append(ms, Member{Replica: id})
@@ -54,14 +55,14 @@
 	return g
 }
 
-// add starts a replica from saved state.
+// add starts a replica from a persistent state.
 func (g *group) add(id ReplicaID, s PersistentState) {
 	g.replicas[id] = &replica{store: NewMemoryStorage(s)}
 	g.order = append(g.order, id)
 	g.restart(id)
 }
 
-// restart starts a replica from what it has saved; unsaved writes are lost.
+// restart starts a replica from its storage; unsaved writes are lost.
 func (g *group) restart(id ReplicaID) {
 	r := g.replicas[id]
 	s, err := r.store.Load()
@@ -71,27 +72,28 @@
 	r.pending, r.reads, r.applied = nil, nil, nil
 	r.start = s.Snapshot
 	r.soft = SoftState{}
-	r.up = true
+	r.running = true
 }
 
-// collect takes all Readys of a replica and saves them unless writes are
+// collect processes all Readys of a replica, and saves them unless writes are
 // delayed.
 func (g *group) collect(id ReplicaID) {
 	r := g.replicas[id]
-	for r.up && r.node.HasReady() {
+	for r.running && r.node.HasReady() {
 		rd := r.node.Ready()
 		g.queue = append(g.queue, rd.Messages...)
-		r.take(rd)
+		r.recordReady(rd)
 		if rd.MustSync {
 			r.pending = append(r.pending, rd)
 		}
-		if !g.delay && !r.hangs {
+		if !g.delay && !r.diskStalled {
 			g.save(id)
 		}
 	}
 }
 
-func (r *replica) take(rd Ready) {
+// recordReady applies a Ready to the recorded state of the replica.
+func (r *replica) recordReady(rd Ready) {
 	if rd.Snapshot != nil {
 		r.start = *rd.Snapshot
 		r.applied = nil
@@ -103,7 +105,7 @@
 	r.reads = append(r.reads, rd.ReadStates...)
 }
 
-// save makes the outstanding write durable.
+// save completes the outstanding writes of a replica.
 func (g *group) save(id ReplicaID) {
 	r := g.replicas[id]
 	for _, rd := range r.pending {
@@ -113,7 +115,7 @@
 	r.pending = nil
 }
 
-// deliver passes on all messages until nothing is left to do.
+// deliver delivers messages until there are none left.
 func (g *group) deliver() {
 	for {
 		for _, id := range g.order {
@@ -130,17 +132,17 @@
 
 func (g *group) step(m Message) {
 	r := g.replicas[m.To]
-	if r == nil || !r.up || g.cut[[2]ReplicaID{m.From, m.To}] {
+	if r == nil || !r.running || g.blocked[[2]ReplicaID{m.From, m.To}] {
 		return
 	}
 	assert.NilError(g.t, r.node.Step(m))
 }
 
-// tick passes n ticks on all replicas and delivers after each.
+// tick advances all replicas by n ticks and delivers messages after each.
 func (g *group) tick(n int) {
 	for range n {
 		for _, id := range g.order {
-			if g.replicas[id].up {
+			if g.replicas[id].running {
 				g.replicas[id].node.Tick()
 			}
 		}
@@ -148,20 +150,20 @@
 	}
 }
 
-// isolate cuts a replica off in both directions, or joins it again.
+// isolate blocks all links of a replica in both directions, or unblocks them.
 func (g *group) isolate(id ReplicaID, cut bool) {
 	for _, other := range g.order {
-		g.cut[[2]ReplicaID{id, other}] = cut
-		g.cut[[2]ReplicaID{other, id}] = cut
+		g.blocked[[2]ReplicaID{id, other}] = cut
+		g.blocked[[2]ReplicaID{other, id}] = cut
 	}
 }
 
-// leader is the running leader of the highest term, or None.
+// leader returns the running leader of the highest term, or None.
 func (g *group) leader() ReplicaID {
 	best := None
 	for _, id := range g.order {
 		r := g.replicas[id]
-		if r.up && r.node.role == Leader && (best == None || r.node.term > g.replicas[best].node.term) {
+		if r.running && r.node.role == Leader && (best == None || r.node.term > g.replicas[best].node.term) {
 			best = id
 		}
 	}
@@ -181,7 +183,8 @@
 	return nil
 }
 
-func (r *replica) data() []string {
+// appliedData returns the data of the applied commands.
+func (r *replica) appliedData() []string {
 	var out []string
 	for _, e := range r.applied {
 		if e.Kind == EntryCommand {
@@ -201,15 +204,16 @@
 	assert.NilError(t, l.node.ReadIndex(7))
 	g.deliver()
 	for _, id := range g.order {
-		assert.DeepEqual(t, g.replicas[id].data(), []string{"a", "b", "c"})
+		assert.DeepEqual(t, g.replicas[id].appliedData(), []string{"a", "b", "c"})
 	}
 	assert.Equal(t, len(l.reads), 1)
 	assert.Equal(t, l.reads[0].RequestID, uint64(7))
 }
 
-// The leader's zone is cut off silently: nothing tells it that its messages are
-// lost. Callers that reach it would wait for ever, and an operator would see two
-// leaders. It gives up by its own ticks, and the others elect a new one.
+// The leader is isolated without any error on its connections. If it stayed
+// leader, its clients would wait forever and an operator would see two leaders.
+// It has to step down by its own ticks, and the other replicas elect a new
+// leader.
 func TestIsolatedLeaderStepsDown(t *testing.T) {
 	g := newGroup(t, 1, 1, 2, 3)
 	old := g.elect()
--- a/replog/invariants_test.go
+++ b/replog/invariants_test.go
@@ -7,27 +7,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// singleCopy is the naive version of the replicated log: one list in one place.
-// Every replica has to agree with it at every moment.
-type singleCopy struct {
+// referenceLog is the reference model of the replicated log: a single list in
+// one place. Every replica has to agree with it at all times.
+type referenceLog struct {
 	t assert.TestingT
-	// entries are the committed entries; the first one has the index after the
-	// bootstrap snapshot's.
+	// entries are the committed entries; the first one follows the bootstrap
+	// snapshot.
 	entries []Entry
-	// digests[i] stands for the state after entries[:i].
+	// digests[i] is a digest of the state after entries[:i].
 	digests []uint64
-	// leaders is the leader of each term.
+	// leaders holds the leader of each term.
 	leaders map[uint64]ReplicaID
-	// seen holds each entry ever found in a log, by place and term, with the term
-	// of the one before.
-	seen map[Position]seenEntry
-	// floors is the last committed index when a read was asked for.
-	floors map[uint64]uint64
-	// confirmed are the proposals that came back to their proposer.
+	// observed holds every entry that was ever found in a log, by index and
+	// term, together with the term of the previous entry.
+	observed map[Position]observedEntry
+	// readFloors holds the last committed index at the time of each read
+	// request.
+	readFloors map[uint64]uint64
+	// confirmed holds the proposals whose proposer has seen them committed.
 	confirmed map[string]Position
 }
 
-type seenEntry struct {
+// observedEntry is the content of an entry and the term of the one before it.
+type observedEntry struct {
 	before uint64
 	kind   EntryKind
 	data   string
@@ -35,37 +37,38 @@
 
 const bootstrapIndex = 1
 
-func newSingleCopy(t assert.TestingT) *singleCopy {
-	return &singleCopy{
+func newSingleCopy(t assert.TestingT) *referenceLog {
+	return &referenceLog{
 		t: t, digests: []uint64{0}, leaders: map[uint64]ReplicaID{},
-		seen: map[Position]seenEntry{}, floors: map[uint64]uint64{}, confirmed: map[string]Position{},
+		observed: map[Position]observedEntry{}, readFloors: map[uint64]uint64{}, confirmed: map[string]Position{},
 	}
 }
 
-func (c *singleCopy) lastIndex() uint64 { return bootstrapIndex + uint64(len(c.entries)) }
+func (c *referenceLog) lastIndex() uint64 { return bootstrapIndex + uint64(len(c.entries)) }
 
-// applied checks an entry that a replica applies against the single copy.
-func (c *singleCopy) applied(id ReplicaID, e Entry) {
+// checkApplied checks an entry that a replica applies against the reference
+// log.
+func (c *referenceLog) checkApplied(id ReplicaID, e Entry) {
 	if e.Index == c.lastIndex()+1 {
 		c.entries = append(c.entries, e)
 		c.digests = append(c.digests, digest(c.digests[len(c.digests)-1], e))
 		return
 	}
-	assert.Assert(c.t, e.Index <= c.lastIndex(), "replica %d skips to %d", id, e.Index)
+	assert.Assert(c.t, e.Index <= c.lastIndex(), "replica %d skips to entry %d", id, e.Index)
 	have := c.entries[e.Index-bootstrapIndex-1]
 	assert.Equal(c.t, e.Term, have.Term, "replica %d applies another entry at %d", id, e.Index)
 	assert.Equal(c.t, string(e.Data), string(have.Data))
 }
 
-// installed checks a snapshot that a replica takes over.
-func (c *singleCopy) installed(s Snapshot) {
+// checkSnapshot checks the state in a snapshot that a replica restores.
+func (c *referenceLog) checkSnapshot(s Snapshot) {
 	if s.Data != nil {
-		assert.Equal(c.t, binary.LittleEndian.Uint64(s.Data), c.stateAt(s.Index))
+		assert.Equal(c.t, binary.LittleEndian.Uint64(s.Data), c.digestAt(s.Index))
 	}
 }
 
-// stateAt stands for the state after the entry at index.
-func (c *singleCopy) stateAt(index uint64) uint64 { return c.digests[index-bootstrapIndex] }
+// digestAt returns the digest of the state after the entry at index.
+func (c *referenceLog) digestAt(index uint64) uint64 { return c.digests[index-bootstrapIndex] }
 
 func digest(before uint64, e Entry) uint64 {
 	h := fnv.New64a()
@@ -75,8 +78,8 @@
 	return h.Sum64()
 }
 
-// checkNode checks what must hold of a replica at any time.
-func (c *singleCopy) checkNode(n *Node) {
+// checkNode checks the invariants that hold for a replica at all times.
+func (c *referenceLog) checkNode(n *Node) {
 	c.checkLog(n)
 	if n.role != Leader {
 		return
@@ -90,24 +93,25 @@
 	c.checkComplete(n)
 }
 
-// checkLog checks that entries with the same place and term are the same and
-// follow on the same.
-func (c *singleCopy) checkLog(n *Node) {
+// checkLog checks the log matching property: entries with the same index and
+// term are equal and follow equal entries.
+func (c *referenceLog) checkLog(n *Node) {
 	before := n.log.base.Term
 	for _, e := range n.log.entries {
 		at := Position{Term: e.Term, Index: e.Index}
-		is := seenEntry{before: before, kind: e.Kind, data: string(e.Data)}
-		was, ok := c.seen[at]
+		is := observedEntry{before: before, kind: e.Kind, data: string(e.Data)}
+		was, ok := c.observed[at]
 		if ok && was != is {
 			assert.Assert(c.t, false, "replica %d has another entry at %+v", n.cfg.ID, at)
 		}
-		c.seen[at] = is
+		c.observed[at] = is
 		before = e.Term
 	}
 }
 
-// checkComplete checks that a new leader has all committed entries.
-func (c *singleCopy) checkComplete(n *Node) {
+// checkComplete checks leader completeness: a new leader has all committed
+// entries.
+func (c *referenceLog) checkComplete(n *Node) {
 	for _, e := range c.entries {
 		if e.Index > n.log.base.Index && !n.log.matches(e.Index, e.Term) {
 			assert.Assert(c.t, false, "leader %d of term %d lacks committed entry %d", n.cfg.ID, n.term, e.Index)
@@ -115,12 +119,13 @@
 	}
 }
 
-// checkPromise checks that what a message promises is on the sender's disk.
-func (c *singleCopy) checkPromise(m Message, disk PersistentState) {
+// checkDurable checks that the state that a message depends on is on the
+// sender's disk.
+func (c *referenceLog) checkDurable(m Message, disk PersistentState) {
 	last := disk.Snapshot.Index + uint64(len(disk.Entries))
 	switch {
 	case m.Type == MessageAppendResponse && !m.Reject:
-		assert.Assert(c.t, m.Index <= last, "%d acknowledges %d and has %d", m.From, m.Index, last)
+		assert.Assert(c.t, m.Index <= last, "replica %d acknowledges index %d and has saved %d", m.From, m.Index, last)
 	case m.Type == MessageVote:
 		assert.Assert(c.t, disk.HardState.Term > m.Term ||
 			disk.HardState.Term == m.Term && disk.HardState.Vote == m.From && last >= m.Index)
@@ -130,18 +135,18 @@
 	}
 }
 
-// checkRead checks that a read sees all that was committed when it was asked
-// for.
-func (c *singleCopy) checkRead(r ReadState) {
-	floor, ok := c.floors[r.RequestID]
-	assert.Assert(c.t, ok, "answer to read %d, which nobody asked for", r.RequestID)
-	delete(c.floors, r.RequestID)
-	assert.Assert(c.t, r.Aborted || r.Index >= floor, "read %d sees %d and not %d", r.RequestID, r.Index, floor)
+// checkRead checks that a read is linearizable: it sees everything that was
+// committed when it was requested.
+func (c *referenceLog) checkRead(r ReadState) {
+	floor, ok := c.readFloors[r.RequestID]
+	assert.Assert(c.t, ok, "result of read %d, which was not requested", r.RequestID)
+	delete(c.readFloors, r.RequestID)
+	assert.Assert(c.t, r.Aborted || r.Index >= floor, "read %d sees index %d, want at least %d", r.RequestID, r.Index, floor)
 }
 
-// checkOutcome checks that each confirmed proposal is in the log once, and that
-// none is there twice.
-func (c *singleCopy) checkOutcome() {
+// checkOutcome checks that each confirmed proposal is in the log exactly once,
+// and that no proposal is there twice.
+func (c *referenceLog) checkOutcome() {
 	count := map[string]int{}
 	for _, e := range c.entries {
 		if e.Kind == EntryCommand {
--- a/replog/log.go
+++ b/replog/log.go
@@ -1,35 +1,39 @@
 package replog
 
-// entryLog holds the entries after the compacted part in memory, and how far
-// they are saved, committed and applied.
+// entryLog is the in-memory part of the Raft log: the entries after the last
+// compaction, and the indexes up to which entries are submitted for saving,
+// durable, committed and applied.
 //
 // Invariants: applied <= commit <= lastIndex; applied <= stable;
-// stable <= handed <= lastIndex.
+// stable <= submitted <= lastIndex.
 type entryLog struct {
-	// base is the last compacted entry; entries[i] has index base.Index+1+i.
+	// base is the last compacted entry; entries[i] has the index
+	// base.Index+1+i.
 	base    Position
 	entries []Entry
 	// snapshot is the latest snapshot; snapshot.Index >= base.Index.
 	snapshot Snapshot
-	// snapshotPending is set while a received snapshot has not been handed out
-	// to be saved.
-	snapshotPending bool
-
-	// handed is the last index handed out to be saved, stable the last one known
-	// to be durable.
-	handed uint64
-	stable uint64
-	commit uint64
-	// applied is the last index handed out to be applied.
+	// snapshotUnsubmitted is set while a received snapshot has not been
+	// submitted for saving.
+	snapshotUnsubmitted bool
+
+	// submitted is the last index submitted for saving in a Ready, stable the
+	// last index known to be durable.
+	submitted uint64
+	stable    uint64
+	commit    uint64
+	// applied is the last index handed to the application to be applied.
 	applied uint64
 }
 
+// newEntryLog returns the log of a replica that restarts from its persistent
+// state.
 func newEntryLog(s PersistentState) entryLog {
 	l := entryLog{snapshot: s.Snapshot, entries: s.Entries}
 	l.base = Position{Term: s.Snapshot.Term, Index: s.Snapshot.Index}
-	l.handed = l.lastIndex()
-	l.stable = l.handed
-	l.commit = max(s.Snapshot.Index, min(s.HardState.Commit, l.handed))
+	l.submitted = l.lastIndex()
+	l.stable = l.submitted
+	l.commit = max(s.Snapshot.Index, min(s.HardState.Commit, l.submitted))
 	l.applied = s.Snapshot.Index
 	return l
 }
@@ -41,8 +45,8 @@
 	return t
 }
 
-// term returns the term of the entry at index, and false if it is compacted or
-// doesn't exist.
+// term returns the term of the entry at index, and false if the entry is
+// compacted or doesn't exist.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.base.Index:
@@ -53,21 +57,22 @@
 	return l.entries[index-l.base.Index-1].Term, true
 }
 
+// matches reports whether the log holds an entry with this index and term.
 func (l *entryLog) matches(index, term uint64) bool {
 	t, ok := l.term(index)
 	return ok && t == term
 }
 
-// upToDate reports whether a log that ends with the given entry holds at least
-// as much as this one.
+// upToDate reports whether a log that ends with the given entry is at least as
+// up-to-date as this one, in the sense of section 5.4.1 of the Raft paper.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	last := l.lastTerm()
 	return term > last || term == last && index >= l.lastIndex()
 }
 
-// from returns the entries from index on, at least one if there is any and no
-// more than maxBytes otherwise. The slice must not be changed.
-func (l *entryLog) from(index uint64, maxBytes int) []Entry {
+// entriesFrom returns the entries from index on, up to maxBytes in total but at
+// least one if there is any. The caller must not modify the slice.
+func (l *entryLog) entriesFrom(index uint64, maxBytes int) []Entry {
 	if index > l.lastIndex() {
 		return nil
 	}
@@ -95,18 +100,18 @@
 	l.entries = append(l.entries, es...)
 }
 
-// truncate removes the entries from index on. The array stays untouched, since
-// messages and writes may share it.
+// truncate removes the entries from index on. It doesn't overwrite the backing
+// array, since messages and outstanding writes may share it.
 func (l *entryLog) truncate(index uint64) {
 	n := index - l.base.Index - 1
 	l.entries = l.entries[:n:n]
-	l.handed = min(l.handed, index-1)
+	l.submitted = min(l.submitted, index-1)
 	l.stable = min(l.stable, index-1)
 }
 
-// conflict returns the position in es of the first entry that this log doesn't
-// hold, or len(es).
-func (l *entryLog) conflict(es []Entry) int {
+// findConflict returns the position in es of the first entry that this log
+// doesn't hold, or len(es).
+func (l *entryLog) findConflict(es []Entry) int {
 	for i := range es {
 		if !l.matches(es[i].Index, es[i].Term) {
 			return i
@@ -115,10 +120,10 @@
 	return len(es)
 }
 
-// hint returns the last entry at or before index whose term is not above term.
-// No entry after it can be equal to the one of a log that has the given term at
-// the given index.
-func (l *entryLog) hint(index, term uint64) Position {
+// findConflictByTerm returns the last entry at or before index whose term is
+// not above term. No later entry can match a log that has the given term at the
+// given index.
+func (l *entryLog) findConflictByTerm(index, term uint64) Position {
 	index = min(index, l.lastIndex())
 	for index > l.base.Index {
 		t, _ := l.term(index)
@@ -130,6 +135,8 @@
 	return l.base
 }
 
+// commitTo advances the commit index, as far as the log reaches, and reports
+// whether it has changed.
 func (l *entryLog) commitTo(index uint64) bool {
 	index = min(index, l.lastIndex())
 	if index <= l.commit {
@@ -139,43 +146,46 @@
 	return true
 }
 
-func (l *entryLog) hasUnsaved() bool {
-	return l.snapshotPending || l.handed < l.lastIndex()
+// hasUnsubmitted reports whether the log has entries or a snapshot that are not
+// submitted for saving.
+func (l *entryLog) hasUnsubmitted() bool {
+	return l.snapshotUnsubmitted || l.submitted < l.lastIndex()
 }
 
-// savedTo records that the entries up to at are durable, unless they have been
+// markStable records that the entries up to at are durable, unless they were
 // replaced in the meantime.
-func (l *entryLog) savedTo(at Position) {
+func (l *entryLog) markStable(at Position) {
 	if at.Index > l.stable && l.matches(at.Index, at.Term) {
 		l.stable = at.Index
 	}
 }
 
-// applicable is the last index that may be applied.
-func (l *entryLog) applicable() uint64 {
-	if l.snapshotPending {
+// lastApplicable returns the last index that may be applied: it is committed
+// and durable on this replica.
+func (l *entryLog) lastApplicable() uint64 {
+	if l.snapshotUnsubmitted {
 		return l.applied
 	}
 	return min(l.commit, l.stable)
 }
 
-// install replaces everything by a received snapshot.
-func (l *entryLog) install(s Snapshot) {
+// restoreSnapshot replaces the whole log by a received snapshot.
+func (l *entryLog) restoreSnapshot(s Snapshot) {
 	*l = entryLog{
-		base:            Position{Term: s.Term, Index: s.Index},
-		snapshot:        s,
-		snapshotPending: true,
-		handed:          s.Index,
-		commit:          s.Index,
-		applied:         s.Index,
+		base:                Position{Term: s.Term, Index: s.Index},
+		snapshot:            s,
+		snapshotUnsubmitted: true,
+		submitted:           s.Index,
+		commit:              s.Index,
+		applied:             s.Index,
 	}
 }
 
-// compact takes over a snapshot of the applied state and frees the entries
-// before it but for the last ones within the bounds.
+// compact records a snapshot of the applied state and drops the entries that
+// the snapshot covers, except for the trailing ones within the limits.
 func (l *entryLog) compact(s Snapshot, maxEntries uint64, maxBytes int) {
 	l.snapshot = s
-	index := l.trailing(s.Index, maxEntries, maxBytes)
+	index := l.compactionIndex(s.Index, maxEntries, maxBytes)
 	if index == l.base.Index {
 		return
 	}
@@ -185,8 +195,9 @@
 	l.base = Position{Term: term, Index: index}
 }
 
-// trailing returns the index after which entries before a snapshot are kept.
-func (l *entryLog) trailing(snapshot, maxEntries uint64, maxBytes int) uint64 {
+// compactionIndex returns the last index to drop, so that the trailing entries
+// before a snapshot stay within the limits.
+func (l *entryLog) compactionIndex(snapshot, maxEntries uint64, maxBytes int) uint64 {
 	index := snapshot
 	for index > l.base.Index && snapshot-index < maxEntries {
 		maxBytes -= l.entries[index-l.base.Index-1].size()
--- a/replog/main_test.go
+++ b/replog/main_test.go
@@ -7,12 +7,12 @@
 )
 
 var (
-	long    = flag.Int("replog.long", 0, "run the randomised test this many times, from a random seed")
-	rewrite = flag.Bool("replog.rewrite", false, "write what the scripts in testdata gave into them")
+	long    = flag.Int("replog.long", 0, "number of runs of the randomised test, from a random seed")
+	rewrite = flag.Bool("replog.rewrite", false, "update the expected output of the scripts in testdata")
 )
 
-// TestMain gives rapid a fixed seed unless a long run is asked for, so that
-// every run of the same code has the same verdict.
+// TestMain gives rapid a fixed seed unless a long run is requested, so that
+// every run of the same code has the same result.
 func TestMain(m *testing.M) {
 	set("rapid.seed", "1")
 	set("rapid.checks", "120")
--- a/replog/members.go
+++ b/replog/members.go
@@ -5,19 +5,21 @@
 	"slices"
 )
 
-// Member is one replica of the group.
+// Member is one replica of a group.
 type Member struct {
 	Replica ReplicaID
-	// Learner replicas receive entries and don't count for any quorum.
+	// Learner is set on replicas that receive entries and don't count for any
+	// quorum.
 	Learner bool
-	// Address is for the owner; this package doesn't look at it.
+	// Address is the replica's address. Only the application uses it.
 	Address string
 }
 
-// Members are the replicas of a group, by ReplicaID.
+// Members is the membership of a group, sorted by ReplicaID. The Raft paper
+// calls it the cluster configuration.
 type Members []Member
 
-// Find returns the member with this ID.
+// Find returns the member with this ReplicaID, and whether there is one.
 func (ms Members) Find(id ReplicaID) (Member, bool) {
 	for _, m := range ms {
 		if m.Replica == id {
@@ -44,7 +46,7 @@
 	return ids
 }
 
-// Quorum is the number of voters in a majority.
+// Quorum returns the number of voters in a majority.
 func (ms Members) Quorum() int { return len(ms.Voters())/2 + 1 }
 
 // hasQuorum reports whether a majority of the voters satisfies ok.
@@ -62,6 +64,7 @@
 	return n > voters/2
 }
 
+// with returns a copy of the membership in which m is added or replaced.
 func (ms Members) with(m Member) Members {
 	out := ms.without(m.Replica)
 	out = append(out, m)
@@ -74,6 +77,7 @@
 	return out
 }
 
+// without returns a copy of the membership from which a replica is removed.
 func (ms Members) without(id ReplicaID) Members {
 	out := make(Members, 0, len(ms)+1)
 	for _, m := range ms {
@@ -84,15 +88,17 @@
 	return out
 }
 
-const memberLearner = 1
+// learnerFlag marks a learner in an encoded membership.
+const learnerFlag = 1
 
-// EncodeMembers gives the bytes that DecodeMembers reads.
+// EncodeMembers encodes a membership as unsigned varints: the number of
+// members, and for each its ReplicaID, flags, address length and address.
 func EncodeMembers(ms Members) []byte {
 	b := binary.AppendUvarint(nil, uint64(len(ms)))
 	for _, m := range ms {
 		flags := uint64(0)
 		if m.Learner {
-			flags = memberLearner
+			flags = learnerFlag
 		}
 		b = binary.AppendUvarint(b, uint64(m.Replica))
 		b = binary.AppendUvarint(b, flags)
@@ -102,9 +108,10 @@
 	return b
 }
 
-// DecodeMembers reads what EncodeMembers wrote, or fails with *BadEncoding.
+// DecodeMembers decodes the output of EncodeMembers, or fails with
+// *DecodeError.
 func DecodeMembers(b []byte) (Members, error) {
-	r := memberReader{rest: b, size: len(b)}
+	r := memberDecoder{rest: b, size: len(b)}
 	n := r.uvarint()
 	var ms Members
 	for i := uint64(0); i < n && !r.failed; i++ {
@@ -116,13 +123,14 @@
 	return ms, nil
 }
 
-type memberReader struct {
+// memberDecoder decodes members and remembers whether any read failed.
+type memberDecoder struct {
 	rest   []byte
 	size   int
 	failed bool
 }
 
-func (r *memberReader) uvarint() uint64 {
+func (r *memberDecoder) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
 		r.failed = true
@@ -132,35 +140,38 @@
 	return v
 }
 
-func (r *memberReader) member() Member {
+func (r *memberDecoder) member() Member {
 	id := r.uvarint()
 	flags := r.uvarint()
 	size := r.uvarint()
-	if r.failed || id == 0 || flags > memberLearner || size > uint64(len(r.rest)) {
+	if r.failed || id == 0 || flags > learnerFlag || size > uint64(len(r.rest)) {
 		r.failed = true
 		return Member{}
 	}
 	address := string(r.rest[:size])
 	r.rest = r.rest[size:]
-	return Member{Replica: ReplicaID(id), Learner: flags == memberLearner, Address: address}
+	return Member{Replica: ReplicaID(id), Learner: flags == learnerFlag, Address: address}
 }
 
-// memberHistory holds the membership as of each EntryMembers in the log. A
-// replica uses the latest one in its log, committed or not; when the entry is
-// replaced by another leader's, the one before holds again.
-type memberHistory []membersAt
+// membershipHistory holds the membership as of each EntryMembership in the log.
+// A replica uses the latest one in its log, whether it is committed or not.
+// When the entry is replaced by another leader's, the previous membership
+// applies again.
+type membershipHistory []membershipAt
 
-type membersAt struct {
+// membershipAt is the membership from the log entry at index on.
+type membershipAt struct {
 	index   uint64
 	members Members
 }
 
-func (h memberHistory) current() Members { return h[len(h)-1].members }
+func (h membershipHistory) current() Members { return h[len(h)-1].members }
 
-// lastIndex is the index of the latest membership change.
-func (h memberHistory) lastIndex() uint64 { return h[len(h)-1].index }
+// lastIndex returns the index of the latest membership change.
+func (h membershipHistory) lastIndex() uint64 { return h[len(h)-1].index }
 
-func (h memberHistory) at(index uint64) Members {
+// at returns the membership as of a log index.
+func (h membershipHistory) at(index uint64) Members {
 	for i := len(h) - 1; i > 0; i-- {
 		if h[i].index <= index {
 			return h[i].members
@@ -169,19 +180,19 @@
 	return h[0].members
 }
 
-func (h *memberHistory) add(index uint64, ms Members) {
-	*h = append(*h, membersAt{index: index, members: ms})
+func (h *membershipHistory) add(index uint64, ms Members) {
+	*h = append(*h, membershipAt{index: index, members: ms})
 }
 
-// truncate forgets the changes from index on.
-func (h *memberHistory) truncate(index uint64) {
+// truncate removes the membership changes from index on.
+func (h *membershipHistory) truncate(index uint64) {
 	for len(*h) > 1 && h.lastIndex() >= index {
 		*h = (*h)[:len(*h)-1]
 	}
 }
 
-// compact forgets what was in force only before index.
-func (h *memberHistory) compact(index uint64) {
+// compact removes the memberships that were replaced at or before index.
+func (h *membershipHistory) compact(index uint64) {
 	for len(*h) > 1 && (*h)[1].index <= index {
 		*h = (*h)[1:]
 	}
--- a/replog/membership_change.go
+++ b/replog/membership_change.go
@@ -1,50 +1,55 @@
 package replog
 
-// ChangeKind is what a membership change does.
+// ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
-// The kinds of changes.
+// The kinds of membership changes.
 const (
-	// AddLearner adds a replica that receives entries and doesn't count.
+	// AddLearner adds a replica that receives entries and doesn't count for a
+	// quorum.
 	AddLearner ChangeKind = iota + 1
-	// Promote makes a learner a voter. It is refused until the learner has
+	// Promote makes a learner a voter. It is rejected until the learner has
 	// acknowledged all committed entries as durable.
 	Promote
-	// Remove takes a replica out of the group. It may come back as a learner under
-	// its identity only with the disk that it had.
+	// Remove takes a replica out of the group. The replica may rejoin as a
+	// learner under its old ReplicaID only if it still has its old disk.
 	Remove
 	// SetAddress changes the address of a member.
 	SetAddress
 )
 
-// Change is one membership change.
+// Change is a single-server membership change: it adds, promotes or removes
+// one replica or changes its address.
 type Change struct {
 	Kind    ChangeKind
 	Replica ReplicaID
-	// Address is used by AddLearner and SetAddress.
+	// Address is the new address for AddLearner and SetAddress; other kinds
+	// ignore it.
 	Address string
 }
 
-// ProposeChange appends a membership change. It holds from the moment it is
-// appended; it is decided when its entry, of kind EntryMembers, is committed. It
-// fails with *NotLeader or *ChangeRefused; in particular a second change is
-// refused while one is not committed.
+// ProposeChange appends a membership change. As in the Raft paper, the new
+// membership is in force on a replica as soon as the entry is in its log. The
+// change is final once its entry, of kind EntryMembership, is committed.
+// ProposeChange fails with *NotLeaderError or *ChangeRejectedError; in
+// particular, a second change is rejected while the first one is not committed.
 func (n *Node) ProposeChange(c Change) (Position, error) {
 	if n.role != Leader {
 		return Position{}, &NotLeaderError{Leader: n.leader}
 	}
-	if reason := n.refusal(c); reason != "" {
+	if reason := n.rejectReason(c); reason != "" {
 		return Position{}, &ChangeRejectedError{Change: c, Reason: reason}
 	}
-	ms := n.changed(c)
-	at := n.appendOwn(EntryMembership, EncodeMembers(ms))
+	ms := n.membersAfter(c)
+	at := n.appendEntry(EntryMembership, EncodeMembers(ms))
 	n.members.add(at.Index, ms)
-	n.updateProgress(at.Index)
+	n.syncProgress(at.Index)
 	n.maybeCommit()
 	return at, nil
 }
 
-func (n *Node) changed(c Change) Members {
+// membersAfter returns the latest membership with a change applied to it.
+func (n *Node) membersAfter(c Change) Members {
 	ms := n.members.current()
 	m, _ := ms.Find(c.Replica)
 	switch c.Kind {
@@ -60,8 +65,8 @@
 	return ms.with(m)
 }
 
-// refusal returns why a change is not possible now, or "".
-func (n *Node) refusal(c Change) ChangeRejectReason {
+// rejectReason returns why a change is not possible now, or "" if it is.
+func (n *Node) rejectReason(c Change) ChangeRejectReason {
 	switch {
 	case c.Replica == None:
 		return ChangeInvalidID
@@ -70,15 +75,17 @@
 	case n.members.lastIndex() > n.log.commit:
 		// Two changes at once could leave two quorums without a common voter.
 		return ChangePending
-	case !n.committedInTerm():
-		// A change of an earlier leader could still be in force elsewhere; once
-		// an entry of this term is committed, it can't be committed any more.
+	case !n.hasCommittedInTerm():
+		// A change of an earlier leader could still be committed elsewhere.
+		// Once an entry of this term is committed, that is no longer possible.
 		return ChangeNoCommitInTerm
 	}
-	return n.refusalByKind(c)
+	return n.rejectReasonByKind(c)
 }
 
-func (n *Node) refusalByKind(c Change) ChangeRejectReason {
+// rejectReasonByKind checks the conditions that depend on the kind of the
+// change.
+func (n *Node) rejectReasonByKind(c Change) ChangeRejectReason {
 	member, found := n.members.current().Find(c.Replica)
 	switch {
 	case c.Kind < AddLearner || c.Kind > SetAddress:
@@ -90,31 +97,34 @@
 	case !found:
 		return ChangeNotMember
 	case c.Kind == Promote:
-		return n.refusalOfPromotion(member)
+		return n.promotionRejectReason(member)
 	case c.Kind == Remove:
-		return n.refusalOfRemoval(member)
+		return n.removalRejectReason(member)
 	}
 	return ""
 }
 
-func (n *Node) refusalOfPromotion(m Member) ChangeRejectReason {
+// promotionRejectReason returns why a member can't become a voter, or "".
+func (n *Node) promotionRejectReason(m Member) ChangeRejectReason {
 	p := n.progress[m.Replica]
 	switch {
 	case !m.Learner:
 		return ChangeNotLearner
-	case p.Match < n.log.commit || !n.active(m.Replica):
+	case p.Match < n.log.commit || !n.isRecentlyActive(m.Replica):
 		return ChangeNotCaughtUp
 	}
 	return ""
 }
 
-// answeredInTerm reports whether a replica has acknowledged an entry of this
-// leader and still answers.
-func (n *Node) answeredInTerm(id ReplicaID) bool {
-	return id == n.cfg.ID || n.active(id) && n.progress[id].Match >= n.termStart
+// ackedInTerm reports whether a replica has acknowledged an entry of this
+// leader and is still responding.
+func (n *Node) ackedInTerm(id ReplicaID) bool {
+	return id == n.cfg.ID || n.isRecentlyActive(id) && n.progress[id].Match >= n.termStart
 }
 
-func (n *Node) refusalOfRemoval(m Member) ChangeRejectReason {
+// removalRejectReason returns why a member can't be removed, or "". The
+// remaining voters must include a responsive quorum.
+func (n *Node) removalRejectReason(m Member) ChangeRejectReason {
 	if m.Replica == n.cfg.ID {
 		return ChangeRemovesLeader
 	}
@@ -122,7 +132,7 @@
 		return ""
 	}
 	rest := n.members.current().without(m.Replica)
-	if !rest.hasQuorum(n.answeredInTerm) {
+	if !rest.hasQuorum(n.ackedInTerm) {
 		return ChangeLosesQuorum
 	}
 	return ""
--- a/replog/message.go
+++ b/replog/message.go
@@ -1,42 +1,46 @@
 package replog
 
-// MessageType tells which fields of a Message have a meaning.
+// MessageType is the type of a Message and determines which of its fields are
+// used.
 type MessageType uint8
 
 // The types of messages. Every message has From, To, Group and Term.
 const (
-	// MessagePreVote asks whether an election could succeed: Term is the term
-	// that the election would have, Index and LogTerm the sender's last entry.
+	// MessagePreVote asks whether the sender would win an election. Term is the
+	// term of the proposed election; Index and LogTerm describe the sender's
+	// last entry.
 	MessagePreVote MessageType = iota + 1
-	// MessagePreVoteResponse answers with Reject.
+	// MessagePreVoteResponse answers a pre-vote; Reject refuses it.
 	MessagePreVoteResponse
-	// MessageVote asks for a vote: Index and LogTerm are the sender's last
-	// entry. Force is set when the leader itself asked for the election.
+	// MessageVote requests a vote. Index and LogTerm describe the candidate's
+	// last entry. LeadershipTransfer is set if the leader asked for the
+	// election.
 	MessageVote
-	// MessageVoteResponse answers with Reject.
+	// MessageVoteResponse answers a vote request; Reject refuses it.
 	MessageVoteResponse
-	// MessageAppend carries Entries that follow the entry at Index and LogTerm,
-	// the leader's Commit and ToLearner.
+	// MessageAppend replicates Entries that follow the entry at Index and
+	// LogTerm. It also carries the leader's Commit, and ToLearner.
 	MessageAppend
-	// MessageAppendResponse acknowledges all entries up to Index as durable, or
-	// has Reject, RejectIndex, HintIndex and HintTerm.
+	// MessageAppendResponse acknowledges all entries up to Index as durable. If
+	// Reject is set, RejectIndex, HintIndex and HintTerm say why, or LostState
+	// does.
 	MessageAppendResponse
-	// MessageHeartbeat carries Round, Commit as far as the receiver has the
-	// entries, and in Index the leader's commit index: 0 until that is known to be
-	// the group's.
+	// MessageHeartbeat carries ReadRound, and in Commit the commit index
+	// limited to the entries that the receiver is known to have. Index is the
+	// leader's full commit index, or 0 until that is known to be the group's.
 	MessageHeartbeat
-	// MessageHeartbeatResponse echoes Round.
+	// MessageHeartbeatResponse echoes ReadRound.
 	MessageHeartbeatResponse
-	// MessageSnapshot carries Snapshot and ToLearner. It is answered by a
-	// MessageAppendResponse.
+	// MessageSnapshot carries Snapshot and ToLearner. The receiver answers with
+	// a MessageAppendResponse.
 	MessageSnapshot
-	// MessageTimeoutNow asks the receiver to start an election at once.
+	// MessageTimeoutNow tells the receiver to start an election at once.
 	MessageTimeoutNow
 
-	lastMessageType = MessageTimeoutNow
+	maxMessageType = MessageTimeoutNow
 )
 
-// String gives the type's name in lower case.
+// String returns the type's name in lower case.
 func (t MessageType) String() string {
 	names := [...]string{
 		"none", "pre-vote", "pre-vote-response", "vote", "vote-response", "append",
@@ -48,12 +52,14 @@
 	return "unknown"
 }
 
-// Message passes between two replicas. Messages may be lost, delayed,
-// duplicated and reordered. The Entries and the Snapshot of a message are shared
-// with the Node that made it and must not be changed.
+// Message is a message between two replicas. Messages may be lost, delayed,
+// duplicated and reordered. The Entries and the Snapshot of a message are
+// shared with the Node that created it and must not be modified.
 type Message struct {
+	// Type determines which of the other fields are used.
 	Type MessageType
-	// Group is the group of replicas; messages of another group are refused.
+	// Group identifies the sender's group; a replica of another group rejects
+	// the message.
 	Group    uint64
 	From, To ReplicaID
 	Term     uint64
@@ -63,32 +69,35 @@
 	Entries []Entry
 	Commit  uint64
 
-	// Reject says no to what was asked.
+	// Reject is set if the request is rejected.
 	Reject bool
 	// RejectIndex is the Index of the rejected MessageAppend.
 	RejectIndex uint64
-	// HintIndex and HintTerm name the last entry of the sender that may be equal
-	// to the leader's.
+	// HintIndex and HintTerm describe the last entry in the sender's log that
+	// may match the leader's log.
 	HintIndex uint64
 	HintTerm  uint64
 
-	// ReadRound numbers the leader's heartbeats for reads.
+	// ReadRound is the number of the heartbeat round that confirms linearizable
+	// reads.
 	ReadRound uint64
-	// LeadershipTransfer is set on votes that may depose a live leader.
+	// LeadershipTransfer is set on vote requests that may depose a live leader
+	// because the leader itself asked for the election.
 	LeadershipTransfer bool
-	// ToLearner says that the receiver is a learner in the leader's membership.
+	// ToLearner is set if the receiver is a learner in the leader's membership.
 	ToLearner bool
-	// LostState is set on rejections by a replica without any state that was
-	// addressed as a voter: it has lost its disk.
+	// LostState is set on rejections by a replica that the leader regards as a
+	// voter and that has no state: it has lost its disk.
 	LostState bool
 
 	Snapshot *Snapshot
 }
 
-// wellFormed reports whether the fields fit the type. A log with a gap would be
-// saved as it came, and the replica couldn't start from it again.
-func (m *Message) wellFormed() bool {
-	if m.Type == 0 || m.Type > lastMessageType || m.Type == MessageSnapshot && m.Snapshot == nil {
+// isWellFormed reports whether the fields are valid for the type. Entries with
+// a gap would be saved like others, and the replica could not restart from
+// them.
+func (m *Message) isWellFormed() bool {
+	if m.Type == 0 || m.Type > maxMessageType || m.Type == MessageSnapshot && m.Snapshot == nil {
 		return false
 	}
 	term := m.LogTerm
@@ -102,9 +111,9 @@
 	return true
 }
 
-// promises reports whether the message may leave only once all that this
-// replica has in memory is durable.
-func (m *Message) promises() bool {
+// needsDurability reports whether the message may be sent only once everything
+// that this replica has in memory is durable.
+func (m *Message) needsDurability() bool {
 	switch m.Type {
 	case MessageVote, MessageVoteResponse, MessageAppendResponse:
 		return true
@@ -112,7 +121,8 @@
 	return false
 }
 
-func (m *Message) fromLeader() bool {
+// isFromLeader reports whether only a leader sends messages of this type.
+func (m *Message) isFromLeader() bool {
 	switch m.Type {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		return true
--- a/replog/node.go
+++ b/replog/node.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Node is one replica. See the package comment for its use.
+// Node is one replica of a group: the state machine of the Raft algorithm. The
+// package comment describes its use.
 type Node struct {
 	cfg  Config
 	rand *rand.Rand
@@ -16,79 +17,83 @@
 	leader ReplicaID
 	log    entryLog
 	// members is never empty: a replica without state has one empty membership.
-	members memberHistory
+	members membershipHistory
 
-	// electionElapsed counts ticks since the leader was heard of, or on the
-	// leader since the last check for a quorum.
+	// electionElapsed is the number of ticks since this replica heard from a
+	// leader. On the leader, it limits the duration of a leadership transfer.
 	electionElapsed  int
 	heartbeatElapsed int
 	electionTimeout  int
-	// writeElapsed counts ticks since the outstanding write was handed out.
+	// writeElapsed is the number of ticks since the outstanding write was
+	// submitted.
 	writeElapsed int
-	freshness    freshness
+	staleness    staleness
 
-	// votes are the answers to the current election by replica.
+	// votes holds the responses to the current pre-vote or election.
 	votes map[ReplicaID]bool
 
-	// The following belong to the leader.
+	// The following fields are used only on the leader.
 	progress   map[ReplicaID]*Progress
 	transferee ReplicaID
-	// uncommitted counts the bytes proposed in this term and not committed.
+	// uncommitted is the size in bytes of the entries that are proposed in this
+	// term and not committed.
 	uncommitted int
-	// termStart is the index of the leader's first entry.
+	// termStart is the index of the first entry of the leader's term.
 	termStart uint64
 	reads     readQueue
 
-	out        []Message
-	held       []heldMessage
+	outbox     []Message
+	deferred   []deferredMessage
 	readStates []ReadState
-	// handedTerm and handedVote are the last ones handed out to be saved.
-	handedTerm uint64
-	handedVote ReplicaID
-	// writing is set while write number seq is outstanding.
-	writing bool
-	seq     uint64
-	// savedAt is the last entry of the outstanding write.
-	savedAt  Position
-	lastSoft SoftState
+	// submittedTerm and submittedVote are the last term and vote submitted for
+	// saving.
+	submittedTerm uint64
+	submittedVote ReplicaID
+	// writeOutstanding is set while the write numbered writeSeq is not durable.
+	writeOutstanding bool
+	writeSeq         uint64
+	// writeEnd is the last log entry as of the outstanding write.
+	writeEnd      Position
+	prevSoftState SoftState
 }
 
-// heldMessage leaves once write number seq is durable.
-type heldMessage struct {
+// deferredMessage is a message that is sent once the write numbered seq is
+// durable.
+type deferredMessage struct {
 	msg Message
 	seq uint64
 }
 
-// NewNode returns a replica that goes on from what was saved. Its owner's state
-// has to be the one in s.Snapshot.Data; entries after it that are known to be
-// committed come in the first Ready.
+// NewNode returns a replica that restarts from its persistent state. The
+// application has to restore its own state from s.Snapshot.Data; later entries
+// that are known to be committed come with the first Ready.
 func NewNode(cfg Config, s PersistentState) (*Node, error) {
 	cfg.setDefaults()
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	members, err := membersOf(s)
+	members, err := loadMembershipHistory(s)
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		cfg:        cfg,
-		rand:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.ID))),
-		term:       s.HardState.Term,
-		vote:       s.HardState.Vote,
-		handedTerm: s.HardState.Term,
-		handedVote: s.HardState.Vote,
-		log:        newEntryLog(s),
-		members:    members,
+		cfg:           cfg,
+		rand:          rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.ID))),
+		term:          s.HardState.Term,
+		vote:          s.HardState.Vote,
+		submittedTerm: s.HardState.Term,
+		submittedVote: s.HardState.Vote,
+		log:           newEntryLog(s),
+		members:       members,
 	}
 	n.becomeFollower(n.term, None)
 	return n, nil
 }
 
-// membersOf collects the memberships in a saved log and checks that it has no
-// gap.
-func membersOf(s PersistentState) (memberHistory, error) {
-	h := memberHistory{{index: s.Snapshot.Index, members: s.Snapshot.Members}}
+// loadMembershipHistory collects the memberships from the persistent state and
+// checks that the entries have no gap.
+func loadMembershipHistory(s PersistentState) (membershipHistory, error) {
+	h := membershipHistory{{index: s.Snapshot.Index, members: s.Snapshot.Members}}
 	for i, e := range s.Entries {
 		if e.Index != s.Snapshot.Index+1+uint64(i) {
 			return nil, &InvalidConfigError{Field: "Entries", Reason: "have a gap"}
@@ -105,19 +110,19 @@
 	return h, nil
 }
 
-// fresh reports whether this replica has no state. It must not vote, since it
-// may have had some before.
-func (n *Node) fresh() bool {
+// hasNoState reports whether this replica has no state. Such a replica must not
+// vote, since it may have lost a state that it had before.
+func (n *Node) hasNoState() bool {
 	return n.log.lastIndex() == 0 && len(n.members.current()) == 0
 }
 
 func (n *Node) isVoter() bool { return n.members.current().IsVoter(n.cfg.ID) }
 
-// Tick tells the Node that one tick has passed.
+// Tick advances the Node's clock by one tick.
 func (n *Node) Tick() {
 	n.electionElapsed++
 	n.writeElapsed++
-	n.freshness.tick()
+	n.staleness.tick()
 	if n.role == Leader {
 		n.tickLeader()
 		return
@@ -125,9 +130,10 @@
 	if n.electionElapsed < n.electionTimeout {
 		return
 	}
-	if !n.isVoter() || n.stalled() {
-		// It does not ask for an election, which would end the belief in a leader
-		// that is lost. Whoever relies on this replica would be told that all is well.
+	if !n.isVoter() || n.isDiskStalled() {
+		// This replica doesn't start an election, which would also clear the
+		// leader. The leader is cleared here, since a client that relies on
+		// this replica would otherwise believe that it still follows a leader.
 		n.leader = None
 		return
 	}
@@ -135,19 +141,22 @@
 	n.campaign(PreCandidate, false)
 }
 
+// tickLeader advances the leader's timers. The leader steps down if it has lost
+// contact with a quorum (check-quorum) or if its disk is stalled.
 func (n *Node) tickLeader() {
 	n.heartbeatElapsed++
-	n.tickSnapshots()
+	n.retryLostSnapshots()
 	for _, p := range n.progress {
 		p.TicksSinceResponse++
 	}
-	if !n.members.current().hasQuorum(n.active) {
-		// A leader that is cut off notices it here, while the others may already
-		// have elected another one; without it, its clients would wait for ever.
+	if !n.members.current().hasQuorum(n.isRecentlyActive) {
+		// An isolated leader notices it here, while the other replicas may
+		// already have elected a new leader. Without this check, its clients
+		// would wait forever.
 		n.becomeFollower(n.term, None)
 		return
 	}
-	if n.stalled() {
+	if n.isDiskStalled() {
 		n.becomeFollower(n.term, None)
 		return
 	}
@@ -155,20 +164,24 @@
 		n.electionElapsed = 0
 		n.transferee = None
 	}
-	n.noteNewest()
+	n.observeOwnCommit()
 	if n.heartbeatElapsed >= n.cfg.HeartbeatTicks {
 		n.broadcastHeartbeat()
 	}
 }
 
-// stalled reports whether the disk hangs. Its heartbeats would keep this replica
-// the leader, while it applies nothing and callers wait. It doesn't ask for
-// elections either: it would only raise the term, since its requests for votes
-// wait for the write.
-func (n *Node) stalled() bool { return n.writing && n.writeElapsed >= n.cfg.WriteTimeoutTicks }
+// isDiskStalled reports whether the outstanding write has exceeded
+// WriteTimeoutTicks. The heartbeats of such a replica would keep it the leader,
+// while it applies nothing and clients wait. It doesn't start elections either:
+// it would only raise the term, since its requests for votes wait for the
+// write.
+func (n *Node) isDiskStalled() bool {
+	return n.writeOutstanding && n.writeElapsed >= n.cfg.WriteTimeoutTicks
+}
 
-// active reports whether a replica answered within the election timeout.
-func (n *Node) active(id ReplicaID) bool {
+// isRecentlyActive reports whether a replica has responded within the election
+// timeout.
+func (n *Node) isRecentlyActive(id ReplicaID) bool {
 	if id == n.cfg.ID {
 		return true
 	}
@@ -176,10 +189,11 @@
 	return p != nil && p.TicksSinceResponse <= n.cfg.ElectionTicks
 }
 
-// Propose appends data to the log. It returns where the entry will be, and
-// fails with *NotLeader, *Busy or *TooLarge if it was not appended. The entry is
-// decided only when it comes back in Ready.Committed; until then it may still be
-// lost, or be committed though the leader was lost.
+// Propose appends data to the log and returns the position of the entry. It
+// fails with *NotLeaderError, *ProposalDroppedError or *EntryTooLargeError if
+// nothing was appended. The entry is committed only when it appears in
+// Ready.Committed. Until then it may still be lost, or be committed even though
+// this replica loses its leadership.
 func (n *Node) Propose(data []byte) (Position, error) {
 	if n.role != Leader {
 		return Position{}, &NotLeaderError{Leader: n.leader}
@@ -190,12 +204,13 @@
 	if n.transferee != None || n.uncommitted > n.cfg.MaxUncommittedBytes {
 		return Position{}, &ProposalDroppedError{Uncommitted: n.uncommitted, Transferee: n.transferee}
 	}
-	return n.appendOwn(EntryCommand, data), nil
+	return n.appendEntry(EntryCommand, data), nil
 }
 
-// TransferLeadership hands leadership to another voter as soon as that has all
-// entries. It fails with *NotLeader or *BadTransfer. Until it has happened, or
-// ElectionTicks have passed, proposals are refused with *Busy.
+// TransferLeadership transfers leadership to another voter as soon as that
+// voter has all entries. It fails with *NotLeaderError or
+// *InvalidTransferError. Until the transfer is complete, or ElectionTicks have
+// passed, proposals fail with *ProposalDroppedError.
 func (n *Node) TransferLeadership(to ReplicaID) error {
 	if n.role != Leader {
 		return &NotLeaderError{Leader: n.leader}
@@ -209,15 +224,17 @@
 	return nil
 }
 
+// continueTransfer tells the transferee to start an election once it has all
+// entries.
 func (n *Node) continueTransfer(id ReplicaID) {
 	if id == n.transferee && n.progress[id].Match == n.log.lastIndex() {
 		n.send(Message{Type: MessageTimeoutNow, To: id})
 	}
 }
 
-// ReportUnreachable tells the leader that a message to a replica was lost. It
-// goes on one message at a time until the replica answers, and sends a lost
-// snapshot again.
+// ReportUnreachable tells the leader that a message to a replica was lost. The
+// leader then probes the replica with one message at a time until it responds,
+// and sends a lost snapshot again.
 func (n *Node) ReportUnreachable(id ReplicaID) {
 	p := n.progress[id]
 	if p != nil && p.State != ProgressProbe {
@@ -226,10 +243,11 @@
 }
 
 // Compact replaces the entries up to index by a snapshot, whose Data is the
-// owner's state after applying exactly that entry. It returns the snapshot,
-// which the owner gives to Storage.Compact. Every entry up to index has to have
-// been in Ready.Committed, and index be above the last snapshot's; otherwise it
-// fails with *BadCompaction.
+// application's state after applying exactly the entries up to index. It
+// returns the snapshot, which the application passes to Storage.Compact. All
+// entries up to index must have appeared in Ready.Committed, and index must be
+// above that of the last snapshot; otherwise Compact fails with
+// *InvalidCompactionError.
 func (n *Node) Compact(index uint64, data []byte) (Snapshot, error) {
 	if index <= n.log.snapshot.Index || index > n.log.applied {
 		return Snapshot{}, &InvalidCompactionError{Index: index, Snapshot: n.log.snapshot.Index, Applied: n.log.applied}
@@ -241,7 +259,7 @@
 	return s, nil
 }
 
-// Status is a Node's view at one moment.
+// Status is a copy of a Node's state at one moment.
 type Status struct {
 	ID      ReplicaID
 	Term    uint64
@@ -249,22 +267,25 @@
 	Leader  ReplicaID
 	Commit  uint64
 	Applied uint64
-	// LastIndex is the last entry in the log, StableIndex the last durable one.
+	// LastIndex is the index of the last entry in the log, StableIndex that of
+	// the last durable entry.
 	LastIndex   uint64
 	StableIndex uint64
 	// SnapshotIndex is the index of the last snapshot.
 	SnapshotIndex uint64
-	// Members is the latest membership in the log; it is not yet committed if
-	// MembersIndex is above Commit.
+	// Members is the latest membership in the log, which was added by the entry
+	// at MembersIndex. It is not yet committed if MembersIndex is above Commit.
 	Members      Members
 	MembersIndex uint64
-	// Transferee is set while leadership is being transferred.
+	// Transferee is the target of a leadership transfer in progress, or None.
 	Transferee ReplicaID
-	// StalenessKnown is set once the applied state was known to be the newest that the group
-	// had committed, and FreshTicks is the time since.
+	// StalenessKnown is set once the applied state was known to include
+	// everything that the group had committed. StalenessTicks is the number of
+	// ticks since then.
 	StalenessKnown bool
 	StalenessTicks int
-	// Progress has an entry per member on the leader and is empty elsewhere.
+	// Progress holds the replication progress of each member; it is nil except
+	// on the leader.
 	Progress map[ReplicaID]Progress
 }
 
@@ -278,8 +299,8 @@
 		Members:        slices.Clone(n.members.current()),
 		MembersIndex:   n.members.lastIndex(),
 		Transferee:     n.transferee,
-		StalenessKnown: n.freshness.known,
-		StalenessTicks: n.freshness.age,
+		StalenessKnown: n.staleness.known,
+		StalenessTicks: n.staleness.age,
 	}
 	if n.role != Leader {
 		return s
--- a/replog/node_test.go
+++ b/replog/node_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// single returns replica 1 of a group of three, with entries of term 1 after
-// the bootstrap.
-func single(t *testing.T, terms ...uint64) *Node {
+// newTestNode returns replica 1 of a group of three, with entries of the given
+// terms after the bootstrap snapshot.
+func newTestNode(t *testing.T, terms ...uint64) *Node {
 	s := BootstrapGroupState(Members{{Replica: 1}, {Replica: 2}, {Replica: 3}}, 1, nil)
 	for i, term := range terms {
 		s.Entries = append(s.Entries, Entry{Term: term, Index: uint64(i + 2), Kind: EntryCommand, Data: []byte("x")})
@@ -20,8 +20,8 @@
 	return n
 }
 
-// saveAll carries out all Readys and returns their messages.
-func saveAll(n *Node) []Message {
+// drainReady processes all Readys and returns their messages.
+func drainReady(n *Node) []Message {
 	var out []Message
 	for n.HasReady() {
 		rd := n.Ready()
@@ -31,7 +31,7 @@
 	return out
 }
 
-func find(ms []Message, typ MessageType) []Message {
+func messagesOfType(ms []Message, typ MessageType) []Message {
 	var out []Message
 	for _, m := range ms {
 		if m.Type == typ {
@@ -49,8 +49,8 @@
 	return m
 }
 
-// makeLeader has replica 1 win the next election with the vote of replica 2.
-func makeLeader(t *testing.T, n *Node) {
+// electNode makes replica 1 win the next election with the vote of replica 2.
+func electNode(t *testing.T, n *Node) {
 	for range 2 * defaultElectionTicks {
 		if n.role == Follower {
 			n.Tick()
@@ -59,30 +59,30 @@
 	assert.Equal(t, n.role, PreCandidate)
 	answer := Message{Type: MessagePreVoteResponse, From: 2, To: 1, Term: n.term + 1}
 	assert.NilError(t, n.Step(answer))
-	saveAll(n)
+	drainReady(n)
 	assert.NilError(t, n.Step(Message{Type: MessageVoteResponse, From: 2, To: 1, Term: n.term}))
 	assert.Equal(t, n.role, Leader)
 }
 
-// A replica takes entries, and before its disk has them it votes for another
-// leader. If the acknowledgement left then, the old leader could tell a caller
-// that an entry is safe which the new leader doesn't have.
-func TestOldAcknowledgementIsDropped(t *testing.T) {
-	n := single(t)
+// A replica accepts entries and, before they are durable, votes for another
+// leader. If the acknowledgement were sent then, the old leader could report an
+// entry as committed that the new leader doesn't have.
+func TestAckOfOldTermIsDropped(t *testing.T) {
+	n := newTestNode(t)
 	assert.NilError(t, n.Step(appendFrom(2, 2, 1, 1, 1, 2)))
 	write := n.Ready()
 	assert.NilError(t, n.Step(appendFrom(3, 3, 1, 1, 1, 3)))
 	n.Advance(write)
-	acks := find(saveAll(n), MessageAppendResponse)
+	acks := messagesOfType(drainReady(n), MessageAppendResponse)
 	assert.Equal(t, len(acks), 1)
 	assert.Equal(t, acks[0].To, ReplicaID(3))
 }
 
-// A write is under way when its entries are replaced. When it ends, the disk has
-// the old entries; the new ones must not count as durable, or a crash would lose
-// entries that were handed to the owner.
-func TestReplacedWriteIsNotDurable(t *testing.T) {
-	n := single(t)
+// Entries are replaced while they are being written. When the write completes,
+// the disk holds the old entries. If the new ones counted as durable, a crash
+// would lose entries that were already applied.
+func TestReplacedEntriesAreNotStable(t *testing.T) {
+	n := newTestNode(t)
 	assert.NilError(t, n.Step(appendFrom(2, 2, 1, 1, 1, 2, 2)))
 	first := n.Ready()
 	assert.NilError(t, n.Step(appendFrom(3, 3, 1, 1, 3, 3, 3)))
@@ -92,52 +92,54 @@
 	assert.Equal(t, len(second.Entries), 2)
 	n.Advance(second)
 	assert.Equal(t, len(n.Ready().Committed), 2)
-	// What the first write was given has not changed under it.
+	// The entries passed to the first write must not change while it runs.
 	assert.Equal(t, first.Entries[0].Term, uint64(2))
 }
 
-// A new leader finds an older leader's entry on a quorum. It may still be
-// replaced by a replica that has a newer entry; counted as committed, it would
-// vanish after callers have seen it.
-func TestOlderEntryIsNotCommittedAlone(t *testing.T) {
-	n := single(t, 2)
-	makeLeader(t, n)
-	saveAll(n)
+// A new leader finds an entry of an earlier term on a quorum. A replica with a
+// newer entry may still replace it (figure 8 of the Raft paper). If the entry
+// counted as committed, it would disappear after clients have seen it.
+func TestEntryOfEarlierTermIsNotCommittedByCounting(t *testing.T) {
+	n := newTestNode(t, 2)
+	electNode(t, n)
+	drainReady(n)
 	assert.NilError(t, n.Step(Message{Type: MessageAppendResponse, From: 2, To: 1, Term: n.term, Index: 2}))
 	assert.Equal(t, n.Status().Commit, uint64(1))
 	assert.NilError(t, n.Step(Message{Type: MessageAppendResponse, From: 2, To: 1, Term: n.term, Index: 3}))
 	assert.Equal(t, n.Status().Commit, uint64(3))
 }
 
-// The leader probes a replica whose log has entries of a lost leader further
-// on. The leader's commit index says nothing about those; applied, they would be
-// changes that nobody accepted.
-func TestCommitStopsAtWhatMatches(t *testing.T) {
-	n := single(t, 2, 2)
+// The leader probes a replica whose log continues with entries of a failed
+// leader. The leader's commit index doesn't cover those entries. If they were
+// applied, the replica would execute commands that were never committed.
+func TestCommitIndexStopsAtLastMatchingEntry(t *testing.T) {
+	n := newTestNode(t, 2, 2)
 	assert.NilError(t, n.Step(appendFrom(2, 3, 1, 1, 3)))
 	assert.Equal(t, n.Status().Commit, uint64(1))
 }
 
-// A snapshot is delayed by minutes and arrives when the replica is further on.
-// Taking it over would bring an old configuration back into force.
-func TestLateSnapshotIsIgnored(t *testing.T) {
-	n := single(t)
+// A snapshot is delayed by minutes and arrives when the replica has already
+// applied later entries. Restoring it would bring an old configuration back
+// into force.
+func TestOutdatedSnapshotIsIgnored(t *testing.T) {
+	n := newTestNode(t)
 	assert.NilError(t, n.Step(appendFrom(2, 2, 1, 1, 6, 2, 2, 2, 2, 2, 2, 2, 2)))
-	saveAll(n)
+	drainReady(n)
 	_, err := n.Compact(6, []byte("state"))
 	assert.NilError(t, err)
 	late := Message{Type: MessageSnapshot, From: 2, To: 1, Term: 2, Snapshot: &Snapshot{Index: 2, Term: 2}}
 	assert.NilError(t, n.Step(late))
 	assert.Equal(t, n.Status().Commit, uint64(6))
-	acks := find(saveAll(n), MessageAppendResponse)
+	acks := messagesOfType(drainReady(n), MessageAppendResponse)
 	assert.Equal(t, acks[0].Index, uint64(6))
 }
 
-// A leader that is cut off has appended a membership change that nobody else
-// has. When the next leader replaces it, the membership before holds again;
-// otherwise this replica would count other quorums than the group.
-func TestReplacedChangeIsUndone(t *testing.T) {
-	n := single(t)
+// An isolated leader has appended a membership change that no other replica
+// has. When the next leader replaces the entry, the previous membership must be
+// in force again; otherwise this replica would count other quorums than the
+// group.
+func TestReplacedMembershipChangeIsReverted(t *testing.T) {
+	n := newTestNode(t)
 	m := appendFrom(2, 2, 1, 1, 1, 2)
 	m.Entries[0].Kind = EntryMembership
 	m.Entries[0].Data = EncodeMembers(Members{{Replica: 1}})
@@ -147,12 +149,13 @@
 	assert.Equal(t, len(n.Status().Members), 3)
 }
 
-// Operators and programs ask for changes that could leave two quorums without a
-// common voter, or none at all. They are refused with the reason.
-func TestChangesAreRefused(t *testing.T) {
-	n := single(t, 2)
-	makeLeader(t, n)
-	saveAll(n)
+// Operators and programs request membership changes that could leave two
+// quorums without a common voter, or no quorum at all. They are rejected with a
+// reason.
+func TestUnsafeMembershipChangesAreRejected(t *testing.T) {
+	n := newTestNode(t, 2)
+	electNode(t, n)
+	drainReady(n)
 	refused := func(c Change, reason ChangeRejectReason) {
 		t.Helper()
 		_, err := n.ProposeChange(c)
@@ -172,17 +175,17 @@
 	_, err := n.ProposeChange(Change{Kind: AddLearner, Replica: 4})
 	assert.NilError(t, err)
 	refused(Change{Kind: AddLearner, Replica: 5}, ChangePending)
-	saveAll(n)
+	drainReady(n)
 	assert.NilError(t, n.Step(Message{Type: MessageAppendResponse, From: 2, To: 1, Term: n.term, Index: 4}))
 	refused(Change{Kind: Promote, Replica: 4}, ChangeNotCaughtUp)
 }
 
-// A replica that was removed is at a newer term and still answers messages that
-// were under way. It has no say in the group any more; if it deposed the leader,
-// callers would wait for an election each time.
-func TestRemovedReplicaCannotDepose(t *testing.T) {
-	n := single(t)
-	makeLeader(t, n)
+// A removed replica has a newer term, and its responses to earlier messages
+// still arrive. If they deposed the leader, clients would wait for an election
+// each time.
+func TestRemovedReplicaCannotDeposeLeader(t *testing.T) {
+	n := newTestNode(t)
+	electNode(t, n)
 	late := Message{Type: MessageAppendResponse, From: 9, To: 1, Term: n.term + 5, Reject: true}
 	assert.NilError(t, n.Step(late))
 	assert.Equal(t, n.Status().Role, Leader)
@@ -191,14 +194,14 @@
 	assert.Equal(t, n.Status().Role, Leader)
 }
 
-// Callers send more than the group can commit, or one entry that no message can
-// carry. Without a bound the leader would run out of memory and all would wait.
+// Clients propose more than the group can commit, or an entry that is too large
+// for any message. Without limits the leader would run out of memory.
 func TestProposalsAreBounded(t *testing.T) {
-	n := single(t)
+	n := newTestNode(t)
 	_, err := n.Propose(nil)
 	var notLeader *NotLeaderError
 	assert.Assert(t, errors.As(err, &notLeader))
-	makeLeader(t, n)
+	electNode(t, n)
 	_, err = n.Propose(make([]byte, n.cfg.MaxEntryBytes+1))
 	var tooLarge *EntryTooLargeError
 	assert.Assert(t, errors.As(err, &tooLarge))
@@ -210,34 +213,35 @@
 	assert.Assert(t, errors.As(err, &busy))
 }
 
-// A disk was put back from an old copy and its replica was elected by others
-// like it. A replica that knows better must stop instead of reverting.
-func TestContradictionStopsTheReplica(t *testing.T) {
-	n := single(t, 2, 2)
+// An old copy of a disk was restored, and its replica was elected by others
+// like it. A replica that has committed other entries must stop instead of
+// reverting them.
+func TestConflictWithCommittedEntryIsAnError(t *testing.T) {
+	n := newTestNode(t, 2, 2)
 	assert.NilError(t, n.Step(appendFrom(2, 2, 3, 2, 3)))
 	err := n.Step(appendFrom(3, 5, 1, 1, 1, 5))
-	// Entries at or below the commit index are acknowledged, not taken.
+	// Entries at or below the commit index are acknowledged and not appended.
 	assert.NilError(t, err)
 	assert.Equal(t, n.Status().Commit, uint64(3))
 	err = n.Step(Message{Type: MessageAppend, From: 2, To: 1, Term: n.term, Index: 3, LogTerm: 2})
 	var inconsistent *CommittedConflictError
 	assert.NilError(t, err)
-	makeLeader(t, n)
+	electNode(t, n)
 	err = n.Step(appendFrom(2, n.term, 3, 2, 3))
 	assert.Assert(t, errors.As(err, &inconsistent))
 }
 
-// A message comes from another group on the same addresses, for another replica,
-// or damaged on its way. It must change nothing: with a gap in its entries, the
-// replica could never start again from what it saved.
-func TestForeignMessagesAreRefused(t *testing.T) {
-	n := single(t)
+// A message comes from another group on the same addresses, is addressed to
+// another replica, or was damaged in transit. It must have no effect: if it
+// left a gap in the entries, the replica could never restart from its storage.
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	n := newTestNode(t)
 	var bad *InvalidMessageError
 	for _, m := range []Message{
 		{Type: MessageVote, From: 2, To: 2, Term: 9},
 		{Type: MessageVote, From: 2, To: 1, Term: 9, Group: 5},
 		{Type: MessageVote, To: 1, Term: 9},
-		{Type: lastMessageType + 1, From: 2, To: 1, Term: 9},
+		{Type: maxMessageType + 1, From: 2, To: 1, Term: 9},
 		{From: 2, To: 1, Term: 9},
 		{Type: MessageSnapshot, From: 2, To: 1, Term: 9},
 		{Type: MessageAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 9, Index: 3}}},
@@ -248,12 +252,13 @@
 	}
 }
 
-// Entries carry answers of up to 64 KiB. A thousand of them kept for replicas that
-// are a little behind would take a quarter of the memory that control may use.
+// Entries contain answers of up to 64 KiB. If a thousand of them were kept for
+// replicas that are a little behind, they would take a quarter of the control
+// component's memory limit.
 func TestTrailingEntriesAreBoundedInBytes(t *testing.T) {
-	n := single(t)
+	n := newTestNode(t)
 	assert.NilError(t, n.Step(appendFrom(2, 2, 1, 1, 9, 2, 2, 2, 2, 2, 2, 2, 2)))
-	saveAll(n)
+	drainReady(n)
 	n.cfg.TrailingEntries = 100
 	n.cfg.TrailingBytes = 3 * n.log.entries[0].size()
 	_, err := n.Compact(8, nil)
@@ -262,18 +267,18 @@
 	assert.Equal(t, n.Status().LastIndex, uint64(9))
 }
 
-// FuzzStep checks that no sequence of messages makes a replica panic, and that
-// its commit index and its term never fall.
+// FuzzStep checks that no sequence of messages makes a replica panic or lowers
+// its commit index or its term.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{5, 2, 2, 1, 1, 1, 2, 0, 7, 2, 2, 0, 0, 2, 0, 0})
 	f.Add([]byte{2, 2, 1, 9, 9, 0, 0, 0, 4, 2, 2, 0, 0, 0, 0, 0, 6, 2, 2, 2, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n := single(t, 1, 1)
+		n := newTestNode(t, 1, 1)
 		for len(b) >= 8 {
 			before := n.Status()
 			_ = n.Step(fuzzMessage(b))
 			n.Tick()
-			saveAll(n)
+			drainReady(n)
 			after := n.Status()
 			assert.Assert(t, after.Commit >= before.Commit && after.Term >= before.Term)
 			b = b[8:]
@@ -281,7 +286,7 @@
 	})
 }
 
-// fuzzMessage makes a message of eight bytes.
+// fuzzMessage decodes a message from eight bytes.
 func fuzzMessage(b []byte) Message {
 	m := Message{
 		Type: MessageType(b[0] % 12), From: ReplicaID(b[1] % 5), To: 1, Term: uint64(b[2] % 8),
@@ -299,8 +304,8 @@
 	return m
 }
 
-// FuzzMembers checks that a membership which decodes means the same when it is
-// encoded again.
+// FuzzMembers checks that a membership that decodes is unchanged by another
+// round of encoding and decoding.
 func FuzzMembers(f *testing.F) {
 	f.Add(EncodeMembers(nil))
 	f.Add(EncodeMembers(Members{{Replica: 1, Address: "a:1"}, {Replica: 900, Learner: true}}))
--- a/replog/progress.go
+++ b/replog/progress.go
@@ -1,20 +1,21 @@
 package replog
 
-// ProgressState is how the leader sends entries to a replica.
+// ProgressState is the flow control state of the leader's replication to a
+// member.
 type ProgressState uint8
 
-// The states.
+// The flow control states.
 const (
-	// ProgressProbe sends one message at a time until the replica's last common
-	// entry is known.
+	// ProgressProbe sends one message at a time until the last matching entry
+	// is known.
 	ProgressProbe ProgressState = iota
-	// ProgressReplicate sends messages without waiting for answers.
+	// ProgressReplicate pipelines messages without waiting for responses.
 	ProgressReplicate
-	// ProgressSnapshot sends nothing until a snapshot is acknowledged.
+	// ProgressSnapshot sends no entries until a snapshot is acknowledged.
 	ProgressSnapshot
 )
 
-// String gives the state's name in lower case.
+// String returns the state's name in lower case.
 func (s ProgressState) String() string {
 	names := [...]string{"probe", "replicate", "snapshot"}
 	if int(s) < len(names) {
@@ -23,33 +24,35 @@
 	return "unknown"
 }
 
-// Progress is what the leader knows about one replica.
+// Progress is the leader's view of the replication to one member.
 type Progress struct {
-	// Match is the last entry known to be durable there and equal to the
-	// leader's.
+	// Match is the index of the last entry that is known to be durable on the
+	// member and equal to the leader's (matchIndex in the Raft paper).
 	Match uint64
-	// Next is the next entry to send.
+	// Next is the index of the next entry to send (nextIndex in the Raft
+	// paper).
 	Next  uint64
 	State ProgressState
-	// TicksSinceResponse is the time since the replica's last answer, or since this
-	// replica became leader.
+	// TicksSinceResponse is the time since the member's last response, or since
+	// this replica became leader.
 	TicksSinceResponse int
-	// LostState is set if the replica's last answer said that it has no state though
-	// it is a voter: its disk is lost, and it has to be removed and to join
-	// again under a new ReplicaID.
+	// LostState is set if the member is a voter and its last response said that
+	// it has no state. Its disk is lost: it has to be removed and to join again
+	// under a new ReplicaID.
 	LostState bool
 
-	// probeSent is set while a probe is on its way.
+	// probeSent is set while a probe is in flight.
 	probeSent bool
-	// inflight are the last indexes of the messages not yet acknowledged.
+	// inflight holds the last index of each append that is not yet
+	// acknowledged.
 	inflight []uint64
-	// snapshotIndex and snapshotTicks belong to ProgressSnapshot.
+	// snapshotIndex and snapshotTicks are used only in ProgressSnapshot.
 	snapshotIndex uint64
 	snapshotTicks int
 	// sentCommit is the last commit index sent.
 	sentCommit uint64
-	// round is the last heartbeat round that the replica answered.
-	round uint64
+	// ackedReadRound is the last heartbeat round that the member has confirmed.
+	ackedReadRound uint64
 }
 
 func (p *Progress) becomeProbe() {
@@ -72,7 +75,8 @@
 	p.inflight = nil
 }
 
-func (p *Progress) paused(maxInflight int) bool {
+// isPaused reports whether flow control forbids to send another append.
+func (p *Progress) isPaused(maxInflight int) bool {
 	switch p.State {
 	case ProgressProbe:
 		return p.probeSent
@@ -82,8 +86,9 @@
 	return true
 }
 
-// sent records a message whose entries end at last; n is their number.
-func (p *Progress) sent(last uint64, n int) {
+// recordSent records an append of n entries, the last of which has the index
+// last.
+func (p *Progress) recordSent(last uint64, n int) {
 	if p.State == ProgressProbe {
 		p.probeSent = true
 		return
@@ -94,8 +99,8 @@
 	}
 }
 
-// acknowledged takes over an acknowledgement and reports whether it was news.
-func (p *Progress) acknowledged(index uint64) bool {
+// recordAck records an acknowledgement and reports whether it advances Match.
+func (p *Progress) recordAck(index uint64) bool {
 	p.Next = max(p.Next, index+1)
 	for len(p.inflight) > 0 && p.inflight[0] <= index {
 		p.inflight = p.inflight[1:]
@@ -107,9 +112,9 @@
 	return true
 }
 
-// rejected takes over the rejection of a message that followed the entry at
-// index, and reports whether it was news. next is where to try again.
-func (p *Progress) rejected(index, next uint64) bool {
+// recordReject records the rejection of an append that follows the entry at
+// index, and reports whether it is current. next is the index to continue from.
+func (p *Progress) recordReject(index, next uint64) bool {
 	if p.State == ProgressReplicate {
 		if index <= p.Match {
 			return false
--- a/replog/read_index.go
+++ b/replog/read_index.go
@@ -1,85 +1,90 @@
 package replog
 
-// readQueue holds reads until a quorum has confirmed that this replica was
-// still the leader after they arrived. All reads of one Ready share a round of
-// heartbeats.
+// readQueue implements the read-index protocol for linearizable reads: it holds
+// each read until a quorum has confirmed that this replica was still the leader
+// after the read arrived. All reads that arrive before one Ready share a
+// heartbeat round.
 type readQueue struct {
-	// round is the last round that was started.
+	// round is the number of the last round that was started.
 	round uint64
-	// waiting reads have no round yet.
-	waiting []pendingRead
-	// asked reads wait for the answers of their round, in order of rounds.
-	asked []pendingRead
+	// queued reads are not yet assigned to a round.
+	queued []pendingRead
+	// awaitingQuorum holds the reads whose round is not confirmed yet, in the
+	// order of rounds.
+	awaitingQuorum []pendingRead
 }
 
+// pendingRead is a read that a quorum has not confirmed yet.
 type pendingRead struct {
-	context uint64
-	index   uint64
-	round   uint64
+	requestID uint64
+	index     uint64
+	round     uint64
 }
 
-// ReadIndex asks for a linearizable read. The answer comes as a ReadState with
-// the same context: after its Index has been applied, the owner's state holds
-// everything that was committed when ReadIndex was called. It fails with
-// *NotLeader. An answer may never come while no quorum can be reached; when the
-// leader steps down, it comes with Aborted.
-func (n *Node) ReadIndex(context uint64) error {
+// ReadIndex requests a linearizable read. The result is a ReadState with the
+// same requestID: once its Index is applied, the application's state includes
+// everything that was committed when ReadIndex was called. ReadIndex fails with
+// *NotLeaderError. There is no result while no quorum can be reached; when the
+// leader steps down, the result is Aborted.
+func (n *Node) ReadIndex(requestID uint64) error {
 	if n.role != Leader {
 		return &NotLeaderError{Leader: n.leader}
 	}
-	n.reads.waiting = append(n.reads.waiting, pendingRead{context: context, index: n.log.commit})
+	n.reads.queued = append(n.reads.queued, pendingRead{requestID: requestID, index: n.log.commit})
 	return nil
 }
 
-// committedInTerm reports whether an entry of the leader's own term is
-// committed. Before, the leader's commit index may be behind the true one.
-func (n *Node) committedInTerm() bool { return n.log.commit >= n.termStart }
+// hasCommittedInTerm reports whether an entry of the leader's own term is
+// committed. Before that, the leader's commit index may be behind the group's.
+func (n *Node) hasCommittedInTerm() bool { return n.log.commit >= n.termStart }
 
-// admitReads raises the index of reads that came before the leader knew the
-// true commit index.
-func (n *Node) admitReads() {
-	for i := range n.reads.waiting {
-		r := &n.reads.waiting[i]
+// raiseReadIndexes raises the index of reads that arrived before the leader
+// knew the group's commit index.
+func (n *Node) raiseReadIndexes() {
+	for i := range n.reads.queued {
+		r := &n.reads.queued[i]
 		if r.index < n.termStart {
 			r.index = n.log.commit
 		}
 	}
 }
 
+// startReadRound assigns the queued reads to a new heartbeat round.
 func (n *Node) startReadRound() {
 	q := &n.reads
-	if len(q.waiting) == 0 || !n.committedInTerm() {
+	if len(q.queued) == 0 || !n.hasCommittedInTerm() {
 		return
 	}
 	q.round++
-	for _, r := range q.waiting {
+	for _, r := range q.queued {
 		r.round = q.round
-		q.asked = append(q.asked, r)
+		q.awaitingQuorum = append(q.awaitingQuorum, r)
 	}
-	q.waiting = nil
+	q.queued = nil
 	n.broadcastHeartbeat()
-	n.confirmReads()
+	n.releaseConfirmedReads()
 }
 
-func (n *Node) confirmReads() {
+// releaseConfirmedReads completes the reads whose round a quorum has confirmed.
+func (n *Node) releaseConfirmedReads() {
 	q := &n.reads
-	for len(q.asked) > 0 && n.roundConfirmed(q.asked[0].round) {
-		r := q.asked[0]
-		q.asked = q.asked[1:]
-		n.readStates = append(n.readStates, ReadState{RequestID: r.context, Index: r.index})
+	for len(q.awaitingQuorum) > 0 && n.isRoundConfirmed(q.awaitingQuorum[0].round) {
+		r := q.awaitingQuorum[0]
+		q.awaitingQuorum = q.awaitingQuorum[1:]
+		n.readStates = append(n.readStates, ReadState{RequestID: r.requestID, Index: r.index})
 	}
 }
 
-func (n *Node) roundConfirmed(round uint64) bool {
+func (n *Node) isRoundConfirmed(round uint64) bool {
 	return n.members.current().hasQuorum(func(id ReplicaID) bool {
-		return id == n.cfg.ID || n.progress[id].round >= round
+		return id == n.cfg.ID || n.progress[id].ackedReadRound >= round
 	})
 }
 
-// abortReads answers all reads when leadership ends.
+// abortReads fails all pending reads when leadership ends.
 func (n *Node) abortReads() {
-	for _, r := range append(n.reads.asked, n.reads.waiting...) {
-		n.readStates = append(n.readStates, ReadState{RequestID: r.context, Aborted: true})
+	for _, r := range append(n.reads.awaitingQuorum, n.reads.queued...) {
+		n.readStates = append(n.readStates, ReadState{RequestID: r.requestID, Aborted: true})
 	}
 	n.reads = readQueue{}
 }
--- a/replog/ready.go
+++ b/replog/ready.go
@@ -1,81 +1,81 @@
 package replog
 
-// hasUnsaved reports whether there is something that no write was handed out
-// for yet.
-func (n *Node) hasUnsaved() bool {
-	return n.term != n.handedTerm || n.vote != n.handedVote || n.log.hasUnsaved()
+// hasUnsubmitted reports whether any state is not yet submitted for saving.
+func (n *Node) hasUnsubmitted() bool {
+	return n.term != n.submittedTerm || n.vote != n.submittedVote || n.log.hasUnsubmitted()
 }
 
 func (n *Node) softState() SoftState {
-	return SoftState{Leader: n.leader, Role: n.role, UpToDate: n.freshness.current(n.cfg.ElectionTicks)}
+	return SoftState{Leader: n.leader, Role: n.role, UpToDate: n.staleness.within(n.cfg.ElectionTicks)}
 }
 
-// HasReady reports whether Ready would return something to do.
+// HasReady reports whether Ready would return any work.
 func (n *Node) HasReady() bool {
-	n.flush()
-	return len(n.out) > 0 || len(n.readStates) > 0 ||
-		n.softState() != n.lastSoft ||
-		n.log.applicable() > n.log.applied ||
-		n.hasUnsaved() && !n.writing
+	n.replicateAll()
+	return len(n.outbox) > 0 || len(n.readStates) > 0 ||
+		n.softState() != n.prevSoftState ||
+		n.log.lastApplicable() > n.log.applied ||
+		n.hasUnsubmitted() && !n.writeOutstanding
 }
 
-// Ready returns what has to be done since the last call. Each one has to be
-// carried out, in order, and given to Advance; one that has nothing to save may
-// be given to Advance or not.
+// Ready returns the work that has accumulated since the last call. The
+// application has to carry out every Ready, in order, and pass it to Advance; a
+// Ready with nothing to save may skip Advance.
 func (n *Node) Ready() Ready {
-	n.flush()
-	rd := Ready{Messages: n.out, ReadStates: n.readStates}
-	n.out = nil
+	n.replicateAll()
+	rd := Ready{Messages: n.outbox, ReadStates: n.readStates}
+	n.outbox = nil
 	n.readStates = nil
-	if soft := n.softState(); soft != n.lastSoft {
-		n.lastSoft = soft
+	if soft := n.softState(); soft != n.prevSoftState {
+		n.prevSoftState = soft
 		rd.SoftState = &soft
 	}
-	if n.hasUnsaved() && !n.writing {
-		n.handOutWrites(&rd)
+	if n.hasUnsubmitted() && !n.writeOutstanding {
+		n.submitWrites(&rd)
 	}
-	if hi := n.log.applicable(); hi > n.log.applied {
+	if hi := n.log.lastApplicable(); hi > n.log.applied {
 		rd.Committed = n.log.slice(n.log.applied, hi)
 		n.log.applied = hi
-		n.freshness.applied(hi)
+		n.staleness.observeApplied(hi)
 	}
 	return rd
 }
 
-func (n *Node) handOutWrites(rd *Ready) {
-	n.seq++
-	n.writing = true
+// submitWrites adds everything that is not yet submitted for saving to a Ready.
+func (n *Node) submitWrites(rd *Ready) {
+	n.writeSeq++
+	n.writeOutstanding = true
 	n.writeElapsed = 0
-	rd.seq = n.seq
+	rd.seq = n.writeSeq
 	rd.MustSync = true
 	rd.HardState = &HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
-	n.handedTerm = n.term
-	n.handedVote = n.vote
-	if n.log.snapshotPending {
+	n.submittedTerm = n.term
+	n.submittedVote = n.vote
+	if n.log.snapshotUnsubmitted {
 		s := n.log.snapshot
 		rd.Snapshot = &s
-		n.log.snapshotPending = false
+		n.log.snapshotUnsubmitted = false
 	}
-	rd.Entries = n.log.slice(n.log.handed, n.log.lastIndex())
-	n.log.handed = n.log.lastIndex()
-	n.savedAt = Position{Term: n.log.lastTerm(), Index: n.log.lastIndex()}
+	rd.Entries = n.log.slice(n.log.submitted, n.log.lastIndex())
+	n.log.submitted = n.log.lastIndex()
+	n.writeEnd = Position{Term: n.log.lastTerm(), Index: n.log.lastIndex()}
 }
 
-// Advance tells that the writes of rd are durable. Messages that waited for
-// them come with the next Ready.
+// Advance reports that the writes of rd are durable. Messages that were
+// deferred until then come with the next Ready.
 func (n *Node) Advance(rd Ready) {
-	if rd.seq == 0 || rd.seq != n.seq || !n.writing {
+	if rd.seq == 0 || rd.seq != n.writeSeq || !n.writeOutstanding {
 		return
 	}
-	n.writing = false
-	n.log.savedTo(n.savedAt)
-	held := n.held
-	n.held = nil
+	n.writeOutstanding = false
+	n.log.markStable(n.writeEnd)
+	held := n.deferred
+	n.deferred = nil
 	for _, h := range held {
 		if h.seq <= rd.seq {
-			n.release(h.msg)
+			n.sendDurable(h.msg)
 		} else {
-			n.held = append(n.held, h)
+			n.deferred = append(n.deferred, h)
 		}
 	}
 	if n.role == Leader {
--- a/replog/script_test.go
+++ b/replog/script_test.go
@@ -12,28 +12,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestScripts runs the scenarios in testdata. A line is a command, "> " and
-// what the command before it has to print, or a comment that starts with "#".
+// TestScripts runs the scenarios in testdata. A line is a command, a comment
+// that starts with "#", or "> " and the expected output of the command before
+// it.
 //
 //	group 1 2 3       start a group with these voters
 //	add 4             start a replica without state
-//	elect 1           tick this replica alone until it leads, then all once
+//	elect 1           tick only this replica until it leads, then all replicas once
 //	tick 20           tick all replicas
-//	propose 1 a b     propose at replica 1
+//	propose 1 a b     propose entries on replica 1
 //	fill 1 200        propose that many entries, a few at a time
-//	read 1            ask for a read and print its index, or "no answer"
+//	read 1            request a read and print its index, or "no answer"
 //	change 1 remove 3 change the membership: learner, promote, remove
-//	transfer 1 2      hand leadership over
-//	isolate 1, join 1 cut a replica off in both directions, or join it again
-//	deaf 1            drop what others send to the replica
-//	mute 1            drop what the replica sends
-//	hang 1, resume 1  leave the replica's writes unfinished, or finish them
-//	crash 1, start 1  stop a replica and start it from its disk
-//	forget 1          start a replica with an empty disk under its old identity
+//	transfer 1 2      transfer leadership
+//	isolate 1, join 1 block a replica's links in both directions, or unblock them
+//	deaf 1            drop the messages to the replica
+//	mute 1            drop the messages from the replica
+//	hang 1, resume 1  stall the replica's writes, or complete them
+//	crash 1, start 1  stop a replica, or start it from its disk
+//	forget 1          start a replica with an empty disk under its old ReplicaID
 //	compact 1         replace all applied entries by a snapshot
-//	status            print the replicas that run
+//	status            print the running replicas
 //	data 1            print the applied data
-//	same 1 2 3        print whether the replicas applied the same
+//	same 1 2 3        print whether the replicas have applied the same entries
 func TestScripts(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "*.txt"))
 	assert.NilError(t, err)
@@ -67,13 +68,13 @@
 	assert.Equal(t, out, string(b))
 }
 
-// script is a group together with the commands that drive it.
+// script is a scenario: a group and the test that runs it.
 type script struct {
 	*group
 	t *testing.T
 }
 
-// run carries out a command and returns what it prints, each line with
+// run executes a command and returns its output, each line prefixed with
 // scriptOutput.
 func (s *script) run(name string, args []string) []string {
 	if name == "group" {
@@ -113,14 +114,14 @@
 	"join":     {1, func(s *script, a []string) string { s.group.isolate(id(s.t, a[0]), false); return "" }},
 	"deaf":     {1, (*script).deaf},
 	"mute":     {1, (*script).mute},
-	"hang":     {1, func(s *script, a []string) string { s.of(a[0]).hangs = true; return "" }},
-	"resume":   {1, func(s *script, a []string) string { s.of(a[0]).hangs = false; s.save(id(s.t, a[0])); return "" }},
-	"crash":    {1, func(s *script, a []string) string { s.of(a[0]).up = false; return "" }},
+	"hang":     {1, func(s *script, a []string) string { s.of(a[0]).diskStalled = true; return "" }},
+	"resume":   {1, func(s *script, a []string) string { s.of(a[0]).diskStalled = false; s.save(id(s.t, a[0])); return "" }},
+	"crash":    {1, func(s *script, a []string) string { s.of(a[0]).running = false; return "" }},
 	"start":    {1, func(s *script, a []string) string { s.group.restart(id(s.t, a[0])); return "" }},
 	"forget":   {1, (*script).forget},
 	"compact":  {1, (*script).compact},
 	"status":   {0, (*script).status},
-	"data":     {1, func(s *script, a []string) string { return strings.Join(s.of(a[0]).data(), " ") }},
+	"data":     {1, func(s *script, a []string) string { return strings.Join(s.of(a[0]).appliedData(), " ") }},
 	"same":     {1, (*script).same},
 }
 
@@ -146,7 +147,7 @@
 	return r
 }
 
-// result prints an error.
+// result returns the output for an error.
 func result(err error) string {
 	if err == nil {
 		return ""
@@ -214,14 +215,14 @@
 
 func (s *script) deaf(args []string) string {
 	for _, other := range s.order {
-		s.cut[[2]ReplicaID{other, id(s.t, args[0])}] = true
+		s.blocked[[2]ReplicaID{other, id(s.t, args[0])}] = true
 	}
 	return ""
 }
 
 func (s *script) mute(args []string) string {
 	for _, other := range s.order {
-		s.cut[[2]ReplicaID{id(s.t, args[0]), other}] = true
+		s.blocked[[2]ReplicaID{id(s.t, args[0]), other}] = true
 	}
 	return ""
 }
@@ -234,7 +235,7 @@
 
 func (s *script) compact(args []string) string {
 	r := s.of(args[0])
-	data := strings.Join(r.data(), " ")
+	data := strings.Join(r.appliedData(), " ")
 	if len(r.start.Data) > 0 {
 		data = string(r.start.Data) + " " + data
 	}
@@ -251,7 +252,7 @@
 	var lines []string
 	for _, id := range s.order {
 		r := s.replicas[id]
-		if !r.up {
+		if !r.running {
 			continue
 		}
 		st := r.node.Status()
@@ -261,7 +262,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// describe gives the voters, and the learners in brackets.
+// describe lists the voters, and the learners in brackets.
 func describe(ms Members) string {
 	var out []string
 	for _, m := range ms {
@@ -275,13 +276,13 @@
 	return "members " + strings.Join(out, " ")
 }
 
-// same compares the whole state of replicas, also where snapshots stand for a
-// part of it.
+// same compares the whole state of replicas, including the part that is covered
+// by snapshots.
 func (s *script) same(args []string) string {
 	states := map[string]bool{}
 	for _, a := range args {
 		r := s.of(a)
-		states[strings.TrimSpace(string(r.start.Data)+" "+strings.Join(r.data(), " "))] = true
+		states[strings.TrimSpace(string(r.start.Data)+" "+strings.Join(r.appliedData(), " "))] = true
 	}
 	if len(states) > 1 {
 		return "no"
--- a/replog/staleness.go
+++ b/replog/staleness.go
@@ -1,74 +1,84 @@
 package replog
 
-// freshness is how long ago the applied state was known to be the newest that the
-// group had committed. Times are in ticks.
+// staleness bounds the age of the applied state: it tracks the ticks since that
+// state was known to include everything that the group had committed.
 //
-// A replica that only knows who leads can't tell: a learner never asks for an
-// election, and a replica whose disk hangs hears its leader while it applies
-// nothing. Whoever reads from it would take an old state for the newest one.
-type freshness struct {
-	// known is set once the state was known to be the newest; age is the time since.
+// Knowing the leader is not enough for that. A learner never starts an
+// election, and a replica with a stalled disk still hears its leader while it
+// applies nothing. A client that reads from such a replica would mistake an old
+// state for the newest one.
+type staleness struct {
+	// known is set once the applied state was known to be up to date; age is
+	// the number of ticks since then.
 	known bool
 	age   int
-	// awaited is a commit index that the leader has told of and that is not
-	// applied yet, 0 for none; awaitedAge is the time since it was the newest.
-	awaited    uint64
-	awaitedAge int
+	// pendingCommit is a commit index that the leader has announced and that is
+	// not applied yet, or 0; pendingAge is the number of ticks since it was the
+	// group's commit index.
+	pendingCommit uint64
+	pendingAge    int
 }
 
-func (f *freshness) tick() {
+// tick advances the time by one tick.
+func (f *staleness) tick() {
 	f.age++
-	f.awaitedAge++
+	f.pendingAge++
 }
 
-// newest takes in that, age ticks ago, nothing was committed beyond index commit.
-// While an earlier index is awaited, later ones don't move the wait.
-func (f *freshness) newest(commit uint64, age int, applied uint64) {
+// observeCommit records that, age ticks ago, the group's commit index was
+// commit. While an earlier index is pending, later ones don't replace it;
+// otherwise a replica that is always slightly behind would never be found up to
+// date.
+func (f *staleness) observeCommit(commit uint64, age int, applied uint64) {
 	switch {
 	case applied >= commit:
-		f.confirm(age)
-	case f.awaited == 0:
-		f.awaited, f.awaitedAge = commit, age
+		f.recordUpToDate(age)
+	case f.pendingCommit == 0:
+		f.pendingCommit, f.pendingAge = commit, age
 	}
 }
 
-// applied takes in that the entries up to index are applied.
-func (f *freshness) applied(index uint64) {
-	if f.awaited != 0 && index >= f.awaited {
-		f.confirm(f.awaitedAge)
+// observeApplied records that the entries up to index are applied.
+func (f *staleness) observeApplied(index uint64) {
+	if f.pendingCommit != 0 && index >= f.pendingCommit {
+		f.recordUpToDate(f.pendingAge)
 	}
 }
 
-func (f *freshness) confirm(age int) {
+// recordUpToDate records that the applied state was up to date age ticks ago.
+func (f *staleness) recordUpToDate(age int) {
 	if !f.known || age < f.age {
 		f.known, f.age = true, age
 	}
-	f.awaited = 0
+	f.pendingCommit = 0
 }
 
-// current reports whether the state was the group's newest within the bound.
-func (f *freshness) current(bound int) bool { return f.known && f.age <= bound }
+// within reports whether the applied state was up to date within the last bound
+// ticks.
+func (f *staleness) within(bound int) bool { return f.known && f.age <= bound }
 
-// confirmedCommit is the commit index once it is known that no leader before has
-// committed more, and 0 until then: a new leader learns what is committed with the
-// first entry of its own term.
-func (n *Node) confirmedCommit() uint64 {
+// groupCommitIndex returns the leader's commit index once no earlier leader can
+// have committed more, and 0 until then. A new leader learns the group's commit
+// index only when the first entry of its own term is committed.
+func (n *Node) groupCommitIndex() uint64 {
 	if n.log.commit < n.termStart {
 		return 0
 	}
 	return n.log.commit
 }
 
-// noteNewest lets a leader confirm its own state: nobody else has committed
-// anything before a quorum last answered it.
-func (n *Node) noteNewest() {
-	if commit := n.confirmedCommit(); commit != 0 {
-		n.freshness.newest(commit, n.quorumIdle(), n.log.applied)
+// observeOwnCommit updates the staleness of the leader's own state: no other
+// replica can have committed an entry before a quorum last responded to this
+// leader.
+func (n *Node) observeOwnCommit() {
+	if commit := n.groupCommitIndex(); commit != 0 {
+		n.staleness.observeCommit(commit, n.ticksSinceQuorumResponse(), n.log.applied)
 	}
 }
 
-// quorumIdle is the time since a quorum had last answered this leader.
-func (n *Node) quorumIdle() int {
+// ticksSinceQuorumResponse returns the number of ticks within which a quorum
+// has responded to this leader, or ElectionTicks + 1 if that is too long ago.
+func (n *Node) ticksSinceQuorumResponse() int {
 	for ticks := 0; ; ticks++ {
 		answered := func(id ReplicaID) bool {
 			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].TicksSinceResponse <= ticks
--- a/replog/staleness_test.go
+++ b/replog/staleness_test.go
@@ -6,24 +6,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// current lists the replicas that call their state current.
-func (g *group) current() []ReplicaID {
+// upToDate returns the running replicas that report an up-to-date state.
+func (g *group) upToDate() []ReplicaID {
 	var ids []ReplicaID
 	for _, id := range g.order {
-		if g.replicas[id].up && g.replicas[id].soft.UpToDate {
+		if g.replicas[id].running && g.replicas[id].soft.UpToDate {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// A control instance is cut off from its group. Those that read from it go on with
-// what its group has replaced, unless it says that its state may be old.
-func TestACutOffReplicaIsNotCurrent(t *testing.T) {
+// A control instance is isolated from its group. Clients that read from it
+// would continue with replaced data unless it reports that its state may be
+// old.
+func TestIsolatedReplicaIsNotUpToDate(t *testing.T) {
 	g := newGroup(t, 1, 1, 2, 3)
 	leader := g.elect()
 	g.tick(2)
-	assert.DeepEqual(t, g.current(), []ReplicaID{1, 2, 3})
+	assert.DeepEqual(t, g.upToDate(), []ReplicaID{1, 2, 3})
 	cut := g.order[0]
 	if cut == leader.node.cfg.ID {
 		cut = g.order[1]
@@ -31,15 +32,16 @@
 	g.isolate(cut, true)
 	g.tick(2 * defaultElectionTicks)
 	assert.Assert(t, !g.replicas[cut].soft.UpToDate)
-	assert.Equal(t, len(g.current()), 2)
+	assert.Equal(t, len(g.upToDate()), 2)
 	g.isolate(cut, false)
 	g.tick(2)
-	assert.DeepEqual(t, g.current(), []ReplicaID{1, 2, 3})
+	assert.DeepEqual(t, g.upToDate(), []ReplicaID{1, 2, 3})
 }
 
-// The disk of a replica hangs. It hears the leader all the while and applies nothing
-// of what is decided, so its state gets older though it knows who leads.
-func TestAReplicaWhoseDiskHangsIsNotCurrent(t *testing.T) {
+// The disk of a replica stalls. The replica still hears the leader but applies
+// no committed entries, so that its state becomes stale although it knows the
+// leader.
+func TestReplicaWithStalledDiskIsNotUpToDate(t *testing.T) {
 	g := newGroup(t, 1, 1, 2, 3)
 	leader := g.elect()
 	g.tick(2)
@@ -47,7 +49,7 @@
 	if hung == leader.node.cfg.ID {
 		hung = g.order[1]
 	}
-	g.replicas[hung].hangs = true
+	g.replicas[hung].diskStalled = true
 	_, err := leader.node.Propose([]byte("a"))
 	assert.NilError(t, err)
 	g.deliver()
@@ -56,33 +58,34 @@
 	g.tick(2)
 	assert.Assert(t, !g.replicas[hung].soft.UpToDate)
 	assert.Equal(t, g.replicas[hung].node.Status().Leader, leader.node.cfg.ID)
-	g.replicas[hung].hangs = false
+	g.replicas[hung].diskStalled = false
 	g.save(hung)
 	g.tick(2)
-	assert.DeepEqual(t, g.current(), []ReplicaID{1, 2, 3})
+	assert.DeepEqual(t, g.upToDate(), []ReplicaID{1, 2, 3})
 }
 
-// A leader that was just elected may lack the knowledge that the one before has
-// committed an entry and that its caller was told so. Until an entry of its own term
-// is committed, neither it nor those that hear it may call their state the newest.
-func TestANewLeaderKnowsNothingOfWhatIsCommitted(t *testing.T) {
-	n := single(t)
-	makeLeader(t, n)
+// A new leader may not know that its predecessor has committed an entry and
+// reported it to a client. Until an entry of its own term is committed, neither
+// the leader nor its followers may report their state as up to date.
+func TestNewLeaderIsNotUpToDateBeforeFirstCommit(t *testing.T) {
+	n := newTestNode(t)
+	electNode(t, n)
 	n.termStart = n.log.commit + 1
-	assert.Equal(t, n.confirmedCommit(), uint64(0))
-	n.freshness = freshness{}
-	n.noteNewest()
-	assert.Assert(t, !n.freshness.known)
+	assert.Equal(t, n.groupCommitIndex(), uint64(0))
+	n.staleness = staleness{}
+	n.observeOwnCommit()
+	assert.Assert(t, !n.staleness.known)
 }
 
-// Entries are decided all the time, and a replica is always a few of them behind.
-// It is current all the same: what counts is how old its state is.
-func TestAReplicaThatIsAlwaysALittleBehindIsCurrent(t *testing.T) {
-	f := freshness{}
+// Entries are committed continuously, and a replica is always a few of them
+// behind. It still counts as up to date, because the age of its state decides
+// and not the number of missing entries.
+func TestReplicaWithSmallConstantLagIsUpToDate(t *testing.T) {
+	f := staleness{}
 	for commit := uint64(1); commit < 100; commit++ {
 		f.tick()
-		f.newest(commit, 0, commit-1)
-		f.applied(commit)
+		f.observeCommit(commit, 0, commit-1)
+		f.observeApplied(commit)
 	}
-	assert.Assert(t, f.current(1))
+	assert.Assert(t, f.within(1))
 }
--- a/replog/step.go
+++ b/replog/step.go
@@ -1,74 +1,81 @@
 package replog
 
-// Step takes in a message. It fails with *BadMessage or *BadEncoding if the
-// message is not for this replica or not well formed, and with *Inconsistent if the group has broken its promises and
-// this replica must be stopped.
+// Step processes a message. It fails with *InvalidMessageError or *DecodeError
+// if the message is malformed or not addressed to this replica, and with
+// *CommittedConflictError if the group has violated the protocol and this
+// replica must be stopped.
 func (n *Node) Step(m Message) error {
-	if !n.addressed(m) || !m.wellFormed() {
+	if !n.isAddressedToSelf(m) || !m.isWellFormed() {
 		return &InvalidMessageError{Type: m.Type, From: m.From, To: m.To, Group: m.Group}
 	}
-	if n.ignores(m) {
+	if n.shouldIgnore(m) {
 		return nil
 	}
 	if m.Term < n.term {
-		n.answerOldTerm(m)
+		n.respondToOldTerm(m)
 		return nil
 	}
 	if m.Term > n.term {
-		n.takeNewTerm(m)
+		n.adoptTerm(m)
 	}
-	return n.handle(m)
+	return n.dispatch(m)
 }
 
-func (n *Node) addressed(m Message) bool {
+// isAddressedToSelf reports whether the message is for this replica and comes
+// from another replica of its group.
+func (n *Node) isAddressedToSelf(m Message) bool {
 	return m.To == n.cfg.ID && m.Group == n.cfg.Group && m.From != None && m.From != n.cfg.ID
 }
 
-// ignores reports whether a message must have no effect, also when its term is
-// newer.
-func (n *Node) ignores(m Message) bool {
+// shouldIgnore reports whether a message must have no effect, even if its term
+// is newer.
+func (n *Node) shouldIgnore(m Message) bool {
 	switch m.Type {
 	case MessagePreVote, MessageVote:
-		return m.Term > n.term && !m.LeadershipTransfer && n.underLease()
+		return m.Term > n.term && !m.LeadershipTransfer && n.inLeaderLease()
 	case MessageAppendResponse, MessageHeartbeatResponse:
-		// A removed replica may have a newer term; it can't depose the leader.
+		// A removed replica may have a newer term; it must not depose the
+		// leader.
 		return n.role == Leader && n.progress[m.From] == nil
 	}
 	return false
 }
 
-// answerOldTerm tells a leader or candidate of an older term about this one, so
-// that a replica whose term ran ahead while it was cut off is not left out for
-// ever.
-func (n *Node) answerOldTerm(m Message) {
+// respondToOldTerm tells a leader or pre-candidate of an older term about the
+// current term. Without the response, a replica whose term ran ahead while it
+// was isolated would reject the leader's messages forever.
+func (n *Node) respondToOldTerm(m Message) {
 	switch {
-	case m.fromLeader():
+	case m.isFromLeader():
 		n.send(Message{Type: MessageAppendResponse, To: m.From, Term: n.term, Reject: true})
 	case m.Type == MessagePreVote:
 		n.send(Message{Type: MessagePreVoteResponse, To: m.From, Term: n.term, Reject: true})
 	}
 }
 
-func (n *Node) takeNewTerm(m Message) {
+// adoptTerm enters the newer term of a message, unless the term is only that of
+// a proposed election.
+func (n *Node) adoptTerm(m Message) {
 	switch {
 	case m.Type == MessagePreVote:
 	case m.Type == MessagePreVoteResponse && !m.Reject:
-		// The term of a granted pre-vote is the one that was asked for.
-	case m.fromLeader():
+		// A granted pre-vote carries the term of the proposed election.
+	case m.isFromLeader():
 		n.becomeFollower(m.Term, m.From)
 	default:
 		n.becomeFollower(m.Term, None)
 	}
 }
 
-func (n *Node) handle(m Message) error {
+// dispatch passes a message to the handler of its type.
+func (n *Node) dispatch(m Message) error {
 	switch m.Type {
 	case MessagePreVote, MessageVote:
 		n.handleVoteRequest(m)
 	case MessagePreVoteResponse, MessageVoteResponse:
 		n.handleVoteResponse(m)
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
-		return n.handleFromLeader(m)
+		return n.handleLeaderMessage(m)
 	case MessageAppendResponse:
 		n.handleAppendResponse(m)
 	case MessageHeartbeatResponse:
@@ -79,32 +86,34 @@
 	return nil
 }
 
-// send puts a message into the next Ready, or holds it until what it promises
-// is durable. Message.Term defaults to the current term.
+// send puts a message into the next Ready, or defers it until the state that it
+// depends on is durable. Message.Term defaults to the current term.
 func (n *Node) send(m Message) {
 	m.From = n.cfg.ID
 	m.Group = n.cfg.Group
 	if m.Term == 0 {
 		m.Term = n.term
 	}
-	if !m.promises() {
-		n.out = append(n.out, m)
+	if !m.needsDurability() {
+		n.outbox = append(n.outbox, m)
 		return
 	}
 	switch {
-	case n.hasUnsaved():
-		n.held = append(n.held, heldMessage{msg: m, seq: n.seq + 1})
-	case n.writing:
-		n.held = append(n.held, heldMessage{msg: m, seq: n.seq})
+	case n.hasUnsubmitted():
+		n.deferred = append(n.deferred, deferredMessage{msg: m, seq: n.writeSeq + 1})
+	case n.writeOutstanding:
+		n.deferred = append(n.deferred, deferredMessage{msg: m, seq: n.writeSeq})
 	default:
-		n.release(m)
+		n.sendDurable(m)
 	}
 }
 
-func (n *Node) release(m Message) {
+// sendDurable sends a message that depends on no unsaved state. The replica's
+// vote for itself is counted directly.
+func (n *Node) sendDurable(m Message) {
 	if m.To == n.cfg.ID {
 		n.handleVoteResponse(m)
 		return
 	}
-	n.out = append(n.out, m)
+	n.outbox = append(n.outbox, m)
 }
--- a/replog/storage.go
+++ b/replog/storage.go
@@ -1,7 +1,8 @@
 package replog
 
-// PersistentState is what a replica finds on its disk at start. The zero value is a
-// replica without any state that waits to be added to a group as a learner.
+// PersistentState is what a replica loads from its disk when it starts. The
+// zero value is a replica without any state that waits to be added to a group
+// as a learner.
 type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
@@ -14,24 +15,24 @@
 	return s.HardState == HardState{} && s.Snapshot.Index == 0 && len(s.Entries) == 0
 }
 
-// Storage keeps what a Node wants saved. Its methods are called by one
-// goroutine at a time.
+// Storage persists the state of a Node. Implementations need not be safe for
+// concurrent use.
 type Storage interface {
-	// Load returns what was saved.
+	// Load returns the saved state.
 	Load() (PersistentState, error)
 	// Save writes the HardState, Entries and Snapshot of a Ready, and returns
 	// once they are durable.
 	Save(Ready) error
 	// Compact replaces the saved entries up to the snapshot's index by the
-	// snapshot, and returns once that is durable. The entries after it stay.
+	// snapshot, and returns once it is durable. Later entries stay.
 	Compact(Snapshot) error
 }
 
-// BootstrapState returns the state that the first replica of a new group starts
-// from: it is the only voter, and the others join as learners. data is the
-// owner's state, for example from a backup, and index the log index that it
-// stands for, at least 1. BootstrapState of one group is done once, on one replica;
-// every further one makes another group.
+// BootstrapState returns the initial state of the first replica of a new group.
+// It is the only voter, and other replicas join as learners. data is the
+// application's state, for example from a backup, and index the log index that
+// this state reflects, at least 1. A group is bootstrapped once, on one
+// replica; every further bootstrap creates another group.
 func BootstrapState(first Member, index uint64, data []byte) PersistentState {
 	first.Learner = false
 	index = max(index, 1)
@@ -41,10 +42,9 @@
 	}
 }
 
-// BootstrapGroupState is like Bootstrap for a group that starts with several voters.
-// Each of them has to be given the same members, index and data, before any of
-// them is started. Only a ReplicaID that was never used before may be among
-// them.
+// BootstrapGroupState is like BootstrapState for a group that starts with
+// several voters. Each of them has to be given the same members, index and data
+// before any of them starts. Every ReplicaID in it must be new.
 func BootstrapGroupState(members Members, index uint64, data []byte) PersistentState {
 	s := BootstrapState(Member{}, index, data)
 	s.Snapshot.Members = members
@@ -56,20 +56,20 @@
 	saved PersistentState
 }
 
-// NewMemoryStorage returns a storage that holds s.
+// NewMemoryStorage returns a storage that contains s.
 func NewMemoryStorage(s PersistentState) *MemoryStorage {
 	s.Entries = append([]Entry(nil), s.Entries...)
 	return &MemoryStorage{saved: s}
 }
 
-// Load returns what was saved.
+// Load returns a copy of the saved state.
 func (m *MemoryStorage) Load() (PersistentState, error) {
 	s := m.saved
 	s.Entries = append([]Entry(nil), s.Entries...)
 	return s, nil
 }
 
-// Save takes over the writes of rd.
+// Save applies the writes of rd.
 func (m *MemoryStorage) Save(rd Ready) error {
 	if rd.HardState != nil {
 		m.saved.HardState = *rd.HardState
--- a/replog/types.go
+++ b/replog/types.go
@@ -1,27 +1,28 @@
 package replog
 
-// ReplicaID names one replica for the life of its disk. It is never zero and
-// never used again after that disk was lost.
+// ReplicaID identifies a replica for the life of its disk. It is never zero and
+// is never reused after that disk is lost.
 type ReplicaID uint64
 
-// None is the ReplicaID of nobody.
+// None is the zero ReplicaID, which identifies no replica.
 const None ReplicaID = 0
 
-// EntryKind tells what the Data of an Entry is.
+// EntryKind is the kind of an Entry and determines the meaning of its Data.
 type EntryKind uint8
 
 // The kinds of entries.
 const (
-	// EntryNoOp has no data. A new leader appends one to learn what is
-	// committed.
+	// EntryNoOp has no data. A new leader appends one to learn which entries
+	// are committed.
 	EntryNoOp EntryKind = iota
-	// EntryCommand carries what was given to Propose.
+	// EntryCommand carries the data of a Propose call.
 	EntryCommand
-	// EntryMembership carries the encoded Members that hold from this entry on.
+	// EntryMembership carries the encoded Members that are in force from this
+	// entry on.
 	EntryMembership
 )
 
-// Entry is one place in the log.
+// Entry is one entry of the log.
 type Entry struct {
 	Term  uint64
 	Index uint64
@@ -29,28 +30,29 @@
 	Data  []byte
 }
 
-// entryOverhead is the size in bytes that is counted for an entry on top of its
-// data.
+// entryOverhead is the number of bytes that is counted for an entry in addition
+// to its data.
 const entryOverhead = 24
 
 func (e *Entry) size() int { return len(e.Data) + entryOverhead }
 
-// Position is a place in the log together with the term it was proposed in. A
-// proposal is committed when the entry at Index is committed with this Term; if
-// another term is committed there, the proposal was lost.
+// Position identifies a log entry by term and index. A proposal is committed
+// when the entry committed at Index has this Term; if that entry has another
+// term, the proposal is lost.
 type Position struct {
 	Term  uint64
 	Index uint64
 }
 
-// HardState is what a replica must not forget, besides its entries and snapshot.
+// HardState is the state that a replica must persist in addition to its entries
+// and snapshot.
 type HardState struct {
-	// Term is the latest term this replica has seen.
+	// Term is the latest term that this replica has seen.
 	Term uint64
-	// Vote is the candidate that got this replica's vote in Term.
+	// Vote is the candidate that this replica voted for in Term, or None.
 	Vote ReplicaID
 	// Commit is a lower bound of the commit index. It is saved along with other
-	// writes and never causes one.
+	// writes and never causes a write of its own.
 	Commit uint64
 }
 
@@ -59,11 +61,11 @@
 	Index   uint64
 	Term    uint64
 	Members Members
-	// Data is the owner's state after applying the entry at Index.
+	// Data is the application's state after applying the entry at Index.
 	Data []byte
 }
 
-// Role is what a replica does in its current term.
+// Role is the role of a replica in its current term.
 type Role uint8
 
 // The roles.
@@ -74,7 +76,7 @@
 	Leader
 )
 
-// String gives the role's name in lower case.
+// String returns the role's name in lower case.
 func (r Role) String() string {
 	names := [...]string{"follower", "pre-candidate", "candidate", "leader"}
 	if int(r) < len(names) {
@@ -83,48 +85,48 @@
 	return "unknown"
 }
 
-// SoftState is state that need not be saved.
+// SoftState is volatile state that need not be saved.
 type SoftState struct {
 	Leader ReplicaID
 	Role   Role
-	// UpToDate is set while the applied state was the newest that the group had
-	// committed within the last ElectionTicks. Unlike a known leader it says that
-	// others may rely on this replica's state.
+	// UpToDate is set if, at some time within the last ElectionTicks, the
+	// applied state included everything that the group had committed. Unlike a
+	// known leader, it bounds the staleness of reads from this replica.
 	UpToDate bool
 }
 
-// ReadState answers one ReadIndex call.
+// ReadState is the result of a ReadIndex call.
 type ReadState struct {
-	// RequestID is the number given to ReadIndex.
+	// RequestID is the number passed to ReadIndex.
 	RequestID uint64
 	// Index is the entry that has to be applied before the read may be served.
 	Index uint64
-	// Aborted means that this replica stopped being leader before a quorum
-	// confirmed the read; it must not be served.
+	// Aborted is set if this replica lost its leadership before a quorum
+	// confirmed the read. The read must not be served.
 	Aborted bool
 }
 
-// Ready is what the owner of a Node has to do. See the package comment for the
-// order.
+// Ready is the work that a Node passes to the application. The package comment
+// describes the required order.
 type Ready struct {
-	// SoftState is set when it has changed.
+	// SoftState is set if it has changed.
 	SoftState *SoftState
-	// HardState, Entries and Snapshot are to be saved in one write, the snapshot
-	// first. Entries replace all saved entries from Entries[0].Index on. A
-	// Snapshot replaces the whole saved log and the owner's state.
+	// HardState, Entries and Snapshot have to be saved in one write, the
+	// snapshot first. Entries replace all saved entries from Entries[0].Index
+	// on. Snapshot replaces the whole saved log and the application's state.
 	HardState *HardState
 	Entries   []Entry
 	Snapshot  *Snapshot
-	// Messages may be sent at once, in this order where the transport can.
+	// Messages may be sent at once, if possible in this order.
 	Messages []Message
-	// Committed entries are durable on this replica and a quorum. They follow
-	// on each other without gaps, also over several Readys, except that they
-	// continue after a Snapshot.
+	// Committed entries are durable on this replica and on a quorum. They are
+	// contiguous, also across several Readys, except that they continue after a
+	// Snapshot.
 	Committed []Entry
-	// ReadStates answers calls of ReadIndex.
+	// ReadStates are the results of ReadIndex calls.
 	ReadStates []ReadState
-	// MustSync is set when there is something to save. Advance may be called
-	// only once it is durable.
+	// MustSync is set if there is anything to save. Advance may be called only
+	// once it is durable.
 	MustSync bool
 
 	seq uint64
