--- a/replog/chaos_test.go
+++ b/replog/chaos_test.go
@@ -59,7 +59,7 @@
 	g := newGroup(t, seed, ids...)
 	g.delay = true
 	return &chaos{
-		group: g, t: t, rand: r, reference: newSingleCopy(t),
+		group: g, t: t, rand: r, reference: newReferenceLog(t),
 		lostDisk: map[ReplicaID]bool{}, paused: map[ReplicaID]bool{}, nextID: ReplicaID(n + 1),
 		checked: map[ReplicaID]Position{}, proposed: map[ReplicaID]map[Position]string{},
 	}
--- a/replog/election.go
+++ b/replog/election.go
@@ -37,9 +37,9 @@
 }
 
 // campaign starts a pre-vote or an election. A pre-vote changes no term, so
-// that it can't disrupt a working leader. force is set when the leader itself
-// asked for the election in a leadership transfer.
-func (n *Node) campaign(role Role, force bool) {
+// that it can't disrupt a working leader. leadershipTransfer is set when the
+// leader itself asked for the election.
+func (n *Node) campaign(role Role, leadershipTransfer bool) {
 	n.role = role
 	n.leader = None
 	n.resetElectionTimer()
@@ -51,7 +51,7 @@
 	}
 	n.enterTerm(n.term + 1)
 	n.vote = n.cfg.ID
-	n.requestVotes(Message{Type: MessageVote, Term: n.term, LeadershipTransfer: force})
+	n.requestVotes(Message{Type: MessageVote, Term: n.term, LeadershipTransfer: leadershipTransfer})
 	// The replica's own vote counts only once it is durable.
 	n.send(Message{Type: MessageVoteResponse, To: n.cfg.ID, Term: n.term})
 }
@@ -166,12 +166,12 @@
 // handleVoteResponse counts a response that belongs to the current pre-vote or
 // election and ignores all others.
 func (n *Node) handleVoteResponse(m Message) {
-	waiting := m.Type == MessageVoteResponse && n.role == Candidate ||
+	expected := m.Type == MessageVoteResponse && n.role == Candidate ||
 		m.Type == MessagePreVoteResponse && n.role == PreCandidate
 	if m.Type == MessagePreVoteResponse && !m.Reject && m.Term != n.term+1 {
 		return
 	}
-	if waiting {
+	if expected {
 		n.countVote(m.From, !m.Reject)
 	}
 }
--- a/replog/invariants_test.go
+++ b/replog/invariants_test.go
@@ -37,7 +37,7 @@
 
 const bootstrapIndex = 1
 
-func newSingleCopy(t assert.TestingT) *referenceLog {
+func newReferenceLog(t assert.TestingT) *referenceLog {
 	return &referenceLog{
 		t: t, digests: []uint64{0}, leaders: map[uint64]ReplicaID{},
 		observed: map[Position]observedEntry{}, readFloors: map[uint64]uint64{}, confirmed: map[string]Position{},
--- a/replog/leader.go
+++ b/replog/leader.go
@@ -175,14 +175,14 @@
 // handleAcknowledgement advances a member's match index, and with it the commit
 // index and a pending leadership transfer.
 func (n *Node) handleAcknowledgement(m Message, p *Progress) {
-	news := p.recordAck(m.Index)
+	advanced := p.recordAck(m.Index)
 	switch {
-	case p.State == ProgressProbe && (news || m.Index == p.Match):
+	case p.State == ProgressProbe && (advanced || m.Index == p.Match):
 		p.becomeReplicate()
 	case p.State == ProgressSnapshot && p.Match >= p.snapshotIndex:
 		p.becomeReplicate()
 	}
-	if !news {
+	if !advanced {
 		return
 	}
 	n.maybeCommit()
--- a/replog/members.go
+++ b/replog/members.go
@@ -111,14 +111,14 @@
 // DecodeMembers decodes the output of EncodeMembers, or fails with
 // *DecodeError.
 func DecodeMembers(b []byte) (Members, error) {
-	r := memberDecoder{rest: b, size: len(b)}
-	n := r.uvarint()
+	d := memberDecoder{rest: b, size: len(b)}
+	n := d.uvarint()
 	var ms Members
-	for i := uint64(0); i < n && !r.failed; i++ {
-		ms = append(ms, r.member())
+	for i := uint64(0); i < n && !d.failed; i++ {
+		ms = append(ms, d.member())
 	}
-	if r.failed || len(r.rest) != 0 {
-		return nil, &DecodeError{What: "members", Offset: r.size - len(r.rest)}
+	if d.failed || len(d.rest) != 0 {
+		return nil, &DecodeError{What: "members", Offset: d.size - len(d.rest)}
 	}
 	return ms, nil
 }
@@ -130,26 +130,26 @@
 	failed bool
 }
 
-func (r *memberDecoder) uvarint() uint64 {
-	v, n := binary.Uvarint(r.rest)
+func (d *memberDecoder) uvarint() uint64 {
+	v, n := binary.Uvarint(d.rest)
 	if n <= 0 {
-		r.failed = true
+		d.failed = true
 		return 0
 	}
-	r.rest = r.rest[n:]
+	d.rest = d.rest[n:]
 	return v
 }
 
-func (r *memberDecoder) member() Member {
-	id := r.uvarint()
-	flags := r.uvarint()
-	size := r.uvarint()
-	if r.failed || id == 0 || flags > learnerFlag || size > uint64(len(r.rest)) {
-		r.failed = true
+func (d *memberDecoder) member() Member {
+	id := d.uvarint()
+	flags := d.uvarint()
+	size := d.uvarint()
+	if d.failed || id == 0 || flags > learnerFlag || size > uint64(len(d.rest)) {
+		d.failed = true
 		return Member{}
 	}
-	address := string(r.rest[:size])
-	r.rest = r.rest[size:]
+	address := string(d.rest[:size])
+	d.rest = d.rest[size:]
 	return Member{Replica: ReplicaID(id), Learner: flags == learnerFlag, Address: address}
 }
 
--- a/replog/ready.go
+++ b/replog/ready.go
@@ -69,13 +69,13 @@
 	}
 	n.writeOutstanding = false
 	n.log.markStable(n.writeEnd)
-	held := n.deferred
+	deferred := n.deferred
 	n.deferred = nil
-	for _, h := range held {
-		if h.seq <= rd.seq {
-			n.sendDurable(h.msg)
+	for _, d := range deferred {
+		if d.seq <= rd.seq {
+			n.sendDurable(d.msg)
 		} else {
-			n.deferred = append(n.deferred, h)
+			n.deferred = append(n.deferred, d)
 		}
 	}
 	if n.role == Leader {
--- a/replog/staleness.go
+++ b/replog/staleness.go
@@ -20,42 +20,42 @@
 }
 
 // tick advances the time by one tick.
-func (f *staleness) tick() {
-	f.age++
-	f.pendingAge++
+func (s *staleness) tick() {
+	s.age++
+	s.pendingAge++
 }
 
 // observeCommit records that, age ticks ago, the group's commit index was
 // commit. While an earlier index is pending, later ones don't replace it;
 // otherwise a replica that is always slightly behind would never be found up to
 // date.
-func (f *staleness) observeCommit(commit uint64, age int, applied uint64) {
+func (s *staleness) observeCommit(commit uint64, age int, applied uint64) {
 	switch {
 	case applied >= commit:
-		f.recordUpToDate(age)
-	case f.pendingCommit == 0:
-		f.pendingCommit, f.pendingAge = commit, age
+		s.recordUpToDate(age)
+	case s.pendingCommit == 0:
+		s.pendingCommit, s.pendingAge = commit, age
 	}
 }
 
 // observeApplied records that the entries up to index are applied.
-func (f *staleness) observeApplied(index uint64) {
-	if f.pendingCommit != 0 && index >= f.pendingCommit {
-		f.recordUpToDate(f.pendingAge)
+func (s *staleness) observeApplied(index uint64) {
+	if s.pendingCommit != 0 && index >= s.pendingCommit {
+		s.recordUpToDate(s.pendingAge)
 	}
 }
 
 // recordUpToDate records that the applied state was up to date age ticks ago.
-func (f *staleness) recordUpToDate(age int) {
-	if !f.known || age < f.age {
-		f.known, f.age = true, age
+func (s *staleness) recordUpToDate(age int) {
+	if !s.known || age < s.age {
+		s.known, s.age = true, age
 	}
-	f.pendingCommit = 0
+	s.pendingCommit = 0
 }
 
 // within reports whether the applied state was up to date within the last bound
 // ticks.
-func (f *staleness) within(bound int) bool { return f.known && f.age <= bound }
+func (s *staleness) within(bound int) bool { return s.known && s.age <= bound }
 
 // groupCommitIndex returns the leader's commit index once no earlier leader can
 // have committed more, and 0 until then. A new leader learns the group's commit
@@ -80,10 +80,10 @@
 // has responded to this leader, or ElectionTicks + 1 if that is too long ago.
 func (n *Node) ticksSinceQuorumResponse() int {
 	for ticks := 0; ; ticks++ {
-		answered := func(id ReplicaID) bool {
+		responded := func(id ReplicaID) bool {
 			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].TicksSinceResponse <= ticks
 		}
-		if n.members.current().hasQuorum(answered) || ticks > n.cfg.ElectionTicks {
+		if n.members.current().hasQuorum(responded) || ticks > n.cfg.ElectionTicks {
 			return ticks
 		}
 	}
--- a/replog/staleness_test.go
+++ b/replog/staleness_test.go
@@ -81,11 +81,11 @@
 // behind. It still counts as up to date, because the age of its state decides
 // and not the number of missing entries.
 func TestReplicaWithSmallConstantLagIsUpToDate(t *testing.T) {
-	f := staleness{}
+	s := staleness{}
 	for commit := uint64(1); commit < 100; commit++ {
-		f.tick()
-		f.observeCommit(commit, 0, commit-1)
-		f.observeApplied(commit)
+		s.tick()
+		s.observeCommit(commit, 0, commit-1)
+		s.observeApplied(commit)
 	}
-	assert.Assert(t, f.within(1))
+	assert.Assert(t, s.within(1))
 }
--- a/store/atomic.go
+++ b/store/atomic.go
@@ -12,12 +12,13 @@
 	"github.com/gravitational/trace"
 )
 
-// castagnoli is the polynomial of CRC-32C, which processors compute.
+// castagnoli is the polynomial of CRC-32C, for which processors have
+// instructions.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// A small file is: magic (8 bytes, the last one the version), content length (8
-// bytes), CRC-32C of both and the content (4 bytes), content. Numbers are
-// little-endian.
+// An atomic file consists of a magic (8 bytes, the last one is the version),
+// the content length (8 bytes), the CRC-32C of the magic, the length and the
+// content (4 bytes), and the content. Numbers are little-endian.
 const (
 	atomicMagic      = "cwstile\x01"
 	atomicHeaderSize = len(atomicMagic) + 8 + 4
@@ -25,28 +26,29 @@
 
 // WriteAtomic replaces the file name in dir by data and returns once that is
 // durable. After a crash the file has either the old or the new content. It
-// fails with *BadName or *IOFailed. Calls for one name must not overlap.
+// fails with *InvalidNameError or *IOError. Calls for the same name must not
+// overlap.
 func WriteAtomic(dir, name string, data []byte) error {
-	return trace.Wrap(writeAtomic(osFiles{}, dir, name, data))
+	return trace.Wrap(writeAtomic(osFileSystem{}, dir, name, data))
 }
 
-func writeAtomic(fs files, dir, name string, data []byte) error {
-	if err := checkName(name); err != nil {
+func writeAtomic(fs fileSystem, dir, name string, data []byte) error {
+	if err := validateName(name); err != nil {
 		return err
 	}
 	return replaceFile(fs, filepath.Join(dir, name), encodeAtomic(data))
 }
 
-// ReadAtomic returns what WriteAtomic wrote last. It fails with *Missing if the
-// file doesn't exist, with *Damaged if it doesn't match its checksum, and with
-// *BadName or *IOFailed.
+// ReadAtomic returns the data of the last WriteAtomic. It fails with
+// *NotFoundError if the file doesn't exist, with *CorruptionError if it doesn't
+// match its checksum, and otherwise with *InvalidNameError or *IOError.
 func ReadAtomic(dir, name string) ([]byte, error) {
 	data, err := readAtomic(dir, name)
 	return data, trace.Wrap(err)
 }
 
 func readAtomic(dir, name string) ([]byte, error) {
-	if err := checkName(name); err != nil {
+	if err := validateName(name); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, name)
@@ -55,17 +57,19 @@
 		return nil, &NotFoundError{File: path}
 	}
 	if err != nil {
-		return nil, failed(OpRead, path, err)
+		return nil, wrapIOError(OpRead, path, err)
 	}
-	data, damage := decodeAtomic(content)
-	if damage != nil {
-		damage.File = path
-		return nil, damage
+	data, corruption := decodeAtomic(content)
+	if corruption != nil {
+		corruption.File = path
+		return nil, corruption
 	}
 	return data, nil
 }
 
-func checkName(name string) error {
+// validateName rejects names that are not plain file names or that the data
+// directory uses itself.
+func validateName(name string) error {
 	if name == "" || name != filepath.Base(name) || strings.HasPrefix(name, ".") ||
 		strings.HasSuffix(name, tempSuffix) || name == lockName || name == logDirName {
 		return &InvalidNameError{Name: name}
@@ -73,6 +77,7 @@
 	return nil
 }
 
+// encodeAtomic adds the header of an atomic file to data.
 func encodeAtomic(data []byte) []byte {
 	b := make([]byte, 0, atomicHeaderSize+len(data))
 	b = append(b, atomicMagic...)
@@ -82,6 +87,7 @@
 	return append(b, data...)
 }
 
+// decodeAtomic returns the data of an atomic file after checking its header.
 func decodeAtomic(b []byte) ([]byte, *CorruptionError) {
 	if len(b) < atomicHeaderSize {
 		return nil, &CorruptionError{Reason: LengthMismatch}
@@ -101,7 +107,7 @@
 	return data, nil
 }
 
-// checkMagic tells a file of another version from one that is damaged.
+// checkMagic distinguishes a file of another version from a corrupt one.
 func checkMagic(b []byte, magic string) CorruptionReason {
 	last := len(magic) - 1
 	switch {
--- a/store/atomic_test.go
+++ b/store/atomic_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A crash comes while a small file is replaced. An entry instance that restarts
-// then needs one whole configuration, the old or the new.
+// A process crashes while it replaces an atomic file. After its restart, an
+// entry instance needs one complete configuration, either the old or the new.
 func TestAtomicFileSurvivesCrashes(t *testing.T) {
-	d := newCrashDisk(t)
+	d := newCrashFS(t)
 	assert.NilError(t, writeAtomic(d, d.root, "config", []byte("old")))
 	seen := map[string]bool{}
 	d.check = func(op Op, dir string) {
@@ -25,9 +25,9 @@
 	d.check(OpSync, d.root)
 }
 
-// A disk returns other bytes than were written, or less of them. An instance that
-// starts from them would work by a configuration that nobody accepted.
-func TestAtomicFileReportsEveryDamagedByte(t *testing.T) {
+// A disk returns other bytes than were written, or fewer. An instance that
+// started from them would apply a configuration that was never accepted.
+func TestAtomicFileReportsEveryCorruptByte(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, WriteAtomic(dir, "config", []byte("content")))
 	path := filepath.Join(dir, "config")
@@ -35,15 +35,15 @@
 	assert.NilError(t, err)
 	for i := range b {
 		b[i] ^= 1
-		_, damage := decodeAtomic(b)
-		assert.Assert(t, damage != nil, "byte %d", i)
+		_, corruption := decodeAtomic(b)
+		assert.Assert(t, corruption != nil, "byte %d", i)
 		b[i] ^= 1
 	}
 	assert.NilError(t, os.Truncate(path, int64(len(b)-1)))
 	_, err = ReadAtomic(dir, "config")
-	var damaged *CorruptionError
-	assert.Assert(t, errors.As(err, &damaged))
-	assert.Equal(t, damaged.File, path)
+	var corruption *CorruptionError
+	assert.Assert(t, errors.As(err, &corruption))
+	assert.Equal(t, corruption.File, path)
 }
 
 func TestAtomicFileNames(t *testing.T) {
--- a/store/datadir.go
+++ b/store/datadir.go
@@ -10,29 +10,30 @@
 
 const lockName = "LOCK"
 
-// DataDir is a data folder that this process has locked.
+// DataDir is a data directory that this process has locked.
 type DataDir struct {
 	dir  string
 	lock *os.File
-	fs   files
+	fs   fileSystem
 }
 
-// OpenDataDir locks a data folder and creates it, and the folders above it, if
-// needed. It fails with *Locked if another process, or another Folder of this
-// one, has it: two processes that append to one log would overwrite each other.
+// OpenDataDir locks a data directory and creates it and its parents if needed.
+// It fails with *LockedError if another process, or another DataDir of this
+// process, has locked it: two processes that append to one log would overwrite
+// each other's entries. Other failures are an *IOError.
 func OpenDataDir(dir string) (*DataDir, error) {
-	f, err := openFolder(osFiles{}, dir)
+	f, err := openDataDir(osFileSystem{}, dir)
 	return f, trace.Wrap(err)
 }
 
-func openFolder(fs files, dir string) (*DataDir, error) {
+func openDataDir(fs fileSystem, dir string) (*DataDir, error) {
 	if err := makeDir(fs, dir); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, lockName)
 	lock, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, filePerm)
 	if err != nil {
-		return nil, failed(OpOpen, path, err)
+		return nil, wrapIOError(OpOpen, path, err)
 	}
 	err = unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	if err == nil {
@@ -42,12 +43,12 @@
 	if err == unix.EWOULDBLOCK {
 		return nil, &LockedError{Dir: dir}
 	}
-	return nil, failed(OpLock, path, err)
+	return nil, wrapIOError(OpLock, path, err)
 }
 
-// makeDir makes a directory and those above it, and syncs each one that got a
-// new entry: a power failure could take the whole folder away otherwise.
-func makeDir(fs files, dir string) error {
+// makeDir creates a directory and its parents, and syncs each parent that got a
+// new entry. Otherwise a power failure could remove the whole data directory.
+func makeDir(fs fileSystem, dir string) error {
 	err := os.Mkdir(dir, dirPerm)
 	if os.IsNotExist(err) {
 		if err := makeDir(fs, filepath.Dir(dir)); err != nil {
@@ -59,25 +60,25 @@
 		return nil
 	}
 	if err != nil {
-		return failed(OpOpen, dir, err)
+		return wrapIOError(OpOpen, dir, err)
 	}
 	return fs.syncDir(filepath.Dir(dir))
 }
 
-// Close gives the folder free.
-func (f *DataDir) Close() error {
-	return trace.Wrap(failed(OpLock, f.dir, f.lock.Close()))
+// Close unlocks the directory.
+func (d *DataDir) Close() error {
+	return trace.Wrap(wrapIOError(OpLock, d.dir, d.lock.Close()))
 }
 
-// Path is the folder's path.
-func (f *DataDir) Path() string { return f.dir }
+// Path returns the path of the directory.
+func (d *DataDir) Path() string { return d.dir }
 
-// WriteAtomic is like the function of that name.
-func (f *DataDir) WriteAtomic(name string, data []byte) error {
-	return trace.Wrap(writeAtomic(f.fs, f.dir, name, data))
+// WriteAtomic is like the function WriteAtomic for a file in this directory.
+func (d *DataDir) WriteAtomic(name string, data []byte) error {
+	return trace.Wrap(writeAtomic(d.fs, d.dir, name, data))
 }
 
-// ReadAtomic is like the function of that name.
-func (f *DataDir) ReadAtomic(name string) ([]byte, error) {
-	return ReadAtomic(f.dir, name)
+// ReadAtomic is like the function ReadAtomic for a file in this directory.
+func (d *DataDir) ReadAtomic(name string) ([]byte, error) {
+	return ReadAtomic(d.dir, name)
 }
--- a/store/datadir_test.go
+++ b/store/datadir_test.go
@@ -7,12 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// A new deployment names a data folder whose parents do not exist yet. The
-// instance used to refuse to start.
-func TestFoldersAboveAreMade(t *testing.T) {
+// A new deployment configures a data directory whose parents don't exist yet.
+// The instance must create them instead of failing to start.
+func TestOpenDataDirCreatesParents(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b", "c")
-	folder, err := OpenDataDir(dir)
+	dataDir, err := OpenDataDir(dir)
 	assert.NilError(t, err)
-	assert.NilError(t, folder.WriteAtomic("file", []byte("x")))
-	assert.NilError(t, folder.Close())
+	assert.NilError(t, dataDir.WriteAtomic("file", []byte("x")))
+	assert.NilError(t, dataDir.Close())
 }
--- a/store/doc.go
+++ b/store/doc.go
@@ -1,15 +1,18 @@
-// Package store keeps a process's files under its data folder. Nothing is
-// acknowledged before it is synced: the file, and the directory that names it.
+// Package store keeps the persistent state of a process in its data directory:
+// small files that are replaced atomically, and the write-ahead log of a
+// replica of the replicated log. A write is acknowledged only after both the
+// file and the directory that names it are synced.
 //
-// A Folder is locked by one process. It holds
+// A DataDir is locked by one process. It contains
 //
 //   - small files that are replaced as a whole (WriteAtomic, ReadAtomic), for
 //     example the last accepted configuration;
-//   - the replicated log of a replica (CreateLog, OpenLog): numbered segment
+//   - the write-ahead log of a replica (CreateLog, OpenLog): numbered segment
 //     files of checksummed frames, and one snapshot.
 //
-// After a crash the unfinished last frame of the log is cut off: it was never
-// acknowledged. Anything else that doesn't match its checksum is damage. It is
-// reported as *Damaged and nothing is repaired, since a replica that goes on
-// without what it has acknowledged could let the group lose it.
+// An unfinished last frame is truncated after a crash, since it was never
+// acknowledged. Any other content that doesn't match its checksum is
+// corruption. It is reported as *CorruptionError and never repaired: a replica
+// that continued without entries that it has acknowledged could let the group
+// lose them.
 package store
--- a/store/errors.go
+++ b/store/errors.go
@@ -6,20 +6,22 @@
 	"syscall"
 )
 
-// CorruptionError means that a file doesn't hold what was written and synced. The
-// replica must not be used again; it is to be replaced by one with a new
-// identity.
+// CorruptionError means that a file doesn't contain what was written and
+// synced. The replica must not be used any more; it has to be replaced by one
+// with a new identity.
 type CorruptionError struct {
+	// File is the path of the corrupt file.
 	File string
-	// Offset is the place in bytes.
+	// Offset is the position of the corruption in bytes.
 	Offset int64
+	// Reason says how the corruption was detected.
 	Reason CorruptionReason
 }
 
-// CorruptionReason says how damage was noticed.
+// CorruptionReason says how a corruption was detected.
 type CorruptionReason string
 
-// The reasons.
+// The reasons of a CorruptionError.
 const (
 	CorruptHeader      CorruptionReason = "the file header is not valid"
 	UnsupportedVersion CorruptionReason = "the file was written by another version"
@@ -28,30 +30,32 @@
 	MissingFrames      CorruptionReason = "frames are missing before this one"
 	MissingEntries     CorruptionReason = "log entries are missing before this one"
 	UndecodableContent CorruptionReason = "the content can't be decoded"
-	LengthMismatch     CorruptionReason = "the file has another length than it states"
+	LengthMismatch     CorruptionReason = "the file length differs from the length in its header"
 	MissingFile        CorruptionReason = "the file is missing"
 )
 
-// Error names the file, the place and the reason.
+// Error names the file, the offset and the reason.
 func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s is damaged at byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// NoLogError means that the folder holds no log. It was never created there,
-// or the disk was lost; in both cases the replica needs a new identity.
+// NoLogError means that the data directory contains no log. Either none was
+// created there or the disk was lost; in both cases the replica needs a new
+// identity.
 type NoLogError struct {
 	Dir string
 }
 
-// Error names the folder.
+// Error names the directory.
 func (e *NoLogError) Error() string { return fmt.Sprintf("%s holds no log", e.Dir) }
 
-// LogExistsError means that the folder holds a log, which is not replaced.
+// LogExistsError means that the data directory already contains a log, which
+// CreateLog doesn't replace.
 type LogExistsError struct {
 	Dir string
 }
 
-// Error names the folder.
+// Error names the directory.
 func (e *LogExistsError) Error() string { return fmt.Sprintf("%s holds a log already", e.Dir) }
 
 // IdentityMismatchError means that the log belongs to another replica or group.
@@ -60,21 +64,21 @@
 	Want, Got Identity
 }
 
-// Error gives both identities.
+// Error gives the actual and the expected identity.
 func (e *IdentityMismatchError) Error() string {
 	return fmt.Sprintf("%s belongs to replica %d of group %x, not to replica %d of group %x",
 		e.Dir, e.Got.Replica, e.Got.Group, e.Want.Replica, e.Want.Group)
 }
 
-// LockedError means that another process uses the folder.
+// LockedError means that another process has locked the data directory.
 type LockedError struct {
 	Dir string
 }
 
-// Error names the folder.
+// Error names the directory.
 func (e *LockedError) Error() string { return fmt.Sprintf("%s is used by another process", e.Dir) }
 
-// NotFoundError means that a small file was never written.
+// NotFoundError means that an atomic file doesn't exist.
 type NotFoundError struct {
 	File string
 }
@@ -82,30 +86,30 @@
 // Error names the file.
 func (e *NotFoundError) Error() string { return fmt.Sprintf("%s does not exist", e.File) }
 
-// InvalidNameError means that a name can't be used for a small file.
+// InvalidNameError means that a name is not allowed for an atomic file.
 type InvalidNameError struct {
 	Name string
 }
 
-// Error names it.
+// Error gives the name.
 func (e *InvalidNameError) Error() string {
 	return fmt.Sprintf("%q can't be used as a file name", e.Name)
 }
 
-// IOError means that the operating system refused an operation. A Log that
-// returned it refuses all further writes with the same failure: after a failed
-// sync the kernel may have dropped the data, and a second sync that succeeds
-// says nothing about it.
+// IOError means that the operating system failed an operation. A Log that
+// returned an IOError rejects all later writes with the same error: after a
+// failed sync the kernel may have dropped the data, and a second sync that
+// succeeds doesn't show that the data is durable.
 type IOError struct {
 	Op    Op
 	File  string
 	Cause error
 }
 
-// Op is an operation on files.
+// Op is a file operation.
 type Op string
 
-// The operations.
+// The file operations.
 const (
 	OpOpen             Op = "open"
 	OpRead             Op = "read"
@@ -114,29 +118,30 @@
 	OpRename           Op = "rename"
 	OpRemove           Op = "remove"
 	OpLock             Op = "lock"
-	OpGenerateIdentity Op = "mint an identity for"
+	OpGenerateIdentity Op = "generate an identity for"
 )
 
-// Error gives the operation and its cause.
+// Error gives the operation, the file and the cause.
 func (e *IOError) Error() string { return fmt.Sprintf("can't %s %s: %v", e.Op, e.File, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *IOError) Unwrap() error { return e.Cause }
 
-// IsDiskFull says whether a failure shows that the disk had no room for a write. The
-// log can then be opened again: what was written of the frame is cut off. After
-// a failed sync it cannot be trusted like that, also for want of room.
+// IsDiskFull reports whether err means that the disk had no room for a write.
+// The log can then be reopened, which truncates the partial frame. A failed
+// sync is never reported, even for lack of room, because the state of the data
+// on the disk is then unknown.
 func IsDiskFull(err error) bool {
 	var failure *IOError
 	return errors.As(err, &failure) && failure.Op != OpSync && errors.Is(failure.Cause, syscall.ENOSPC)
 }
 
-// AlreadyLoadedError means that Load was called again, or after a write.
+// AlreadyLoadedError means that Load was called a second time or after a write.
 type AlreadyLoadedError struct {
 	Dir string
 }
 
-// Error names the folder.
+// Error names the directory.
 func (e *AlreadyLoadedError) Error() string {
 	return fmt.Sprintf("the log in %s was loaded already", e.Dir)
 }
--- a/store/filesystem.go
+++ b/store/filesystem.go
@@ -5,53 +5,57 @@
 	"path/filepath"
 )
 
-// files are the operations whose order and failure decide what survives a crash.
-// Tests put their own in between.
-type files interface {
+// fileSystem contains the operations whose order and failures decide what
+// survives a crash. Tests replace it to simulate crashes.
+type fileSystem interface {
 	write(f *os.File, b []byte) error
 	sync(f *os.File) error
-	// syncDir makes the names in a directory durable: a file that was synced can
-	// still be missing after a crash if the directory was not.
+	// syncDir makes the names in a directory durable. Without it, a synced file
+	// may still be missing after a crash.
 	syncDir(dir string) error
 	rename(from, to string) error
 	remove(path string) error
 }
 
-type osFiles struct{}
+// osFileSystem is the file system of the operating system.
+type osFileSystem struct{}
 
-func (osFiles) write(f *os.File, b []byte) error {
+func (osFileSystem) write(f *os.File, b []byte) error {
 	_, err := f.Write(b)
-	return failed(OpWrite, f.Name(), err)
+	return wrapIOError(OpWrite, f.Name(), err)
 }
 
-func (osFiles) sync(f *os.File) error { return failed(OpSync, f.Name(), f.Sync()) }
+func (osFileSystem) sync(f *os.File) error { return wrapIOError(OpSync, f.Name(), f.Sync()) }
 
-func (osFiles) syncDir(dir string) error {
+func (osFileSystem) syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
-		return failed(OpOpen, dir, err)
+		return wrapIOError(OpOpen, dir, err)
 	}
 	defer d.Close()
-	return failed(OpSync, dir, d.Sync())
+	return wrapIOError(OpSync, dir, d.Sync())
 }
 
-func (osFiles) rename(from, to string) error { return failed(OpRename, to, os.Rename(from, to)) }
+func (osFileSystem) rename(from, to string) error {
+	return wrapIOError(OpRename, to, os.Rename(from, to))
+}
 
-func (osFiles) remove(path string) error { return failed(OpRemove, path, os.RemoveAll(path)) }
+func (osFileSystem) remove(path string) error { return wrapIOError(OpRemove, path, os.RemoveAll(path)) }
 
-func failed(op Op, file string, err error) error {
+// wrapIOError returns err as an *IOError, or nil if err is nil.
+func wrapIOError(op Op, file string, err error) error {
 	if err == nil {
 		return nil
 	}
 	return &IOError{Op: op, File: file, Cause: err}
 }
 
-// createFile makes a new file with the given content and syncs it, but not the
-// directory.
-func createFile(fs files, path string, content []byte) (*os.File, error) {
+// createFile creates or truncates a file with the given content and syncs it,
+// but not its directory.
+func createFile(fs fileSystem, path string, content []byte) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, filePerm)
 	if err != nil {
-		return nil, failed(OpOpen, path, err)
+		return nil, wrapIOError(OpOpen, path, err)
 	}
 	if err := fs.write(f, content); err != nil {
 		f.Close()
@@ -64,16 +68,17 @@
 	return f, nil
 }
 
-// replaceFile puts new content in place of a file, so that after a crash either
-// the old or the new one is there as a whole.
-func replaceFile(fs files, path string, content []byte) error {
+// replaceFile replaces a file atomically: it writes and syncs a temporary file,
+// renames it and syncs the directory. After a crash either the old or the new
+// content is complete.
+func replaceFile(fs fileSystem, path string, content []byte) error {
 	temp := path + tempSuffix
 	f, err := createFile(fs, temp, content)
 	if err != nil {
 		return err
 	}
 	if err := f.Close(); err != nil {
-		return failed(OpWrite, temp, err)
+		return wrapIOError(OpWrite, temp, err)
 	}
 	if err := fs.rename(temp, path); err != nil {
 		return err
--- a/store/frame.go
+++ b/store/frame.go
@@ -7,14 +7,16 @@
 	"github.com/carawaystile/carawaystile/replog"
 )
 
-// A segment file is: magic (8 bytes, the last one the version), salt (4 bytes),
-// CRC-32C of both (4 bytes), frames.
+// A segment file of the write-ahead log consists of a magic (8 bytes, the last
+// one is the version), a salt (4 bytes), the CRC-32C of both (4 bytes), and
+// frames.
 //
-// A frame is one write, and what is written together is valid together: payload
-// length (4 bytes), sequence number (8 bytes), CRC-32C of the payload (4 bytes),
-// CRC-32C of the frame header up to here (4 bytes), payload. All checksums start
-// from the segment's salt, so that a frame inside the data of an entry is not
-// taken for one. Numbers are little-endian.
+// A frame is one write, which is valid as a whole or not at all. It consists of
+// the payload length (4 bytes), the sequence number (8 bytes), the CRC-32C of
+// the payload (4 bytes), the CRC-32C of the frame header up to here (4 bytes),
+// and the payload. The checksums of frames start from the segment's salt, so
+// that a copy of a frame inside the data of an entry is not mistaken for a
+// frame. Numbers are little-endian.
 const (
 	segmentMagic      = "cwslog\x00\x01"
 	segmentHeaderSize = len(segmentMagic) + 4 + 4
@@ -42,17 +44,18 @@
 	return binary.LittleEndian.Uint32(b[len(segmentMagic):]), ""
 }
 
-// sealFrame fills in the header of a frame whose payload starts at
+// writeFrameHeader fills in the header of a frame whose payload starts at
 // frameHeaderSize.
-func sealFrame(b []byte, salt uint32, seq uint64) {
+func writeFrameHeader(b []byte, salt uint32, seq uint64) {
 	payload := b[frameHeaderSize:]
 	binary.LittleEndian.PutUint32(b, uint32(len(payload)))
 	binary.LittleEndian.PutUint64(b[4:], seq)
-	binary.LittleEndian.PutUint32(b[12:], payloadSum(payload, salt))
+	binary.LittleEndian.PutUint32(b[12:], payloadChecksum(payload, salt))
 	binary.LittleEndian.PutUint32(b[16:], crc32.Update(salt, castagnoli, b[:16]))
 }
 
-func payloadSum(payload []byte, salt uint32) uint32 {
+// payloadChecksum returns the salted CRC-32C of a payload.
+func payloadChecksum(payload []byte, salt uint32) uint32 {
 	return crc32.Update(salt, castagnoli, payload)
 }
 
@@ -63,6 +66,7 @@
 	sum    uint32
 }
 
+// decodeFrameHeader decodes a frame header and reports whether it is valid.
 func decodeFrameHeader(b []byte, salt uint32) (frameHeader, bool) {
 	if len(b) < frameHeaderSize || binary.LittleEndian.Uint32(b[16:]) != crc32.Update(salt, castagnoli, b[:16]) {
 		return frameHeader{}, false
@@ -75,29 +79,30 @@
 	return h, h.length <= maxPayload
 }
 
-// record is the payload of a frame.
+// record is the payload of a frame: the hard state and entries of one write.
 type record struct {
-	hard replog.HardState
-	// reset is set if the entries before this record were replaced by a received
-	// snapshot.
+	hardState replog.HardState
+	// reset is set if a received snapshot replaced the entries before this
+	// record.
 	reset   bool
 	entries []replog.Entry
 }
 
+// recordReset is the flag for record.reset.
 const recordReset = 1
 
-// appendRecord encodes: flags, term, vote, commit, number of entries, index of
-// the first one, and for each its term, kind, data length and data. All numbers
-// are unsigned varints.
+// appendRecord encodes a record as flags, term, vote, commit, number of entries
+// and index of the first entry, and for each entry its term, kind, data length
+// and data. All numbers are unsigned varints.
 func appendRecord(b []byte, r record) []byte {
 	flags := uint64(0)
 	if r.reset {
 		flags = recordReset
 	}
 	b = binary.AppendUvarint(b, flags)
-	b = binary.AppendUvarint(b, r.hard.Term)
-	b = binary.AppendUvarint(b, uint64(r.hard.Vote))
-	b = binary.AppendUvarint(b, r.hard.Commit)
+	b = binary.AppendUvarint(b, r.hardState.Term)
+	b = binary.AppendUvarint(b, uint64(r.hardState.Vote))
+	b = binary.AppendUvarint(b, r.hardState.Commit)
 	b = binary.AppendUvarint(b, uint64(len(r.entries)))
 	if len(r.entries) == 0 {
 		return b
@@ -113,20 +118,22 @@
 	return b
 }
 
-// decodeRecord reads what appendRecord wrote.
+// decodeRecord decodes the output of appendRecord and reports whether it is
+// valid.
 func decodeRecord(b []byte) (record, bool) {
 	d := decoder{rest: b}
 	flags := d.uvarint()
 	r := record{reset: flags == recordReset}
-	r.hard.Term = d.uvarint()
-	r.hard.Vote = replog.ReplicaID(d.uvarint())
-	r.hard.Commit = d.uvarint()
+	r.hardState.Term = d.uvarint()
+	r.hardState.Vote = replog.ReplicaID(d.uvarint())
+	r.hardState.Commit = d.uvarint()
 	r.entries = d.entries()
 	ok := !d.failed && len(d.rest) == 0 && flags <= recordReset
 	return r, ok
 }
 
-// decoder reads varints and bytes, and remembers whether any read failed.
+// decoder reads varints and byte strings, and remembers whether any read
+// failed.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/store/group_bench_test.go
+++ b/store/group_bench_test.go
@@ -13,9 +13,10 @@
 )
 
 // BenchmarkGroup commits entries of 200 bytes in a group of three replicas with
-// real syncs on one disk, for a number of callers that each wait for their entry
-// before the next. With batching, the proposals that arrive during a sync share
-// the next one; without, each is written alone.
+// real syncs on one disk, for a number of clients that each wait for their
+// entry before they propose the next one. With batching, the proposals that
+// arrive during a sync share the next one (group commit); without, each is
+// written alone.
 func BenchmarkGroup(b *testing.B) {
 	for _, callers := range []int{1, 16, 128} {
 		for _, batched := range []bool{false, true} {
@@ -53,13 +54,14 @@
 	b.ReportMetric(float64(all[len(all)*99/100].Microseconds()), "p99-µs")
 }
 
+// proposal is data to commit; done is closed once it is committed.
 type proposal struct {
 	data []byte
 	done chan struct{}
 }
 
-// liveReplica runs a node in a goroutine. Its messages go straight to the
-// others.
+// liveReplica runs a node in a goroutine and passes its messages directly to
+// the other replicas.
 type liveReplica struct {
 	b         *testing.B
 	node      *replog.Node
@@ -71,13 +73,14 @@
 	group     *liveGroup
 }
 
+// liveGroup is a group of replicas that run in goroutines.
 type liveGroup struct {
 	replicas []*liveReplica
 	quit     chan struct{}
 	wg       sync.WaitGroup
 }
 
-// newLiveGroup starts three replicas of which the first leads.
+// newLiveGroup starts three replicas, the first of which is the leader.
 func newLiveGroup(b *testing.B, batched bool) *liveGroup {
 	g := &liveGroup{quit: make(chan struct{})}
 	members := replog.Members{{Replica: 1}, {Replica: 2}, {Replica: 3}}
@@ -137,8 +140,8 @@
 	}
 }
 
-// receive waits for input and takes all that is there, but at most one proposal
-// if not batched. Proposals wait until this replica leads.
+// receive waits for input and takes everything that is available, but at most
+// one proposal if not batched. Proposals wait until this replica is the leader.
 func (r *liveReplica) receive() bool {
 	proposals := r.proposals
 	if r.node.Status().Role != replog.Leader {
--- a/store/identity.go
+++ b/store/identity.go
@@ -9,24 +9,26 @@
 	"github.com/carawaystile/carawaystile/replog"
 )
 
-// Identity is whose log it is. It is written once, when the log is created, and
-// never changed.
+// Identity identifies the replica and the group that a log belongs to. It is
+// written when the log is created and never changes.
 type Identity struct {
-	// Group is the group of replicas; a restored group is another one.
+	// Group identifies the group of replicas. A group restored from a backup is
+	// a new group.
 	Group uint64
-	// Replica is the identity of this disk. A replica whose disk was lost gets
-	// another one, so that the group doesn't count what the old one promised.
+	// Replica identifies this disk. A replica that lost its disk gets a new
+	// ReplicaID, so that the group doesn't count the acknowledgements and votes
+	// of the old one.
 	Replica replog.ReplicaID
 }
 
-// NewIdentity returns a new random identity in a group, or in a new group if
-// that is zero.
+// NewIdentity returns a random replica identity in a group, or in a new random
+// group if group is zero.
 func NewIdentity(group uint64) (Identity, error) {
 	id := Identity{Group: group}
 	for id.Group == 0 || id.Replica == replog.None {
 		var b [16]byte
 		if _, err := rand.Read(b[:]); err != nil {
-			return Identity{}, trace.Wrap(failed(OpGenerateIdentity, logDirName, err))
+			return Identity{}, trace.Wrap(wrapIOError(OpGenerateIdentity, logDirName, err))
 		}
 		if id.Group == 0 {
 			id.Group = binary.LittleEndian.Uint64(b[:])
@@ -36,9 +38,9 @@
 	return id, nil
 }
 
-// allows reports whether got is the wanted identity, of which zero fields match
-// anything.
-func (id Identity) allows(got Identity) bool {
+// matches reports whether got is the expected identity id. Zero fields of id
+// match anything.
+func (id Identity) matches(got Identity) bool {
 	return (id.Group == 0 || id.Group == got.Group) &&
 		(id.Replica == replog.None || id.Replica == got.Replica)
 }
--- a/store/log.go
+++ b/store/log.go
@@ -19,41 +19,42 @@
 	defaultSegmentBytes = 8 << 20
 )
 
-// Log is the replicated log of one replica. It implements replog.Storage, and
-// is used by one goroutine at a time.
+// Log is the write-ahead log and the snapshot of one replica. It implements
+// replog.Storage and is not safe for concurrent use.
 type Log struct {
 	dir      string
-	fs       files
+	fs       fileSystem
 	identity Identity
-	// segmentBytes is the size after which a new segment is started.
+	// segmentBytes is the size in bytes after which a new segment is started.
 	segmentBytes int64
 	segments     []segment
-	// file is the last segment, open for appending.
-	file *os.File
-	hard replog.HardState
+	// file is the last segment, opened for appending.
+	file      *os.File
+	hardState replog.HardState
 	// seq is the sequence number of the next frame.
-	seq    uint64
-	loaded *replog.PersistentState
-	// snapshotIndex is the index of the snapshot on the disk.
+	seq          uint64
+	initialState *replog.PersistentState
+	// snapshotIndex is the index of the saved snapshot.
 	snapshotIndex uint64
 	buf           []byte
-	// failure is the first failed write; nothing is written after it.
-	failure error
+	// writeErr is the error of the first failed write; nothing is written after
+	// it.
+	writeErr error
 }
 
 var _ replog.Storage = (*Log)(nil)
 
-// OpenLog opens the log in the folder and reads it. Zero fields of want are not
-// checked. It never creates a log: it fails with *NotInitialised if there is
-// none, so that a replica that lost its disk doesn't start with an empty one
-// under its old identity. It fails with *WrongIdentity, *Damaged or *IOFailed
-// otherwise.
-func (f *DataDir) OpenLog(want Identity) (*Log, error) {
-	l, err := openLog(f.fs, filepath.Join(f.dir, logDirName), want)
+// OpenLog opens the log in the directory and reads it. Zero fields of want are
+// not checked. OpenLog never creates a log: it fails with *NoLogError if there
+// is none, so that a replica that lost its disk doesn't restart with an empty
+// log under its old identity. Other failures are *IdentityMismatchError,
+// *CorruptionError or *IOError.
+func (d *DataDir) OpenLog(want Identity) (*Log, error) {
+	l, err := openLog(d.fs, filepath.Join(d.dir, logDirName), want)
 	return l, trace.Wrap(err)
 }
 
-func openLog(fs files, dir string, want Identity) (*Log, error) {
+func openLog(fs fileSystem, dir string, want Identity) (*Log, error) {
 	if _, err := os.Stat(dir); os.IsNotExist(err) {
 		return nil, &NoLogError{Dir: dir}
 	}
@@ -65,17 +66,19 @@
 	if err != nil {
 		return nil, err
 	}
-	l.loaded = &saved
-	l.hard = saved.HardState
+	l.initialState = &saved
+	l.hardState = saved.HardState
 	l.snapshotIndex = saved.Snapshot.Index
-	if err := l.openLast(); err != nil {
+	if err := l.openLastSegment(); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
+// readIdentity reads the identity of the log and compares it with the expected
+// one.
 func (l *Log) readIdentity(want Identity) error {
-	content, err := l.read(identityName)
+	content, err := l.readRequired(identityName)
 	if err != nil {
 		return err
 	}
@@ -84,14 +87,14 @@
 		return &CorruptionError{File: filepath.Join(l.dir, identityName), Reason: UndecodableContent}
 	}
 	l.identity = id
-	if !want.allows(id) {
+	if !want.matches(id) {
 		return &IdentityMismatchError{Dir: l.dir, Want: want, Got: id}
 	}
 	return nil
 }
 
-// read returns a small file that must exist.
-func (l *Log) read(name string) ([]byte, error) {
+// readRequired returns an atomic file whose absence is a corruption of the log.
+func (l *Log) readRequired(name string) ([]byte, error) {
 	content, err := readAtomic(l.dir, name)
 	var missing *NotFoundError
 	if errors.As(err, &missing) {
@@ -100,21 +103,22 @@
 	return content, err
 }
 
-// Identity is whose log it is.
+// Identity returns the replica and the group that the log belongs to.
 func (l *Log) Identity() Identity { return l.identity }
 
-// Load returns what the replica goes on from. It is called before the first
-// Save.
+// Load returns the state that the replica restarts from. It must be called
+// before the first write and at most once; otherwise it fails with
+// *AlreadyLoadedError.
 func (l *Log) Load() (replog.PersistentState, error) {
-	if l.loaded == nil {
+	if l.initialState == nil {
 		return replog.PersistentState{}, trace.Wrap(&AlreadyLoadedError{Dir: l.dir})
 	}
-	s := *l.loaded
-	l.loaded = nil
+	s := *l.initialState
+	l.initialState = nil
 	return s, nil
 }
 
-// replay reads the snapshot and all segments.
+// replay recovers the persistent state from the snapshot and all segments.
 func (l *Log) replay() (replog.PersistentState, error) {
 	snapshot, err := l.readSnapshot()
 	if err != nil {
@@ -127,8 +131,8 @@
 	if len(l.segments) == 0 {
 		return replog.PersistentState{}, &CorruptionError{File: l.dir, Reason: MissingFile}
 	}
-	p := &replay{snapshot: snapshot}
-	l.seq = l.segments[0].first
+	p := &recovery{snapshot: snapshot}
+	l.seq = l.segments[0].firstSeq
 	for i := 0; i < len(l.segments); i++ {
 		if err := l.replaySegment(i, p); err != nil {
 			return replog.PersistentState{}, err
@@ -142,7 +146,7 @@
 }
 
 func (l *Log) readSnapshot() (replog.Snapshot, error) {
-	content, err := l.read(snapshotName)
+	content, err := l.readRequired(snapshotName)
 	if err != nil {
 		return replog.Snapshot{}, err
 	}
@@ -153,39 +157,42 @@
 	return s, nil
 }
 
-func (l *Log) replaySegment(i int, p *replay) error {
+// replaySegment applies the records of segment i and truncates a torn last
+// write.
+func (l *Log) replaySegment(i int, p *recovery) error {
 	seg := &l.segments[i]
 	content, err := os.ReadFile(seg.path)
 	if err != nil {
-		return failed(OpRead, seg.path, err)
+		return wrapIOError(OpRead, seg.path, err)
 	}
-	if seg.first != l.seq {
+	if seg.firstSeq != l.seq {
 		return &CorruptionError{File: seg.path, Reason: MissingFrames}
 	}
 	last := i == len(l.segments)-1
-	s, damage := scanSegment(content, seg.first, last)
-	if damage != nil {
-		damage.File = seg.path
-		return damage
+	s, corruption := scanSegment(content, seg.firstSeq, last)
+	if corruption != nil {
+		corruption.File = seg.path
+		return corruption
 	}
 	seg.salt = s.salt
 	seg.size = int64(s.end)
 	for _, r := range s.records {
-		if !p.add(r) {
+		if !p.apply(r) {
 			return &CorruptionError{File: seg.path, Reason: MissingEntries}
 		}
-		seg.note(r)
+		seg.recordFrame(r)
 		l.seq++
 	}
 	if s.torn {
-		return l.cut(i, s.end)
+		return l.truncateTorn(i, s.end)
 	}
 	return nil
 }
 
-// cut removes a torn frame, or a segment whose header was not finished. Frames
-// written after it would otherwise be lost behind it at the next start.
-func (l *Log) cut(i, end int) error {
+// truncateTorn removes a torn frame, or a last segment with an unfinished
+// header. Frames that are written after a torn frame would be lost at the next
+// start.
+func (l *Log) truncateTorn(i, end int) error {
 	path := l.segments[i].path
 	if end == 0 && i > 0 {
 		l.segments = l.segments[:i]
@@ -199,30 +206,31 @@
 	}
 	f, err := os.OpenFile(path, os.O_RDWR, filePerm)
 	if err != nil {
-		return failed(OpOpen, path, err)
+		return wrapIOError(OpOpen, path, err)
 	}
 	defer f.Close()
 	if err := f.Truncate(int64(end)); err != nil {
-		return failed(OpWrite, path, err)
+		return wrapIOError(OpWrite, path, err)
 	}
 	return l.fs.sync(f)
 }
 
-func (l *Log) openLast() error {
+// openLastSegment opens the last segment for appending.
+func (l *Log) openLastSegment() error {
 	path := l.segments[len(l.segments)-1].path
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_APPEND, filePerm)
 	if err != nil {
-		return failed(OpOpen, path, err)
+		return wrapIOError(OpOpen, path, err)
 	}
 	l.file = f
 	return nil
 }
 
-// Close closes the files. Everything that was saved is durable already.
+// Close closes the log. All saved state is already durable.
 func (l *Log) Close() error {
 	err := l.file.Close()
 	if errors.Is(err, fs.ErrClosed) {
 		return nil
 	}
-	return trace.Wrap(failed(OpWrite, l.file.Name(), err))
+	return trace.Wrap(wrapIOError(OpWrite, l.file.Name(), err))
 }
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -15,57 +15,59 @@
 
 var testIdentity = Identity{Group: 7, Replica: 3}
 
-func bootstrapped() replog.PersistentState {
+func bootstrapState() replog.PersistentState {
 	return replog.BootstrapGroupState(replog.Members{{Replica: 3, Address: "a"}}, 1, []byte("start"))
 }
 
-// entry has enough data for frames to reach over a sector.
+// entry returns an entry with enough data for a frame to span several sectors.
 func entry(term, index uint64) replog.Entry {
 	data := fmt.Sprintf("%0200d", index*1000+term)
 	return replog.Entry{Term: term, Index: index, Kind: replog.EntryCommand, Data: []byte(data)}
 }
 
-func write(hard replog.HardState, es ...replog.Entry) replog.Ready {
+// newReady returns a Ready with a hard state and entries to save.
+func newReady(hard replog.HardState, es ...replog.Entry) replog.Ready {
 	return replog.Ready{HardState: &hard, Entries: es, MustSync: true}
 }
 
-func createAt(t assert.TestingT, fs files, dir string) *Log {
+func createAt(t assert.TestingT, fs fileSystem, dir string) *Log {
 	path := filepath.Join(dir, logDirName)
-	assert.NilError(t, createLog(fs, path, testIdentity, bootstrapped()))
+	assert.NilError(t, createLog(fs, path, testIdentity, bootstrapState()))
 	return openAt(t, fs, dir)
 }
 
-func openAt(t assert.TestingT, fs files, dir string) *Log {
+func openAt(t assert.TestingT, fs fileSystem, dir string) *Log {
 	l, err := openLog(fs, filepath.Join(dir, logDirName), testIdentity)
 	assert.NilError(t, err)
 	l.segmentBytes = 1000
 	return l
 }
 
-// loadAt returns what a replica that starts now would go on from.
+// loadAt returns the state that a replica would restart from.
 func loadAt(t assert.TestingT, dir string) replog.PersistentState {
-	l := openAt(t, osFiles{}, dir)
+	l := openAt(t, osFileSystem{}, dir)
 	defer l.Close()
 	s, err := l.Load()
 	assert.NilError(t, err)
 	return s
 }
 
-// A process is killed or its machine loses power at any moment, also between two
-// writes. What it acknowledged before must be there at the next start; callers
-// would see licences issued twice otherwise.
+// A process is killed or its machine loses power at any moment, also between
+// two writes. The state that it acknowledged before must be there after the
+// restart. Otherwise a non-idempotent operation, for example one that issues a
+// licence, could run twice.
 func TestCrashAtEveryOperation(t *testing.T) {
-	d := newCrashDisk(t)
+	d := newCrashFS(t)
 	l := createAt(t, d, d.root)
-	model := replog.NewMemoryStorage(bootstrapped())
-	before, after := bootstrapped(), bootstrapped()
+	model := replog.NewMemoryStorage(bootstrapState())
+	before, after := bootstrapState(), bootstrapState()
 	d.check = func(op Op, dir string) {
 		got := loadAt(t, dir)
-		if !sameSaved(got, before) && !sameSaved(got, after) && !mixed(got, before, after) {
-			t.Errorf("after %s: got %s, want %s or %s", op, outline(got), outline(before), outline(after))
+		if !sameSaved(got, before) && !sameSaved(got, after) && !isInstallInterrupted(got, before, after) {
+			t.Errorf("after %s: got %s, want %s or %s", op, summarize(got), summarize(before), summarize(after))
 		}
 	}
-	for _, rd := range crashScript() {
+	for _, rd := range crashScenario() {
 		before = after
 		if rd.MustSync {
 			assert.NilError(t, model.Save(rd))
@@ -80,33 +82,35 @@
 	assert.Assert(t, sameSaved(loadAt(t, d.root), after))
 }
 
-// crashScript appends, replaces, compacts and takes over a snapshot.
-func crashScript() []replog.Ready {
+// crashScenario appends and replaces entries, compacts the log and installs a
+// snapshot.
+func crashScenario() []replog.Ready {
 	hard := replog.HardState{Term: 2, Vote: 3, Commit: 1}
 	var rds []replog.Ready
 	for i := uint64(2); i < 14; i += 2 {
-		rds = append(rds, write(hard, entry(2, i), entry(2, i+1)))
+		rds = append(rds, newReady(hard, entry(2, i), entry(2, i+1)))
 	}
-	compaction := replog.Snapshot{Index: 9, Term: 2, Members: bootstrapped().Snapshot.Members, Data: []byte("nine")}
+	compaction := replog.Snapshot{Index: 9, Term: 2, Members: bootstrapState().Snapshot.Members, Data: []byte("nine")}
 	rds = append(rds, replog.Ready{Snapshot: &compaction})
 	hard.Term = 4
-	rds = append(rds, write(hard, entry(4, 12)))
+	rds = append(rds, newReady(hard, entry(4, 12)))
 	hard = replog.HardState{Term: 5, Commit: 30}
-	installed := write(hard, entry(5, 31))
+	installed := newReady(hard, entry(5, 31))
 	installed.Snapshot = &replog.Snapshot{Index: 30, Term: 5, Data: []byte("thirty")}
-	return append(rds, installed, write(hard, entry(5, 32)))
+	return append(rds, installed, newReady(hard, entry(5, 32)))
 }
 
-// mixed allows the one state between: a received snapshot is there and what
-// goes with it is not. Nothing of it was acknowledged, and nothing that was
-// acknowledged before is missing from the snapshot.
-func mixed(got, before, after replog.PersistentState) bool {
+// isInstallInterrupted accepts the one intermediate state: a received snapshot
+// is saved and the record that belongs to it is not. None of that was
+// acknowledged, and the snapshot contains everything that was acknowledged
+// before.
+func isInstallInterrupted(got, before, after replog.PersistentState) bool {
 	return got.Snapshot.Index == after.Snapshot.Index && after.Snapshot.Index > before.Snapshot.Index &&
 		len(got.Entries) == 0 && got.HardState.Term >= before.HardState.Term
 }
 
-// outline leaves the data out.
-func outline(s replog.PersistentState) string {
+// summarize describes a state without its data.
+func summarize(s replog.PersistentState) string {
 	out := fmt.Sprintf("%+v snapshot %d/%d entries", s.HardState, s.Snapshot.Index, s.Snapshot.Term)
 	for _, e := range s.Entries {
 		out += fmt.Sprintf(" %d/%d", e.Index, e.Term)
@@ -118,26 +122,27 @@
 	return fmt.Sprintf("%+v", a) == fmt.Sprintf("%+v", b)
 }
 
-// The log behaves like the naive one in memory over any sequence of appends,
+// The log behaves like replog.MemoryStorage over any sequence of appends,
 // replacements, compactions, received snapshots and restarts.
-func TestLogAgainstMemory(t *testing.T) {
+func TestLogMatchesMemoryStorage(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "log")
 		assert.NilError(rt, err)
-		m := &logModel{t: rt, dir: dir, memory: replog.NewMemoryStorage(bootstrapped())}
-		m.log = createAt(rt, osFiles{}, dir)
-		m.hard = bootstrapped().HardState
+		m := &logModel{t: rt, dir: dir, memory: replog.NewMemoryStorage(bootstrapState())}
+		m.log = createAt(rt, osFileSystem{}, dir)
+		m.hard = bootstrapState().HardState
 		rt.Repeat(map[string]func(*rapid.T){
 			"append":  m.append,
 			"compact": m.compact,
 			"install": m.install,
 			"reopen":  m.reopen,
-			"tear":    m.tear,
+			"tear":    m.tearWrite,
 		})
 		m.reopen(rt)
 	})
 }
 
+// logModel runs the same operations on a log and on its reference in memory.
 type logModel struct {
 	t      *rapid.T
 	dir    string
@@ -160,7 +165,7 @@
 	for i := range rapid.Uint64Range(0, 4).Draw(t, "count") {
 		es = append(es, entry(m.hard.Term, first+i))
 	}
-	m.save(write(m.hard, es...))
+	m.save(newReady(m.hard, es...))
 }
 
 func (m *logModel) save(rd replog.Ready) {
@@ -183,7 +188,7 @@
 	s := m.saved()
 	m.hard.Term++
 	index := s.Snapshot.Index + rapid.Uint64Range(1, 20).Draw(t, "ahead")
-	rd := write(m.hard, entry(m.hard.Term, index+1))
+	rd := newReady(m.hard, entry(m.hard.Term, index+1))
 	rd.Snapshot = &replog.Snapshot{Index: index, Term: m.hard.Term, Data: []byte("install")}
 	m.save(rd)
 }
@@ -191,18 +196,18 @@
 func (m *logModel) reopen(t *rapid.T) {
 	assert.NilError(t, m.log.Close())
 	got := loadAt(t, m.dir)
-	assert.Assert(t, sameSaved(got, m.saved()), "got %s, want %s", outline(got), outline(m.saved()))
-	m.log = openAt(t, osFiles{}, m.dir)
+	assert.Assert(t, sameSaved(got, m.saved()), "got %s, want %s", summarize(got), summarize(m.saved()))
+	m.log = openAt(t, osFileSystem{}, m.dir)
 }
 
-// tear loses the end of a write that was not acknowledged.
-func (m *logModel) tear(t *rapid.T) {
-	path := m.log.current().path
-	size := m.log.current().size
+// tearWrite simulates a crash that loses the end of an unacknowledged write.
+func (m *logModel) tearWrite(t *rapid.T) {
+	path := m.log.activeSegment().path
+	size := m.log.activeSegment().size
 	s := m.saved()
 	next := s.Snapshot.Index + uint64(len(s.Entries)) + 1
-	rd := write(m.hard, entry(m.hard.Term, next), entry(m.hard.Term, next+1))
-	b := m.log.frame(record{hard: m.hard, entries: rd.Entries}, m.log.current().salt, nil)
+	rd := newReady(m.hard, entry(m.hard.Term, next), entry(m.hard.Term, next+1))
+	b := m.log.encodeFrame(record{hardState: m.hard, entries: rd.Entries}, m.log.activeSegment().salt, nil)
 	assert.NilError(t, m.log.fs.write(m.log.file, b))
 	kept := rapid.IntRange(0, len(b)-1).Draw(t, "kept")
 	assert.NilError(t, os.Truncate(path, size+int64(kept)))
@@ -210,50 +215,52 @@
 }
 
 // Some sectors of the last write reached the disk and others read as zeros. The
-// write was not acknowledged, so that the replica may go on without it.
-func TestUnwrittenSectorsAreCut(t *testing.T) {
+// write was not acknowledged, so that the replica may continue without it.
+func TestUnwrittenSectorsAreTruncated(t *testing.T) {
 	dir := t.TempDir()
-	l := createAt(t, osFiles{}, dir)
-	size := l.current().size
-	path := l.current().path
-	assert.NilError(t, l.Save(write(replog.HardState{Term: 2}, entry(2, 2), entry(2, 3), entry(2, 4))))
+	l := createAt(t, osFileSystem{}, dir)
+	size := l.activeSegment().size
+	path := l.activeSegment().path
+	assert.NilError(t, l.Save(newReady(replog.HardState{Term: 2}, entry(2, 2), entry(2, 3), entry(2, 4))))
 	assert.NilError(t, l.Close())
 	b, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	from := (size/sectorSize + 1) * sectorSize
 	clear(b[from:])
 	assert.NilError(t, os.WriteFile(path, b, filePerm))
-	assert.Assert(t, sameSaved(loadAt(t, dir), bootstrapped()))
+	assert.Assert(t, sameSaved(loadAt(t, dir), bootstrapState()))
 }
 
-// A disk returns other bytes than were written. The replica would go on with a
-// wrong log or without entries that it acknowledged; it has to refuse and name
-// the place.
-func TestEveryDamagedByteIsReported(t *testing.T) {
+// A disk returns other bytes than were written. The replica would continue with
+// a wrong log or without entries that it has acknowledged. It must refuse to
+// start and report the file.
+func TestEveryCorruptByteIsReported(t *testing.T) {
 	dir := t.TempDir()
-	l := createAt(t, osFiles{}, dir)
+	l := createAt(t, osFileSystem{}, dir)
 	for i := uint64(2); i < 16; i++ {
-		assert.NilError(t, l.Save(write(replog.HardState{Term: 2}, entry(2, i))))
+		assert.NilError(t, l.Save(newReady(replog.HardState{Term: 2}, entry(2, i))))
 	}
 	assert.NilError(t, l.Close())
 	paths, err := filepath.Glob(filepath.Join(dir, logDirName, "*"))
 	assert.NilError(t, err)
 	assert.Assert(t, len(paths) > 4, "want several segments, got %v", paths)
 	for _, path := range paths {
-		damageEachByte(t, dir, path)
+		corruptEachByte(t, dir, path)
 	}
 }
 
-func damageEachByte(t *testing.T, dir, path string) {
+// corruptEachByte changes each byte of a file in turn and expects a
+// *CorruptionError.
+func corruptEachByte(t *testing.T, dir, path string) {
 	b, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	for i := range b {
 		b[i] ^= 0x41
 		assert.NilError(t, os.WriteFile(path, b, filePerm))
-		_, err := openLog(osFiles{}, filepath.Join(dir, logDirName), testIdentity)
+		_, err := openLog(osFileSystem{}, filepath.Join(dir, logDirName), testIdentity)
 		var d *CorruptionError
 		if !errors.As(err, &d) {
-			t.Fatalf("%s byte %d: got %v, want damage", path, i, err)
+			t.Fatalf("%s byte %d: got %v, want a CorruptionError", path, i, err)
 		}
 		assert.Equal(t, d.File, path)
 		b[i] ^= 0x41
@@ -261,45 +268,46 @@
 	assert.NilError(t, os.WriteFile(path, b, filePerm))
 }
 
-// Someone removes a file to make room. Acknowledged entries would be missing.
-func TestRemovedFilesAreReported(t *testing.T) {
+// An operator removes a file to free disk space. Acknowledged entries would be
+// missing.
+func TestMissingFilesAreReported(t *testing.T) {
 	dir := t.TempDir()
-	l := createAt(t, osFiles{}, dir)
+	l := createAt(t, osFileSystem{}, dir)
 	for i := uint64(2); i < 20; i++ {
-		assert.NilError(t, l.Save(write(replog.HardState{Term: 2}, entry(2, i))))
+		assert.NilError(t, l.Save(newReady(replog.HardState{Term: 2}, entry(2, i))))
 	}
 	for _, path := range []string{
 		l.segments[0].path, l.segments[1].path,
 		filepath.Join(l.dir, snapshotName), filepath.Join(l.dir, identityName),
 	} {
 		assert.NilError(t, os.Rename(path, path+".away"))
-		_, err := openLog(osFiles{}, l.dir, testIdentity)
+		_, err := openLog(osFileSystem{}, l.dir, testIdentity)
 		var d *CorruptionError
 		assert.Assert(t, errors.As(err, &d), "%s removed: %v", path, err)
 		assert.NilError(t, os.Rename(path+".away", path))
 	}
 }
 
-// The disk refuses a sync, and the next one succeeds because the kernel has
-// dropped the data. An entry acknowledged after that could be lost.
-func TestFailedSyncIsFinal(t *testing.T) {
-	d := newCrashDisk(t)
+// A sync fails, and the next one succeeds because the kernel has dropped the
+// data. An entry that is acknowledged after that could be lost.
+func TestNoWritesAfterFailedSync(t *testing.T) {
+	d := newCrashFS(t)
 	l := createAt(t, d, d.root)
 	d.failSync = true
-	rd := write(replog.HardState{Term: 2}, entry(2, 2))
+	rd := newReady(replog.HardState{Term: 2}, entry(2, 2))
 	var failure *IOError
 	assert.Assert(t, errors.As(l.Save(rd), &failure))
 	assert.Assert(t, errors.As(l.Save(rd), &failure))
 	assert.Equal(t, failure.Op, OpSync)
 }
 
-// A snapshot of the own state is still to be written when a newer one comes from
-// the leader. The old one must not take its place: the entries between would be
-// missing at the next start.
-func TestOlderSnapshotIsNotWritten(t *testing.T) {
+// A newer snapshot arrives from the leader before a snapshot of the replica's
+// own state is written. The older one must not replace it: the entries in
+// between would be missing after a restart.
+func TestOlderSnapshotDoesNotReplaceNewer(t *testing.T) {
 	dir := t.TempDir()
-	l := createAt(t, osFiles{}, dir)
-	rd := write(replog.HardState{Term: 5}, entry(5, 31))
+	l := createAt(t, osFileSystem{}, dir)
+	rd := newReady(replog.HardState{Term: 5}, entry(5, 31))
 	rd.Snapshot = &replog.Snapshot{Index: 30, Term: 5, Data: []byte("new")}
 	assert.NilError(t, l.Save(rd))
 	assert.NilError(t, l.Compact(replog.Snapshot{Index: 20, Term: 2, Data: []byte("old")}))
@@ -309,9 +317,10 @@
 	assert.Equal(t, len(s.Entries), 1)
 }
 
-// A replica's disk is lost and replaced by an empty one. If it started again
-// under its old identity, it could vote without what it had acknowledged.
-func TestLogIsNeverCreatedOnOpen(t *testing.T) {
+// A replica's disk is lost and replaced by an empty one. If the replica
+// restarted under its old identity, it could vote without the entries that it
+// has acknowledged.
+func TestOpenLogDoesNotCreateLog(t *testing.T) {
 	f, err := OpenDataDir(filepath.Join(t.TempDir(), "data"))
 	assert.NilError(t, err)
 	_, err = f.OpenLog(testIdentity)
@@ -336,9 +345,9 @@
 	assert.Assert(t, s.IsEmpty())
 }
 
-// An operator starts the daemon twice on one folder. Both would append to the
-// same log.
-func TestFolderIsLocked(t *testing.T) {
+// An operator starts the daemon twice with one data directory. Both processes
+// would append to the same log.
+func TestDataDirIsLocked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	f, err := OpenDataDir(dir)
 	assert.NilError(t, err)
--- a/store/segment.go
+++ b/store/segment.go
@@ -13,16 +13,17 @@
 
 const (
 	segmentSuffix = ".seg"
-	// sectorSize is what a disk writes as a whole.
+	// sectorSize is the unit in bytes that a disk writes atomically.
 	sectorSize = 512
 )
 
-// segment is one file of frames.
+// segment is one file of the write-ahead log.
 type segment struct {
 	path string
-	// first is the sequence number of the first frame; it is the file's name.
-	first uint64
-	// lastIndex is the highest index of any entry in it.
+	// firstSeq is the sequence number of the first frame. It is also the file's
+	// name.
+	firstSeq uint64
+	// lastIndex is the highest index of any entry in the segment.
 	lastIndex uint64
 	salt      uint32
 	size      int64
@@ -37,7 +38,7 @@
 func listSegments(dir string) ([]segment, error) {
 	names, err := os.ReadDir(dir)
 	if err != nil {
-		return nil, failed(OpRead, dir, err)
+		return nil, wrapIOError(OpRead, dir, err)
 	}
 	var out []segment
 	for _, n := range names {
@@ -50,34 +51,34 @@
 		if err != nil {
 			return nil, &CorruptionError{File: path, Reason: CorruptHeader}
 		}
-		out = append(out, segment{path: path, first: first})
+		out = append(out, segment{path: path, firstSeq: first})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].first < out[j].first })
+	sort.Slice(out, func(i, j int) bool { return out[i].firstSeq < out[j].firstSeq })
 	return out, nil
 }
 
-// scanned is what is valid in a segment's content.
-type scanned struct {
+// segmentScan is the valid part of a segment's content.
+type segmentScan struct {
 	salt    uint32
 	records []record
-	// end is where the valid frames end, in bytes.
+	// end is the offset in bytes at which the valid frames end.
 	end int
-	// torn is set if an unfinished frame follows. With end 0, the file itself
-	// was not finished.
+	// torn is set if an unfinished frame follows. If end is 0, the header of
+	// the segment itself is unfinished.
 	torn bool
 }
 
 // scanSegment reads a segment whose first frame has the sequence number first.
 // Only the last segment of a log may end with a torn frame.
-func scanSegment(b []byte, first uint64, last bool) (scanned, *CorruptionError) {
+func scanSegment(b []byte, first uint64, last bool) (segmentScan, *CorruptionError) {
 	salt, reason := decodeSegmentHeader(b)
 	if reason != "" {
 		if last && (len(b) < segmentHeaderSize || hasZeroSector(b, 0, len(b))) && reason != UnsupportedVersion {
-			return scanned{torn: true}, nil
+			return segmentScan{torn: true}, nil
 		}
-		return scanned{}, &CorruptionError{Reason: reason}
+		return segmentScan{}, &CorruptionError{Reason: reason}
 	}
-	s := scanned{salt: salt, end: segmentHeaderSize}
+	s := segmentScan{salt: salt, end: segmentHeaderSize}
 	for s.end < len(b) {
 		r, size, reason := readFrame(b[s.end:], salt, first+uint64(len(s.records)))
 		if reason == "" {
@@ -85,11 +86,11 @@
 			s.end += size
 			continue
 		}
-		if last && isTorn(b, s.end, salt) {
+		if last && isTornWrite(b, s.end, salt) {
 			s.torn = true
 			return s, nil
 		}
-		return scanned{}, &CorruptionError{Offset: int64(s.end), Reason: reason}
+		return segmentScan{}, &CorruptionError{Offset: int64(s.end), Reason: reason}
 	}
 	return s, nil
 }
@@ -105,7 +106,7 @@
 		return record{}, 0, LengthMismatch
 	}
 	payload := b[frameHeaderSize:size]
-	if payloadSum(payload, salt) != h.sum {
+	if payloadChecksum(payload, salt) != h.sum {
 		return record{}, 0, ChecksumMismatch
 	}
 	if h.seq != seq {
@@ -118,11 +119,12 @@
 	return r, size, ""
 }
 
-// isTorn tells an unfinished write from damage. A crash in the middle of a write
-// leaves the end of the file missing, or sectors that were not written and read
-// as zeros, and it can only be the last write. Without the distinction, damage
-// to the last acknowledged frame would be cut off in silence.
-func isTorn(b []byte, at int, salt uint32) bool {
+// isTornWrite distinguishes an unfinished write from corruption. A crash during
+// a write leaves the end of the file missing, or sectors that were not written
+// and read as zeros, and only the last write can be affected. Without the
+// distinction, a corrupt last frame that was acknowledged would be truncated
+// silently.
+func isTornWrite(b []byte, at int, salt uint32) bool {
 	h, ok := decodeFrameHeader(b[at:], salt)
 	end := len(b)
 	if ok {
@@ -139,7 +141,8 @@
 	return !hasFrame(b, from, salt)
 }
 
-// hasZeroSector reports whether some sector's part of b[from:to] is all zero.
+// hasZeroSector reports whether the part of any sector in b[from:to] is all
+// zero.
 func hasZeroSector(b []byte, from, to int) bool {
 	for from < to {
 		end := min(to, (from/sectorSize+1)*sectorSize)
@@ -160,7 +163,7 @@
 	return true
 }
 
-// hasFrame reports whether a frame starts anywhere in b from the given place on.
+// hasFrame reports whether a frame header starts anywhere in b[from:].
 func hasFrame(b []byte, from int, salt uint32) bool {
 	for i := from; i+frameHeaderSize <= len(b); i++ {
 		if _, ok := decodeFrameHeader(b[i:], salt); ok {
@@ -170,24 +173,25 @@
 	return false
 }
 
-// note takes the entries of a record into account.
-func (s *segment) note(r record) {
+// recordFrame updates the segment for a frame with the given record.
+func (s *segment) recordFrame(r record) {
 	s.frames++
 	if n := len(r.entries); n > 0 {
 		s.lastIndex = max(s.lastIndex, r.entries[n-1].Index)
 	}
 }
 
-// replay puts the records of all segments together.
-type replay struct {
-	snapshot replog.Snapshot
-	hard     replog.HardState
-	entries  []replog.Entry
+// recovery rebuilds the persistent state from the records of all segments.
+type recovery struct {
+	snapshot  replog.Snapshot
+	hardState replog.HardState
+	entries   []replog.Entry
 }
 
-// add takes the next record and reports whether it follows on the ones before.
-func (p *replay) add(r record) bool {
-	p.hard = r.hard
+// apply applies the next record and reports whether it follows the previous
+// ones without a gap.
+func (p *recovery) apply(r record) bool {
+	p.hardState = r.hardState
 	if r.reset {
 		p.entries = nil
 	}
@@ -201,7 +205,8 @@
 	}
 	kept := first - p.entries[0].Index
 	if kept > uint64(len(p.entries)) {
-		// Entries between may have been dropped only if the snapshot has them.
+		// The entries in between may be missing only if the snapshot covers
+		// them.
 		p.entries = r.entries
 		return first <= p.snapshot.Index+1
 	}
@@ -209,12 +214,13 @@
 	return true
 }
 
-// result returns what the replica goes on from, and whether no entry is missing
-// between the snapshot and the rest.
-func (p *replay) result() (replog.PersistentState, bool) {
-	s := replog.PersistentState{HardState: p.hard, Snapshot: p.snapshot}
+// result returns the state that the replica restarts from, and whether there is
+// no gap between the snapshot and the entries.
+func (p *recovery) result() (replog.PersistentState, bool) {
+	s := replog.PersistentState{HardState: p.hardState, Snapshot: p.snapshot}
 	if s.HardState.Term < p.snapshot.Term {
-		// The crash came between the snapshot and the record that goes with it.
+		// The crash happened between the snapshot and the record that belongs
+		// to it.
 		s.HardState = replog.HardState{Term: p.snapshot.Term, Commit: p.snapshot.Index}
 	}
 	if len(p.entries) == 0 {
@@ -224,13 +230,14 @@
 	if first > p.snapshot.Index+1 {
 		return s, false
 	}
-	s.Entries = p.after(first)
+	s.Entries = p.entriesAfterSnapshot(first)
 	return s, true
 }
 
-// after returns the entries after the snapshot. If the entry at its index is of
-// another term, all that follow were replaced by the snapshot.
-func (p *replay) after(first uint64) []replog.Entry {
+// entriesAfterSnapshot returns the entries after the snapshot. If the entry at
+// the snapshot's index has another term, the snapshot replaced all later
+// entries.
+func (p *recovery) entriesAfterSnapshot(first uint64) []replog.Entry {
 	skip := p.snapshot.Index + 1 - first
 	if skip > uint64(len(p.entries)) {
 		return nil
--- a/store/snapshot.go
+++ b/store/snapshot.go
@@ -6,9 +6,9 @@
 	"github.com/carawaystile/carawaystile/replog"
 )
 
-// EncodeSnapshot gives the bytes that DecodeSnapshot reads: index, term, length
-// and bytes of the members, all as varints, then the data. It is used for the
-// snapshot file and for backups.
+// EncodeSnapshot encodes a snapshot as index, term and length of the members,
+// all as unsigned varints, the encoded members and the data. Snapshot files and
+// backups use this encoding.
 func EncodeSnapshot(s replog.Snapshot) []byte {
 	members := replog.EncodeMembers(s.Members)
 	b := binary.AppendUvarint(nil, s.Index)
@@ -18,8 +18,8 @@
 	return append(b, s.Data...)
 }
 
-// DecodeSnapshot reads what EncodeSnapshot wrote, or fails with
-// *replog.BadEncoding.
+// DecodeSnapshot decodes the output of EncodeSnapshot, or fails with
+// *replog.DecodeError.
 func DecodeSnapshot(b []byte) (replog.Snapshot, error) {
 	d := decoder{rest: b}
 	s := replog.Snapshot{Index: d.uvarint(), Term: d.uvarint()}
--- a/store/write.go
+++ b/store/write.go
@@ -10,16 +10,16 @@
 	"github.com/carawaystile/carawaystile/replog"
 )
 
-// CreateLog creates the log of a new replica and returns once it is durable. The
-// identity must never have been used before; MintIdentity makes one. The zero
-// replog.Saved is a replica that waits to be added to its group. It fails with
-// *AlreadyInitialised or *IOFailed. After a crash either the whole log is there
-// or none.
-func (f *DataDir) CreateLog(id Identity, s replog.PersistentState) error {
-	return trace.Wrap(createLog(f.fs, filepath.Join(f.dir, logDirName), id, s))
+// CreateLog creates the log of a new replica and returns once it is durable.
+// The identity must be new, as from NewIdentity. The zero
+// replog.PersistentState is a replica that waits to be added to its group.
+// CreateLog fails with *LogExistsError or *IOError. After a crash either the
+// complete log exists or none.
+func (d *DataDir) CreateLog(id Identity, s replog.PersistentState) error {
+	return trace.Wrap(createLog(d.fs, filepath.Join(d.dir, logDirName), id, s))
 }
 
-func createLog(fs files, dir string, id Identity, s replog.PersistentState) error {
+func createLog(fs fileSystem, dir string, id Identity, s replog.PersistentState) error {
 	if _, err := os.Stat(dir); err == nil {
 		return &LogExistsError{Dir: dir}
 	}
@@ -28,9 +28,9 @@
 		return err
 	}
 	if err := os.Mkdir(temp, dirPerm); err != nil {
-		return failed(OpOpen, temp, err)
+		return wrapIOError(OpOpen, temp, err)
 	}
-	if err := fillLog(fs, temp, id, s); err != nil {
+	if err := writeInitialLog(fs, temp, id, s); err != nil {
 		return err
 	}
 	if err := fs.rename(temp, dir); err != nil {
@@ -39,80 +39,82 @@
 	return fs.syncDir(filepath.Dir(dir))
 }
 
-func fillLog(fs files, dir string, id Identity, s replog.PersistentState) error {
+// writeInitialLog writes the identity, the snapshot and the first segment.
+func writeInitialLog(fs fileSystem, dir string, id Identity, s replog.PersistentState) error {
 	err := replaceFile(fs, filepath.Join(dir, identityName), encodeAtomic(encodeIdentity(id)))
 	if err != nil {
 		return err
 	}
-	l := &Log{dir: dir, fs: fs, seq: 1, hard: s.HardState}
+	l := &Log{dir: dir, fs: fs, seq: 1, hardState: s.HardState}
 	if err := l.writeSnapshot(s.Snapshot); err != nil {
 		return err
 	}
-	if err := l.rotate(record{hard: s.HardState, entries: s.Entries}); err != nil {
+	if err := l.rotate(record{hardState: s.HardState, entries: s.Entries}); err != nil {
 		return err
 	}
-	return failed(OpWrite, dir, l.file.Close())
+	return wrapIOError(OpWrite, dir, l.file.Close())
 }
 
 // Save writes the HardState, Entries and Snapshot of a Ready as one frame and
-// returns once it is durable. After a failure the log refuses every further
-// write with the same *IOFailed.
+// returns once it is durable. After a failure the log rejects every further
+// write with the same *IOError.
 func (l *Log) Save(rd replog.Ready) error {
-	if l.failure == nil && rd.MustSync {
-		l.loaded = nil
-		l.failure = l.save(rd)
+	if l.writeErr == nil && rd.MustSync {
+		l.initialState = nil
+		l.writeErr = l.save(rd)
 	}
-	return trace.Wrap(l.failure)
+	return trace.Wrap(l.writeErr)
 }
 
 func (l *Log) save(rd replog.Ready) error {
 	if rd.HardState != nil {
-		l.hard = *rd.HardState
+		l.hardState = *rd.HardState
 	}
-	r := record{hard: l.hard, entries: rd.Entries}
+	r := record{hardState: l.hardState, entries: rd.Entries}
 	if rd.Snapshot != nil {
 		if err := l.writeSnapshot(*rd.Snapshot); err != nil {
 			return err
 		}
 		r.reset = true
 	}
-	if r.reset || l.current().size >= l.segmentBytes {
+	if r.reset || l.activeSegment().size >= l.segmentBytes {
 		return l.rotate(r)
 	}
 	return l.appendFrame(r)
 }
 
-// Compact replaces the snapshot and removes the segments that hold nothing after
-// it. It returns once the snapshot is durable.
+// Compact replaces the snapshot and removes the segments without later entries.
+// It returns once the snapshot is durable.
 func (l *Log) Compact(s replog.Snapshot) error {
-	if l.failure == nil {
-		l.loaded = nil
-		l.failure = l.compact(s)
+	if l.writeErr == nil {
+		l.initialState = nil
+		l.writeErr = l.compact(s)
 	}
-	return trace.Wrap(l.failure)
+	return trace.Wrap(l.writeErr)
 }
 
 func (l *Log) compact(s replog.Snapshot) error {
 	if s.Index <= l.snapshotIndex {
-		// A received snapshot that is newer was written in the meantime. The older
-		// one in its place would leave a gap before the entries.
+		// A newer snapshot was received and saved in the meantime. Replacing it
+		// by the older one would leave a gap before the entries.
 		return nil
 	}
 	if err := l.writeSnapshot(s); err != nil {
 		return err
 	}
-	if l.current().frames == 0 {
-		// The hard state would be lost with the older segments.
-		if err := l.appendFrame(record{hard: l.hard}); err != nil {
+	if l.activeSegment().frames == 0 {
+		// The hard state would otherwise be lost with the older segments.
+		if err := l.appendFrame(record{hardState: l.hardState}); err != nil {
 			return err
 		}
 	}
-	return l.removeUpTo(s.Index)
+	return l.removeObsoleteSegments(s.Index)
 }
 
-// removeUpTo removes the segments without entries after index, oldest first, so
-// that what stays is without a gap also if a crash comes between.
-func (l *Log) removeUpTo(index uint64) error {
+// removeObsoleteSegments removes the segments without entries after index,
+// oldest first, so that the remaining segments have no gap even if a crash
+// interrupts the removal.
+func (l *Log) removeObsoleteSegments(index uint64) error {
 	for len(l.segments) > 1 && l.segments[0].lastIndex <= index {
 		if err := l.fs.remove(l.segments[0].path); err != nil {
 			return err
@@ -125,40 +127,44 @@
 	return nil
 }
 
+// writeSnapshot replaces the snapshot file.
 func (l *Log) writeSnapshot(s replog.Snapshot) error {
 	l.snapshotIndex = s.Index
 	return replaceFile(l.fs, filepath.Join(l.dir, snapshotName), encodeAtomic(EncodeSnapshot(s)))
 }
 
-func (l *Log) current() *segment { return &l.segments[len(l.segments)-1] }
+// activeSegment returns the last segment, which receives new frames.
+func (l *Log) activeSegment() *segment { return &l.segments[len(l.segments)-1] }
 
-// frame encodes a record as the next frame into the log's buffer, after prefix.
-func (l *Log) frame(r record, salt uint32, prefix []byte) []byte {
+// encodeFrame encodes a record as the next frame into the log's buffer, after
+// prefix.
+func (l *Log) encodeFrame(r record, salt uint32, prefix []byte) []byte {
 	l.buf = append(l.buf[:0], prefix...)
 	l.buf = append(l.buf, make([]byte, frameHeaderSize)...)
 	l.buf = appendRecord(l.buf, r)
-	sealFrame(l.buf[len(prefix):], salt, l.seq)
+	writeFrameHeader(l.buf[len(prefix):], salt, l.seq)
 	return l.buf
 }
 
+// appendFrame writes a record to the active segment and syncs it.
 func (l *Log) appendFrame(r record) error {
-	seg := l.current()
-	b := l.frame(r, seg.salt, nil)
+	seg := l.activeSegment()
+	b := l.encodeFrame(r, seg.salt, nil)
 	if err := l.fs.write(l.file, b); err != nil {
 		return err
 	}
 	if err := l.fs.sync(l.file); err != nil {
 		return err
 	}
-	l.wrote(r, len(b))
+	l.recordWrite(r, len(b))
 	return nil
 }
 
-// rotate starts a new segment with a record.
+// rotate starts a new segment whose first frame contains the record.
 func (l *Log) rotate(r record) error {
 	salt := rand.Uint32()
 	path := segmentPath(l.dir, l.seq)
-	b := l.frame(r, salt, encodeSegmentHeader(salt))
+	b := l.encodeFrame(r, salt, encodeSegmentHeader(salt))
 	f, err := createFile(l.fs, path, b)
 	if err != nil {
 		return err
@@ -171,14 +177,15 @@
 		l.file.Close()
 	}
 	l.file = f
-	l.segments = append(l.segments, segment{path: path, first: l.seq, salt: salt})
-	l.wrote(r, len(b))
+	l.segments = append(l.segments, segment{path: path, firstSeq: l.seq, salt: salt})
+	l.recordWrite(r, len(b))
 	return nil
 }
 
-func (l *Log) wrote(r record, size int) {
+// recordWrite updates the log for a frame that is now durable.
+func (l *Log) recordWrite(r record, size int) {
 	l.seq++
-	seg := l.current()
+	seg := l.activeSegment()
 	seg.size += int64(size)
-	seg.note(r)
+	seg.recordFrame(r)
 }
