--- a/replog/invariants_test.go
+++ b/replog/invariants_test.go
@@ -30,9 +30,9 @@
 
 // observedEntry is the content of an entry and the term of the one before it.
 type observedEntry struct {
-	before uint64
-	kind   EntryKind
-	data   string
+	prevTerm uint64
+	kind     EntryKind
+	data     string
 }
 
 const bootstrapIndex = 1
@@ -84,9 +84,9 @@
 	if n.role != Leader {
 		return
 	}
-	known, ok := c.leaders[n.term]
+	leader, ok := c.leaders[n.term]
 	if ok {
-		assert.Equal(c.t, known, n.cfg.ID, "two leaders in term %d", n.term)
+		assert.Equal(c.t, leader, n.cfg.ID, "two leaders in term %d", n.term)
 		return
 	}
 	c.leaders[n.term] = n.cfg.ID
@@ -96,16 +96,16 @@
 // checkLog checks the log matching property: entries with the same index and
 // term are equal and follow equal entries.
 func (c *referenceLog) checkLog(n *Node) {
-	before := n.log.base.Term
+	prevTerm := n.log.base.Term
 	for _, e := range n.log.entries {
 		at := Position{Term: e.Term, Index: e.Index}
-		is := observedEntry{before: before, kind: e.Kind, data: string(e.Data)}
-		was, ok := c.observed[at]
-		if ok && was != is {
+		entry := observedEntry{prevTerm: prevTerm, kind: e.Kind, data: string(e.Data)}
+		previous, ok := c.observed[at]
+		if ok && previous != entry {
 			assert.Assert(c.t, false, "replica %d has another entry at %+v", n.cfg.ID, at)
 		}
-		c.observed[at] = is
-		before = e.Term
+		c.observed[at] = entry
+		prevTerm = e.Term
 	}
 }
 
--- a/replog/node_test.go
+++ b/replog/node_test.go
@@ -156,28 +156,28 @@
 	n := newTestNode(t, 2)
 	electNode(t, n)
 	drainReady(n)
-	refused := func(c Change, reason ChangeRejectReason) {
+	expectRejected := func(c Change, reason ChangeRejectReason) {
 		t.Helper()
 		_, err := n.ProposeChange(c)
 		var r *ChangeRejectedError
 		assert.Assert(t, errors.As(err, &r))
 		assert.Equal(t, r.Reason, reason)
 	}
-	refused(Change{Kind: AddLearner, Replica: 4}, ChangeNoCommitInTerm)
+	expectRejected(Change{Kind: AddLearner, Replica: 4}, ChangeNoCommitInTerm)
 	assert.NilError(t, n.Step(Message{Type: MessageAppendResponse, From: 2, To: 1, Term: n.term, Index: 3}))
-	refused(Change{Kind: AddLearner}, ChangeInvalidID)
-	refused(Change{Kind: AddLearner, Replica: 2}, ChangeAlreadyMember)
-	refused(Change{Kind: Promote, Replica: 2}, ChangeNotLearner)
-	refused(Change{Kind: Remove, Replica: 9}, ChangeNotMember)
-	refused(Change{Kind: Remove, Replica: 1}, ChangeRemovesLeader)
-	refused(Change{Kind: Remove, Replica: 2}, ChangeLosesQuorum)
-	refused(Change{Kind: 99, Replica: 2}, ChangeUnknownKind)
+	expectRejected(Change{Kind: AddLearner}, ChangeInvalidID)
+	expectRejected(Change{Kind: AddLearner, Replica: 2}, ChangeAlreadyMember)
+	expectRejected(Change{Kind: Promote, Replica: 2}, ChangeNotLearner)
+	expectRejected(Change{Kind: Remove, Replica: 9}, ChangeNotMember)
+	expectRejected(Change{Kind: Remove, Replica: 1}, ChangeRemovesLeader)
+	expectRejected(Change{Kind: Remove, Replica: 2}, ChangeLosesQuorum)
+	expectRejected(Change{Kind: 99, Replica: 2}, ChangeUnknownKind)
 	_, err := n.ProposeChange(Change{Kind: AddLearner, Replica: 4})
 	assert.NilError(t, err)
-	refused(Change{Kind: AddLearner, Replica: 5}, ChangePending)
+	expectRejected(Change{Kind: AddLearner, Replica: 5}, ChangePending)
 	drainReady(n)
 	assert.NilError(t, n.Step(Message{Type: MessageAppendResponse, From: 2, To: 1, Term: n.term, Index: 4}))
-	refused(Change{Kind: Promote, Replica: 4}, ChangeNotCaughtUp)
+	expectRejected(Change{Kind: Promote, Replica: 4}, ChangeNotCaughtUp)
 }
 
 // A removed replica has a newer term, and its responses to earlier messages
--- a/replog/script_test.go
+++ b/replog/script_test.go
@@ -147,8 +147,8 @@
 	return r
 }
 
-// result returns the output for an error.
-func result(err error) string {
+// errorOutput returns the output for an error.
+func errorOutput(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -206,11 +206,11 @@
 	kinds := map[string]ChangeKind{"learner": AddLearner, "promote": Promote, "remove": Remove}
 	c := Change{Kind: kinds[args[1]], Replica: id(s.t, args[2])}
 	_, err := s.of(args[0]).node.ProposeChange(c)
-	return result(err)
+	return errorOutput(err)
 }
 
 func (s *script) transfer(args []string) string {
-	return result(s.of(args[0]).node.TransferLeadership(id(s.t, args[1])))
+	return errorOutput(s.of(args[0]).node.TransferLeadership(id(s.t, args[1])))
 }
 
 func (s *script) deaf(args []string) string {
@@ -245,7 +245,7 @@
 	}
 	r.start = snap
 	r.applied = nil
-	return result(r.store.Compact(snap))
+	return errorOutput(r.store.Compact(snap))
 }
 
 func (s *script) status([]string) string {
@@ -257,13 +257,13 @@
 		}
 		st := r.node.Status()
 		lines = append(lines, fmt.Sprintf("%d %s of term %d, leader %d, %s, committed %d of %d",
-			id, st.Role, st.Term, st.Leader, describe(st.Members), st.Commit, st.LastIndex))
+			id, st.Role, st.Term, st.Leader, formatMembers(st.Members), st.Commit, st.LastIndex))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// describe lists the voters, and the learners in brackets.
-func describe(ms Members) string {
+// formatMembers lists the voters, and the learners in brackets.
+func formatMembers(ms Members) string {
 	var out []string
 	for _, m := range ms {
 		if m.Learner {
--- a/replog/staleness_test.go
+++ b/replog/staleness_test.go
@@ -25,15 +25,15 @@
 	leader := g.elect()
 	g.tick(2)
 	assert.DeepEqual(t, g.upToDate(), []ReplicaID{1, 2, 3})
-	cut := g.order[0]
-	if cut == leader.node.cfg.ID {
-		cut = g.order[1]
+	isolated := g.order[0]
+	if isolated == leader.node.cfg.ID {
+		isolated = g.order[1]
 	}
-	g.isolate(cut, true)
+	g.isolate(isolated, true)
 	g.tick(2 * defaultElectionTicks)
-	assert.Assert(t, !g.replicas[cut].soft.UpToDate)
+	assert.Assert(t, !g.replicas[isolated].soft.UpToDate)
 	assert.Equal(t, len(g.upToDate()), 2)
-	g.isolate(cut, false)
+	g.isolate(isolated, false)
 	g.tick(2)
 	assert.DeepEqual(t, g.upToDate(), []ReplicaID{1, 2, 3})
 }
@@ -45,21 +45,21 @@
 	g := newGroup(t, 1, 1, 2, 3)
 	leader := g.elect()
 	g.tick(2)
-	hung := g.order[0]
-	if hung == leader.node.cfg.ID {
-		hung = g.order[1]
+	stalled := g.order[0]
+	if stalled == leader.node.cfg.ID {
+		stalled = g.order[1]
 	}
-	g.replicas[hung].diskStalled = true
+	g.replicas[stalled].diskStalled = true
 	_, err := leader.node.Propose([]byte("a"))
 	assert.NilError(t, err)
 	g.deliver()
 	g.tick(defaultElectionTicks)
-	assert.Assert(t, g.replicas[hung].soft.UpToDate)
+	assert.Assert(t, g.replicas[stalled].soft.UpToDate)
 	g.tick(2)
-	assert.Assert(t, !g.replicas[hung].soft.UpToDate)
-	assert.Equal(t, g.replicas[hung].node.Status().Leader, leader.node.cfg.ID)
-	g.replicas[hung].diskStalled = false
-	g.save(hung)
+	assert.Assert(t, !g.replicas[stalled].soft.UpToDate)
+	assert.Equal(t, g.replicas[stalled].node.Status().Leader, leader.node.cfg.ID)
+	g.replicas[stalled].diskStalled = false
+	g.save(stalled)
 	g.tick(2)
 	assert.DeepEqual(t, g.upToDate(), []ReplicaID{1, 2, 3})
 }
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -324,19 +324,19 @@
 	f, err := OpenDataDir(filepath.Join(t.TempDir(), "data"))
 	assert.NilError(t, err)
 	_, err = f.OpenLog(testIdentity)
-	var none *NoLogError
-	assert.Assert(t, errors.As(err, &none))
+	var noLog *NoLogError
+	assert.Assert(t, errors.As(err, &noLog))
 
 	id, err := NewIdentity(testIdentity.Group)
 	assert.NilError(t, err)
 	assert.Assert(t, id.Group == testIdentity.Group && id.Replica != replog.None)
 	assert.NilError(t, f.CreateLog(id, replog.PersistentState{}))
-	var already *LogExistsError
-	assert.Assert(t, errors.As(f.CreateLog(id, replog.PersistentState{}), &already))
+	var logExists *LogExistsError
+	assert.Assert(t, errors.As(f.CreateLog(id, replog.PersistentState{}), &logExists))
 
 	_, err = f.OpenLog(Identity{Replica: id.Replica + 1})
-	var wrong *IdentityMismatchError
-	assert.Assert(t, errors.As(err, &wrong))
+	var mismatch *IdentityMismatchError
+	assert.Assert(t, errors.As(err, &mismatch))
 	l, err := f.OpenLog(Identity{})
 	assert.NilError(t, err)
 	assert.Equal(t, l.Identity(), id)
