--- a/cli/validate.go
+++ b/cli/validate.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return "", trace.ConvertSystemError(err)
 	}
-	table, err := platform.Configuration(text)
+	table, err := platform.ParseConfiguration(text)
 	if err != nil {
 		return "", &settings.Invalid{Problems: []settings.Problem{{File: path, Wrong: err.Error(), Right: "a document that an operator can send"}}}
 	}
--- a/cmd/carawaystiled/forward.go
+++ b/cmd/carawaystiled/forward.go
@@ -138,12 +138,12 @@
 	dial := engine.DialFrom(forwarding.Source)
 	return node.Platform{
 		Headers:            platform.Headers(),
-		ParseConfiguration: platform.Configuration,
-		NewLister:          func(at netip.AddrPort) node.EndpointLister { return platform.NewList(at, dial) },
-		EngineClient:       platform.NewEngines(dial),
-		CacheReporter:      platform.NewCaches(dial),
+		ParseConfiguration: platform.ParseConfiguration,
+		NewLister:          func(at netip.AddrPort) node.EndpointLister { return platform.NewEndpointListClient(at, dial) },
+		EngineClient:       platform.NewEngineClient(dial),
+		CacheReporter:      platform.NewCacheEventClient(dial),
 		OperatorHandler: func(documents *deployment.Service, log *zap.Logger) http.Handler {
-			return (&platform.Operator{Documents: documents, Log: log}).Handler()
+			return (&platform.OperatorAPI{Documents: documents, Log: log}).Handler()
 		},
 	}
 }
