--- a/soak/check.go
+++ b/soak/check.go
@@ -39,8 +39,8 @@
 
 // judgeAnswer checks what the caller got.
 func (l *ledger) judgeAnswer(r *request) {
-	if r.result.Wrong != "" {
-		l.breachLocked("answers are an endpoint's own", r.ID, "%s", r.result.Wrong)
+	if r.result.Violation != "" {
+		l.breachLocked("answers are an endpoint's own", r.ID, "%s", r.result.Violation)
 	}
 	switch r.result.Status {
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound:
@@ -52,7 +52,7 @@
 	if once && len(r.runs) > 1 {
 		l.breachLocked("work runs at most once", r.ID, "ran at %s and at %s", r.runs[0].Endpoint, r.runs[1].Endpoint)
 	}
-	if once && r.result.Refused() && !r.result.Forwarded && len(r.runs) > 0 {
+	if once && r.result.NotExecuted() && !r.result.Forwarded && len(r.runs) > 0 {
 		l.breachLocked("what is refused has not run", r.ID, "was answered %d and ran at %s", r.result.Status, r.runs[0].Endpoint)
 	}
 	if len(r.runs) > r.kind.route.MaxAttempts {
@@ -78,10 +78,10 @@
 			wrong = "reached it as organisation " + run.Organisation
 		case run.Service != r.kind.service:
 			wrong = "is none of service " + run.Service
-		case run.Strange:
+		case run.StaleCache:
 			wrong = "used a prompt cached under other weights"
 		}
-		for _, other := range run.Foreign {
+		for _, other := range run.ForeignOrganisations {
 			if run.Organisation == alone || other == alone {
 				wrong = "used a prompt cached for " + other
 			}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -23,8 +23,8 @@
 func sound(id string, k *kind) *request {
 	r := &request{
 		kind: k, entry: &instance{Process: &Process{Name: "entry-0"}}, life: 1, lifeEnd: 1, sent: at(10), done: at(11),
-		Ask:    platformtest.Ask{ID: id, Host: host, Path: k.route.Prefix + id, Key: keyCommon, Body: []byte(id), Tokens: k.tokens},
-		result: platformtest.Result{Status: http.StatusOK, Whole: true},
+		ClientRequest: platformtest.ClientRequest{ID: id, Host: host, Path: k.route.Prefix + id, Key: keyCommon, Body: []byte(id), Tokens: k.tokens},
+		result:        platformtest.Result{Status: http.StatusOK, Complete: true},
 	}
 	r.runs = []platformtest.Run{run(r, "i-1", 10.2)}
 	r.arrivals = []platformtest.Arrival{arrival(r, 10.1)}
@@ -72,7 +72,7 @@
 		promise string
 		change  func(l *ledger)
 	}{
-		"an answer of another request": {"answers are an endpoint's own", one(safe, func(r *request) { r.result.Wrong = "x" })},
+		"an answer of another request": {"answers are an endpoint's own", one(safe, func(r *request) { r.result.Violation = "x" })},
 		"a proper request denied":      {"proper requests are allowed", one(safe, func(r *request) { r.result.Status = 404 })},
 		"work run twice":               {"work runs at most once", one(once, func(r *request) { r.runs = append(r.runs, run(r, "i-2", 10.5)) })},
 		"a stream begun twice":         {"work runs at most once", one(check, func(r *request) { r.runs = append(r.runs, run(r, "i-2", 10.5)) })},
@@ -89,10 +89,10 @@
 		"another organisation": {"requests run as they were sent", one(safe, func(r *request) { r.runs[0].Organisation = alone })},
 		"another service":      {"requests run as they were sent", one(safe, func(r *request) { r.runs[0].Service = serviceModels })},
 		"cached under other weights": {"requests run as they were sent", one(draft, func(r *request) {
-			r.runs[0].Strange = true
+			r.runs[0].StaleCache = true
 		})},
 		"cached for the isolated": {"requests run as they were sent", one(draft, func(r *request) {
-			r.runs[0].Foreign = []string{alone}
+			r.runs[0].ForeignOrganisations = []string{alone}
 		})},
 		"an answer cut by a drain": {"a drain cuts nothing", func(l *ledger) {
 			r := sound("r1", safe)
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -110,7 +110,7 @@
 		options: o, subnet: subnet, held: held, network: NewNetwork(o.Seed),
 		fleet: platformtest.NewFleet(), ledger: newLedger(), zoneOf: map[netip.Addr]int{},
 	}
-	d.fleet.Ordered = d.ledger.ordered
+	d.fleet.OnOrder = d.ledger.ordered
 	d.places = newPlaces(d)
 	if err := d.startAround(); err != nil {
 		d.close()
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -59,16 +59,16 @@
 	{name: "an endpoint refuses", outside: true, do: func(s *strike) { s.trouble(platformtest.Shedding, 0.7) }},
 	{name: "an endpoint hangs", outside: true, do: func(s *strike) { s.trouble(platformtest.Hanging, 0.4) }},
 	{name: "an endpoint fails", outside: true, do: func(s *strike) { s.trouble(platformtest.Failing, 0.5) }},
-	{name: "answers are lost", outside: true, do: func(s *strike) { s.trouble(platformtest.Losing, 0.3) }},
+	{name: "answers are lost", outside: true, do: func(s *strike) { s.trouble(platformtest.Dropping, 0.3) }},
 	{name: "answers are cut short", outside: true, do: func(s *strike) { s.trouble(platformtest.Truncating, 0.3) }},
-	{name: "answers are garbled", outside: true, do: func(s *strike) { s.trouble(platformtest.Garbling, 0.3) }},
-	{name: "answers come twice", outside: true, do: func(s *strike) { s.trouble(platformtest.Repeating, 0.3) }},
+	{name: "answers are garbled", outside: true, do: func(s *strike) { s.trouble(platformtest.Corrupting, 0.3) }},
+	{name: "answers come twice", outside: true, do: func(s *strike) { s.trouble(platformtest.Duplicating, 0.3) }},
 	{name: "replace an endpoint", planned: true, do: func(s *strike) { replaceEndpoint(s, false) }},
 	{name: "use an address again", planned: true, do: func(s *strike) { replaceEndpoint(s, true) }},
 	{name: "orders are carried out late", outside: true, do: lateOrders},
-	{name: "the list is busy", outside: true, do: func(s *strike) { s.list(platformtest.ListBusy) }},
-	{name: "the list is down", outside: true, do: func(s *strike) { s.list(platformtest.ListDown) }},
-	{name: "the list has strange entries", outside: true, do: func(s *strike) { s.list(platformtest.ListStrange) }},
+	{name: "the list is busy", outside: true, do: func(s *strike) { s.list(platformtest.ListRateLimited) }},
+	{name: "the list is down", outside: true, do: func(s *strike) { s.list(platformtest.ListUnavailable) }},
+	{name: "the list has strange entries", outside: true, do: func(s *strike) { s.list(platformtest.ListMalformed) }},
 	{name: "the store forgets", outside: true, do: func(s *strike) { s.d.fleet.EmptyStores() }},
 	{name: "a new configuration", planned: true, do: func(s *strike) { s.operators.configure(0) }},
 	{name: "a large configuration", planned: true, do: func(s *strike) { s.operators.configure(300) }},
@@ -297,7 +297,7 @@
 	}
 }
 
-func (s *strike) trouble(t platformtest.Trouble, share float64) {
+func (s *strike) trouble(t platformtest.Fault, share float64) {
 	e := s.d.places.endpoint(s.place())
 	lift := s.d.places.trouble(e.ID, troubled{kind: t, share: share})
 	s.wait()
@@ -345,9 +345,9 @@
 }
 
 func (s *strike) list(state platformtest.ListState) {
-	s.d.fleet.SetList(state)
+	s.d.fleet.SetListState(state)
 	s.wait()
-	s.d.fleet.SetList(platformtest.ListSound)
+	s.d.fleet.SetListState(platformtest.ListHealthy)
 }
 
 func manyConfigurations(s *strike) {
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -11,7 +11,7 @@
 
 // request is one request with all that callers and endpoints saw of it.
 type request struct {
-	platformtest.Ask
+	platformtest.ClientRequest
 	kind  *kind
 	entry *instance
 	// life is that of the entry's process when the request was sent, and lifeEnd
--- a/soak/load.go
+++ b/soak/load.go
@@ -165,7 +165,7 @@
 		l.d.ledger.ended(r, platformtest.Result{Err: err}, early)
 		return false
 	}
-	result := r.Read(resp)
+	result := r.CheckResponse(resp)
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 	l.d.ledger.ended(r, result, early)
@@ -176,11 +176,11 @@
 func (l *load) ask(rng *rand.Rand, entry *instance) *request {
 	k := kinds[rng.IntN(len(kinds))]
 	serial := l.serial.Add(1)
-	r := &request{kind: k, entry: entry, Ask: platformtest.Ask{
+	r := &request{kind: k, entry: entry, ClientRequest: platformtest.ClientRequest{
 		ID:   fmt.Sprintf("r%x-%x", l.d.options.Seed, serial),
 		Host: host, Path: fmt.Sprintf("%s%d", k.route.Prefix, serial),
-		Body: []byte(fmt.Sprintf("body %d %0*d", serial, rng.IntN(400), 0)),
-		Wait: callerWait, Tokens: k.tokens,
+		Body:    []byte(fmt.Sprintf("body %d %0*d", serial, rng.IntN(400), 0)),
+		Timeout: callerWait, Tokens: k.tokens,
 	}}
 	r.Key = []string{keyProbe, keyProbe, keyAlone, keyCommon}[rng.IntN(4)]
 	if k.route.Inference {
@@ -192,9 +192,9 @@
 
 // poison sends a request that crashes what runs it; it is the same each time.
 func (l *load) poison(ctx context.Context, entry *instance) {
-	r := &request{kind: kinds[1], entry: entry, Ask: platformtest.Ask{
+	r := &request{kind: kinds[1], entry: entry, ClientRequest: platformtest.ClientRequest{
 		ID: fmt.Sprintf("p%x-%x", l.d.options.Seed, l.serial.Add(1)), Host: host, Path: poisonPath,
-		Body: []byte("poison"), Wait: callerWait, Key: keyCommon,
+		Body: []byte("poison"), Timeout: callerWait, Key: keyCommon,
 	}}
 	client := newCaller()
 	l.exchange(ctx, client, r, false)
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -24,7 +24,7 @@
 // operators send configurations and weights, and read back what is in force.
 type operators struct {
 	d       *deployment
-	call    platformtest.Operator
+	call    platformtest.OperatorClient
 	stop    chan struct{}
 	running sync.WaitGroup
 
@@ -38,7 +38,7 @@
 func newOperators(d *deployment) *operators {
 	return &operators{
 		d: d, stop: make(chan struct{}), rng: rand.New(rand.NewPCG(d.options.Seed, 3)),
-		call: platformtest.Operator{Client: &http.Client{Timeout: operatorWait, Transport: &http.Transport{DisableKeepAlives: true}}},
+		call: platformtest.OperatorClient{Client: &http.Client{Timeout: operatorWait, Transport: &http.Transport{DisableKeepAlives: true}}},
 	}
 }
 
@@ -120,10 +120,10 @@
 // configure sends a new configuration until it is acknowledged.
 func (o *operators) configure(more int) {
 	number := o.nextNumber()
-	d := &document{number: number, sent: time.Now(), content: platformtest.Document(o.configuration(number, more))}
+	d := &document{number: number, sent: time.Now(), content: platformtest.EncodeConfiguration(o.configuration(number, more))}
 	o.d.ledger.sendingDocument(d)
 	status := o.insist(func(ctx context.Context, to *instance) (int, error) {
-		return o.call.Configure(ctx, to.at(portOperators), d.content)
+		return o.call.PutConfiguration(ctx, to.at(portOperators), d.content)
 	})
 	switch status {
 	case http.StatusOK:
@@ -139,10 +139,10 @@
 	number := o.nextNumber()
 	c := o.configuration(number, 0)
 	c.Routes[0].TrafficSplit[0].Service = "nobody"
-	d := &document{number: number, sent: time.Now(), content: platformtest.Document(c), invalid: true}
+	d := &document{number: number, sent: time.Now(), content: platformtest.EncodeConfiguration(c), invalid: true}
 	o.d.ledger.sendingDocument(d)
 	status := o.insist(func(ctx context.Context, to *instance) (int, error) {
-		return o.call.Configure(ctx, to.at(portOperators), d.content)
+		return o.call.PutConfiguration(ctx, to.at(portOperators), d.content)
 	})
 	if status == http.StatusOK {
 		o.d.ledger.breach("nothing invalid is in force", "", "number %d was acknowledged", number)
@@ -153,7 +153,7 @@
 func (o *operators) nameWeights() {
 	version := o.d.ledger.nameWeights()
 	status := o.insist(func(ctx context.Context, to *instance) (int, error) {
-		return o.call.NameWeights(ctx, to.at(portOperators), model, version)
+		return o.call.PutWeights(ctx, to.at(portOperators), model, version)
 	})
 	if status == http.StatusOK {
 		o.d.ledger.ackedWeights(version)
@@ -180,7 +180,7 @@
 	acked := o.d.ledger.newestAcked()
 	ctx, cancel := context.WithTimeout(context.Background(), operatorWait)
 	defer cancel()
-	status, number, content, err := o.call.Configuration(ctx, from.at(portOperators))
+	status, number, content, err := o.call.GetConfiguration(ctx, from.at(portOperators))
 	if err != nil || status != http.StatusOK {
 		return 0
 	}
--- a/soak/places.go
+++ b/soak/places.go
@@ -43,7 +43,7 @@
 
 // troubled says what part of an endpoint's requests goes wrong, and how.
 type troubled struct {
-	kind  platformtest.Trouble
+	kind  platformtest.Fault
 	share float64
 }
 
@@ -84,7 +84,7 @@
 func (p *places) start(n int, service string, id tables.EndpointID) error {
 	p.starting.Lock()
 	defer p.starting.Unlock()
-	if e := p.endpoint(n); e != nil && !e.Ended() {
+	if e := p.endpoint(n); e != nil && !e.Exited() {
 		return nil
 	}
 	ip := p.d.ip(hostEndpoints + n)
@@ -92,12 +92,12 @@
 		ID: id, Service: service, Zone: zoneName(n % zones),
 		Listen:  netip.AddrPortFrom(ip, portBehind),
 		Address: netip.AddrPortFrom(ip, portEndpoint),
-		Slots:   deskSlots, Work: 20 * time.Millisecond,
-		Began: p.d.ledger.began, Arrived: p.d.ledger.arrived,
-		Trouble: func(target string) platformtest.Trouble { return p.draw(id, target) },
+		Slots:   deskSlots, ServiceTime: 20 * time.Millisecond,
+		OnStart: p.d.ledger.began, OnArrival: p.d.ledger.arrived,
+		InjectFault: func(target string) platformtest.Fault { return p.draw(id, target) },
 	}
 	if service == serviceModels {
-		o.Slots, o.Model, o.Weights, o.Pause = modelSlots, model, p.d.ledger.newestWeights(), 8*time.Millisecond
+		o.Slots, o.Model, o.Weights, o.EventInterval = modelSlots, model, p.d.ledger.newestWeights(), 8*time.Millisecond
 	}
 	e, err := p.d.fleet.Start(o)
 	if err != nil {
@@ -130,7 +130,7 @@
 }
 
 // draw says what happens to one request.
-func (p *places) draw(id tables.EndpointID, target string) platformtest.Trouble {
+func (p *places) draw(id tables.EndpointID, target string) platformtest.Fault {
 	if target == poisonPath {
 		return platformtest.Crashing
 	}
@@ -138,7 +138,7 @@
 	defer p.mu.Unlock()
 	t, found := p.troubled[id]
 	if !found || p.rng.Float64() >= t.share {
-		return platformtest.Sound
+		return platformtest.Healthy
 	}
 	return t.kind
 }
@@ -150,7 +150,7 @@
 	old.Drain()
 	time.Sleep(leaves)
 	old.Crash()
-	p.d.fleet.Forget(old.ID)
+	p.d.fleet.Deregister(old.ID)
 	time.Sleep(rests)
 	return p.start(n, service, p.name())
 }
@@ -180,7 +180,7 @@
 		}
 		for n := range modelEndpoints + deskEndpoints {
 			e := p.endpoint(n)
-			if !e.Ended() {
+			if !e.Exited() {
 				continue
 			}
 			if !down[e] {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -194,7 +194,7 @@
 		l.breach("service comes back", "", "not every entry instance serves every kind of request under configuration %d", acked)
 	}
 	if !until(func() bool { return w.weightsInPlace() }) {
-		l.breach("new weights reach all", "", "wanted %d, endpoints have %v", l.newestWeights(), w.d.fleet.Serving())
+		l.breach("new weights reach all", "", "wanted %d, endpoints have %v", l.newestWeights(), w.d.fleet.ServingWeights())
 	}
 	for _, i := range w.d.instances() {
 		if i.Exits() > 0 {
@@ -208,7 +208,7 @@
 	w.d.ledger.mu.Lock()
 	least, most := w.d.ledger.weightsAcked, w.d.ledger.weights
 	w.d.ledger.mu.Unlock()
-	for _, version := range w.d.fleet.Serving() {
+	for _, version := range w.d.fleet.ServingWeights() {
 		if version < least || version > most {
 			return false
 		}
@@ -227,7 +227,7 @@
 	}
 	seen, newest := map[served]bool{}, map[*instance]bool{}
 	for _, r := range l.requests {
-		if r.sent.Before(from) || !r.result.Whole {
+		if r.sent.Before(from) || !r.result.Complete {
 			continue
 		}
 		seen[served{r.entry, r.kind}] = true
@@ -249,9 +249,9 @@
 	for _, r := range l.requests {
 		switch {
 		case r.cancelled:
-		case r.result.Whole:
+		case r.result.Complete:
 			o.Served++
-		case r.result.Refused():
+		case r.result.NotExecuted():
 			o.Refused++
 		case r.result.Err != nil:
 			o.Broken++
