--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -22,20 +22,20 @@
 func TestFitReadsSizesAndCarriesOn(t *testing.T) {
 	results, err := ReadResults(strings.NewReader(output), "test")
 	assert.NilError(t, err)
-	line := Line{Title: "Heartbeat", Benchmark: "Heartbeat", Unit: "sec/op", Size: "instances", Target: 1000, Limit: 5e-6}
+	line := Series{Title: "Heartbeat", Benchmark: "Heartbeat", Unit: "sec/op", SizeName: "instances", TargetSize: 1000, Limit: 5e-6}
 	fit, err := NewFit(line, results)
 	assert.NilError(t, err)
 	assert.Equal(t, len(fit.Points), 3)
 	assert.Equal(t, fit.Points[0].Size, 9.0)
 	assert.Assert(t, math.Abs(fit.Points[0].Cost-1090e-9) < 1e-15)
 	assert.Assert(t, math.Abs(fit.Points[2].Cost-4400e-9) < 1e-15)
-	assert.Assert(t, math.Abs(fit.AtTarget-11e-6) < 0.1e-6, "at target %g", fit.AtTarget)
-	assert.Assert(t, fit.Extrapolated && fit.Misses())
+	assert.Assert(t, math.Abs(fit.TargetCost-11e-6) < 0.1e-6, "at target %g", fit.TargetCost)
+	assert.Assert(t, fit.Extrapolated && fit.ExceedsLimit())
 
 	var table, drawing strings.Builder
 	assert.NilError(t, WriteTable(&table, []Fit{fit}))
 	assert.Assert(t, strings.Contains(table.String(), "**misses**"), table.String())
-	assert.NilError(t, fit.Draw(&drawing))
+	assert.NilError(t, fit.WriteSVG(&drawing))
 	assert.Assert(t, strings.Contains(drawing.String(), "<svg"))
 }
 
@@ -43,8 +43,8 @@
 func TestTwoSizesAreRefused(t *testing.T) {
 	results, err := ReadResults(strings.NewReader(output), "test")
 	assert.NilError(t, err)
-	_, err = NewFit(Line{Title: "Other", Benchmark: "Other", Unit: "sec/op"}, results)
-	var few *TooFewSizes
+	_, err = NewFit(Series{Title: "Other", Benchmark: "Other", Unit: "sec/op"}, results)
+	var few *TooFewSizesError
 	assert.Assert(t, errors.As(err, &few))
 	assert.Equal(t, few.Sizes, 1)
 }
@@ -52,7 +52,7 @@
 // A benchmark over two sizes gives a line for each of them, and the sizes of one
 // must not be taken for those of the other.
 func TestSizeIsReadByItsKey(t *testing.T) {
-	line := Line{Benchmark: "Decision", Key: "endpoints", Match: "/blocks=10000/"}
+	line := Series{Benchmark: "Decision", SizeKey: "endpoints", NameContains: "/blocks=10000/"}
 	for _, test := range []struct {
 		name string
 		size float64
--- a/capacity/draw.go
+++ b/capacity/draw.go
@@ -25,13 +25,13 @@
 	targetColour   = color.RGBA{R: 0xb0, G: 0x30, B: 0x20, A: 0xff}
 )
 
-// Draw writes a drawing of the fit as SVG: measured points, the fitted line up
+// WriteSVG writes a drawing of the fit as SVG: measured points, the fitted line up
 // to the target, the target, and the limit if there is one.
-func (f Fit) Draw(w io.Writer) error {
+func (f Fit) WriteSVG(w io.Writer) error {
 	p := plot.New()
-	p.Title.Text = f.Line.Title
-	p.X.Label.Text = f.Line.Size
-	p.Y.Label.Text = f.Line.Unit
+	p.Title.Text = f.Series.Title
+	p.X.Label.Text = f.Series.SizeName
+	p.Y.Label.Text = f.Series.Unit
 	p.X.Min = 0
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
@@ -59,8 +59,8 @@
 	measured.Shape = draw.CircleGlyph{}
 	measured.Color = measuredColour
 	line, err := plotter.NewLine(plotter.XYs{
-		{X: 0, Y: f.Fixed},
-		{X: f.Line.Target, Y: f.Fixed + f.Slope*f.Line.Target},
+		{X: 0, Y: f.Intercept},
+		{X: f.Series.TargetSize, Y: f.Intercept + f.Slope*f.Series.TargetSize},
 	})
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 }
 
 func (f Fit) addTarget(p *plot.Plot) error {
-	target, err := plotter.NewScatter(plotter.XYs{{X: f.Line.Target, Y: f.AtTarget}})
+	target, err := plotter.NewScatter(plotter.XYs{{X: f.Series.TargetSize, Y: f.TargetCost}})
 	if err != nil {
 		return err
 	}
@@ -83,10 +83,10 @@
 	p.Legend.Add("target", target)
 	p.Legend.Top = true
 	p.Legend.Left = true
-	if f.Line.Limit == 0 {
+	if f.Series.Limit == 0 {
 		return nil
 	}
-	limit, err := plotter.NewLine(plotter.XYs{{X: 0, Y: f.Line.Limit}, {X: f.Line.Target, Y: f.Line.Limit}})
+	limit, err := plotter.NewLine(plotter.XYs{{X: 0, Y: f.Series.Limit}, {X: f.Series.TargetSize, Y: f.Series.Limit}})
 	if err != nil {
 		return err
 	}
@@ -112,10 +112,10 @@
 func (f Fit) row() string {
 	first, last := f.Points[0].Size, f.Points[len(f.Points)-1].Size
 	limit, verdict := "none", "-"
-	if f.Line.Limit > 0 {
-		limit, verdict = quantity(f.Line.Limit, f.Line.Unit), "holds"
+	if f.Series.Limit > 0 {
+		limit, verdict = quantity(f.Series.Limit, f.Series.Unit), "holds"
 	}
-	if f.Misses() {
+	if f.ExceedsLimit() {
 		verdict = "**misses**"
 	}
 	how := "measured"
@@ -123,8 +123,8 @@
 		how = "extrapolated"
 	}
 	return fmt.Sprintf("| %s | %g to %g %s | %s + %s each | %s at %g (%s) | %s | %s |",
-		f.Line.Title, first, last, f.Line.Size, quantity(f.Fixed, f.Line.Unit), quantity(f.Slope, f.Line.Unit),
-		quantity(f.AtTarget, f.Line.Unit), f.Line.Target, how, limit, verdict)
+		f.Series.Title, first, last, f.Series.SizeName, quantity(f.Intercept, f.Series.Unit), quantity(f.Slope, f.Series.Unit),
+		quantity(f.TargetCost, f.Series.Unit), f.Series.TargetSize, how, limit, verdict)
 }
 
 // quantity writes a cost with its unit, in a size that reads well.
--- a/capacity/line.go
+++ b/capacity/fit.go
@@ -17,23 +17,23 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Line says which benchmark measures a cost, by which size it grows, and how
+// Series says which benchmark measures a cost, by which size it grows, and how
 // large it may be at the target.
-type Line struct {
+type Series struct {
 	// Title says what is measured, for a heading.
 	Title string
 	// Benchmark is the name before the first slash, without "Benchmark".
 	Benchmark string
-	// Key is the part of the full name that holds the size, as in key=9; empty
+	// SizeKey is the part of the full name that holds the size, as in key=9; empty
 	// means the last part, which then starts with the size or key=.
-	Key string
-	// Match must stand in the full name; empty matches all.
-	Match string
+	SizeKey string
+	// NameContains must stand in the full name; empty matches all.
+	NameContains string
 	// Unit is the benchmark's unit, such as sec/op or B/endpoint.
 	Unit string
-	// Size names what grows, Target is how much of it the target has.
-	Size   string
-	Target float64
+	// SizeName names what grows, Target is how much of it the target has.
+	SizeName   string
+	TargetSize float64
 	// Limit is the most the cost may be at the target; 0 means none.
 	Limit float64
 }
@@ -43,27 +43,27 @@
 
 // Fit is a line with its measured points and what follows from them.
 type Fit struct {
-	Line   Line
+	Series Series
 	Points []Point
-	// Fixed and Slope are the fitted cost: Fixed + Slope × size.
-	Fixed, Slope float64
-	// AtTarget is the cost at the target; Extrapolated is set if the target
+	// Intercept and Slope are the fitted cost: Intercept + Slope × size.
+	Intercept, Slope float64
+	// TargetCost is the cost at the target; Extrapolated is set if the target
 	// lies outside of the sizes measured.
-	AtTarget     float64
+	TargetCost   float64
 	Extrapolated bool
 }
 
-// Misses says whether the cost at the target is above the limit.
-func (f Fit) Misses() bool { return f.Line.Limit > 0 && f.AtTarget > f.Line.Limit }
+// ExceedsLimit says whether the cost at the target is above the limit.
+func (f Fit) ExceedsLimit() bool { return f.Series.Limit > 0 && f.TargetCost > f.Series.Limit }
 
-// TooFewSizes means that a line cannot be fitted.
-type TooFewSizes struct {
+// TooFewSizesError means that a line cannot be fitted.
+type TooFewSizesError struct {
 	Title string
 	Sizes int
 }
 
 // Error says how many sizes were found.
-func (e *TooFewSizes) Error() string {
+func (e *TooFewSizesError) Error() string {
 	return fmt.Sprintf("%s: %d sizes measured, 3 are needed", e.Title, e.Sizes)
 }
 
@@ -97,10 +97,10 @@
 
 // NewFit fits a line through the results that belong to it. Costs of several
 // runs at one size are averaged.
-func NewFit(line Line, results []Result) (Fit, error) {
-	fit := Fit{Line: line, Points: line.points(results)}
+func NewFit(line Series, results []Result) (Fit, error) {
+	fit := Fit{Series: line, Points: line.points(results)}
 	if len(fit.Points) < minSizes {
-		return fit, &TooFewSizes{Title: line.Title, Sizes: len(fit.Points)}
+		return fit, &TooFewSizesError{Title: line.Title, Sizes: len(fit.Points)}
 	}
 	sizes := make([]float64, len(fit.Points))
 	costs := make([]float64, len(fit.Points))
@@ -112,19 +112,19 @@
 		// alone would decide the line.
 		weights[i] = 1 / math.Max(p.Cost*p.Cost, math.SmallestNonzeroFloat32)
 	}
-	fit.Fixed, fit.Slope = stat.LinearRegression(sizes, costs, weights, false)
-	fit.AtTarget = fit.Fixed + fit.Slope*line.Target
-	fit.Extrapolated = line.Target < sizes[0] || line.Target > sizes[len(sizes)-1]
+	fit.Intercept, fit.Slope = stat.LinearRegression(sizes, costs, weights, false)
+	fit.TargetCost = fit.Intercept + fit.Slope*line.TargetSize
+	fit.Extrapolated = line.TargetSize < sizes[0] || line.TargetSize > sizes[len(sizes)-1]
 	for _, p := range fit.Points {
-		if p.Size == line.Target {
-			fit.AtTarget = p.Cost
+		if p.Size == line.TargetSize {
+			fit.TargetCost = p.Cost
 		}
 	}
 	return fit, nil
 }
 
 // points returns the mean cost by size, rising.
-func (l Line) points(results []Result) []Point {
+func (l Series) points(results []Result) []Point {
 	sums := make(map[float64]Point)
 	for _, r := range results {
 		size, ok := l.size(r.Name)
@@ -144,21 +144,21 @@
 }
 
 // size reads the size out of a benchmark's full name if it belongs to the line.
-func (l Line) size(name string) (float64, bool) {
+func (l Series) size(name string) (float64, bool) {
 	if i := strings.LastIndexByte(name, '-'); i >= 0 {
 		name = name[:i] // the number of processors
 	}
 	parts := strings.Split(name, "/")
-	if parts[0] != l.Benchmark || len(parts) < 2 || !strings.Contains(name+"/", l.Match) {
+	if parts[0] != l.Benchmark || len(parts) < 2 || !strings.Contains(name+"/", l.NameContains) {
 		return 0, false
 	}
 	for _, part := range parts[1:] {
 		key, value, keyed := strings.Cut(part, "=")
-		if l.Key != "" && keyed && key == l.Key {
+		if l.SizeKey != "" && keyed && key == l.SizeKey {
 			return number(value)
 		}
 	}
-	if l.Key != "" {
+	if l.SizeKey != "" {
 		return 0, false
 	}
 	last := parts[len(parts)-1]
--- a/cmd/slopes/main.go
+++ b/cmd/slopes/main.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	var fits []capacity.Fit
-	for _, line := range capacity.Lines {
+	for _, line := range capacity.TrackedSeries {
 		fit, err := capacity.NewFit(line, results)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -47,11 +47,11 @@
 
 // writePlot writes the plot of a fit to a file that is named after its title.
 func writePlot(folder string, fit capacity.Fit) error {
-	name := strings.ReplaceAll(strings.ToLower(fit.Line.Title), " ", "-") + ".svg"
+	name := strings.ReplaceAll(strings.ToLower(fit.Series.Title), " ", "-") + ".svg"
 	file, err := os.Create(filepath.Join(folder, name))
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	return fit.Draw(file)
+	return fit.WriteSVG(file)
 }
