--- a/capacity/draw.go
+++ b/capacity/draw.go
@@ -14,10 +14,10 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of a drawing.
+// Dimensions of a plot.
 const (
-	drawingWidth  = 14 * vg.Centimeter
-	drawingHeight = 9 * vg.Centimeter
+	plotWidth  = 14 * vg.Centimeter
+	plotHeight = 9 * vg.Centimeter
 )
 
 var (
@@ -25,8 +25,8 @@
 	targetColour   = color.RGBA{R: 0xb0, G: 0x30, B: 0x20, A: 0xff}
 )
 
-// WriteSVG writes a drawing of the fit as SVG: measured points, the fitted line up
-// to the target, the target, and the limit if there is one.
+// WriteSVG plots the fit as SVG: the measured points, the fitted line from size 0
+// to the target size, the cost at the target size, and the limit if there is one.
 func (f Fit) WriteSVG(w io.Writer) error {
 	p := plot.New()
 	p.Title.Text = f.Series.Title
@@ -35,19 +35,20 @@
 	p.X.Min = 0
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
-	if err := f.addMeasured(p); err != nil {
+	if err := f.addFittedLine(p); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := f.addTarget(p); err != nil {
+	if err := f.addTargetAndLimit(p); err != nil {
 		return trace.Wrap(err)
 	}
-	canvas := vgsvg.New(drawingWidth, drawingHeight)
+	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
 	_, err := canvas.WriteTo(w)
 	return trace.Wrap(err)
 }
 
-func (f Fit) addMeasured(p *plot.Plot) error {
+// addFittedLine adds the measured points and the fitted line to the plot.
+func (f Fit) addFittedLine(p *plot.Plot) error {
 	points := make(plotter.XYs, len(f.Points))
 	for i, point := range f.Points {
 		points[i] = plotter.XY{X: point.Size, Y: point.Cost}
@@ -72,7 +73,9 @@
 	return nil
 }
 
-func (f Fit) addTarget(p *plot.Plot) error {
+// addTargetAndLimit adds the cost at the target size and, if the series has one, the
+// limit as a dashed horizontal line.
+func (f Fit) addTargetAndLimit(p *plot.Plot) error {
 	target, err := plotter.NewScatter(plotter.XYs{{X: f.Series.TargetSize, Y: f.TargetCost}})
 	if err != nil {
 		return err
@@ -97,38 +100,40 @@
 	return nil
 }
 
-// WriteTable writes the fits as a Markdown table.
+// WriteTable writes the fits as a Markdown table with one row for each fit.
 func WriteTable(w io.Writer, fits []Fit) error {
 	_, err := fmt.Fprintln(w, "| what | measured over | cost | at the target | limit | verdict |\n|---|---|---|---|---|---|")
 	for _, f := range fits {
 		if err != nil {
 			break
 		}
-		_, err = fmt.Fprintln(w, f.row())
+		_, err = fmt.Fprintln(w, f.tableRow())
 	}
 	return trace.Wrap(err)
 }
 
-func (f Fit) row() string {
+// tableRow formats the fit as a row of the table that WriteTable writes.
+func (f Fit) tableRow() string {
 	first, last := f.Points[0].Size, f.Points[len(f.Points)-1].Size
 	limit, verdict := "none", "-"
 	if f.Series.Limit > 0 {
-		limit, verdict = quantity(f.Series.Limit, f.Series.Unit), "holds"
+		limit, verdict = formatCost(f.Series.Limit, f.Series.Unit), "holds"
 	}
 	if f.ExceedsLimit() {
 		verdict = "**misses**"
 	}
-	how := "measured"
+	origin := "measured"
 	if f.Extrapolated {
-		how = "extrapolated"
+		origin = "extrapolated"
 	}
 	return fmt.Sprintf("| %s | %g to %g %s | %s + %s each | %s at %g (%s) | %s | %s |",
-		f.Series.Title, first, last, f.Series.SizeName, quantity(f.Intercept, f.Series.Unit), quantity(f.Slope, f.Series.Unit),
-		quantity(f.TargetCost, f.Series.Unit), f.Series.TargetSize, how, limit, verdict)
+		f.Series.Title, first, last, f.Series.SizeName, formatCost(f.Intercept, f.Series.Unit), formatCost(f.Slope, f.Series.Unit),
+		formatCost(f.TargetCost, f.Series.Unit), f.Series.TargetSize, origin, limit, verdict)
 }
 
-// quantity writes a cost with its unit, in a size that reads well.
-func quantity(v float64, unit string) string {
+// formatCost formats a cost with its unit. It scales a time per operation to s, ms,
+// µs or ns.
+func formatCost(v float64, unit string) string {
 	if strings.Contains(unit, "sec/") {
 		switch {
 		case v >= 1 || v <= -1:
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -1,7 +1,8 @@
-// Package capacity turns benchmark results into the slopes that
-// docs/CAPACITY.md is worked out from: it reads them, fits a straight line
-// through the sizes that were measured, carries it on to the size of the
-// target, and draws both.
+// Package capacity builds the linear cost models behind docs/CAPACITY.md. It
+// reads the output of go test -bench, fits each cost as a function of one size by
+// weighted linear regression, extrapolates the fit to the target size of the
+// fleet, compares the result with a limit, and reports it as an SVG plot and a
+// Markdown table.
 package capacity
 
 import (
@@ -17,67 +18,84 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Series says which benchmark measures a cost, by which size it grows, and how
-// large it may be at the target.
+// Series describes a cost as a function of one size: the benchmark results that
+// measure it, the target size, and the limit for the cost at the target size.
 type Series struct {
-	// Title says what is measured, for a heading.
+	// Title is the heading of the plot and the name of the table row.
 	Title string
-	// Benchmark is the name before the first slash, without "Benchmark".
+	// Benchmark is the name of the top-level benchmark: the part of a result's
+	// name before the first slash, without the prefix "Benchmark".
 	Benchmark string
-	// SizeKey is the part of the full name that holds the size, as in key=9; empty
-	// means the last part, which then starts with the size or key=.
+	// SizeKey is the key of the sub-benchmark that holds the size, such as
+	// instances in instances=9. If SizeKey is empty, the last part of the name
+	// holds the size, either alone or as key=size.
 	SizeKey string
-	// NameContains must stand in the full name; empty matches all.
+	// NameContains restricts the series to results whose name, without the
+	// processor count and with a trailing slash, contains this text. An empty
+	// text matches every name.
 	NameContains string
-	// Unit is the benchmark's unit, such as sec/op or B/endpoint.
+	// Unit is the unit of the benchmark value to fit, such as sec/op or B/endpoint.
 	Unit string
-	// SizeName names what grows, Target is how much of it the target has.
-	SizeName   string
+	// SizeName is the label of the size, such as instances.
+	SizeName string
+	// TargetSize is the size for which the cost is predicted.
 	TargetSize float64
-	// Limit is the most the cost may be at the target; 0 means none.
+	// Limit is the maximum cost at the target size, in Unit; 0 means no limit.
 	Limit float64
 }
 
-// Point is one measured size and its cost.
+// Point is a data point of the regression: a measured size and its mean cost.
 type Point struct{ Size, Cost float64 }
 
-// Fit is a line with its measured points and what follows from them.
+// Fit is the result of a weighted linear regression over the points of a series.
 type Fit struct {
 	Series Series
+	// Points holds the data points by rising size.
 	Points []Point
-	// Intercept and Slope are the fitted cost: Intercept + Slope × size.
+	// Intercept and Slope are the coefficients of the fitted cost,
+	// Intercept + Slope × size.
 	Intercept, Slope float64
-	// TargetCost is the cost at the target; Extrapolated is set if the target
-	// lies outside of the sizes measured.
-	TargetCost   float64
+	// TargetCost is the cost at the target size: the measured mean if that size
+	// was benchmarked, otherwise the prediction of the fit.
+	TargetCost float64
+	// Extrapolated reports whether the target size is outside the range of the
+	// measured sizes.
 	Extrapolated bool
 }
 
-// ExceedsLimit says whether the cost at the target is above the limit.
+// ExceedsLimit reports whether the series has a limit and the cost at the target
+// size is above it.
 func (f Fit) ExceedsLimit() bool { return f.Series.Limit > 0 && f.TargetCost > f.Series.Limit }
 
-// TooFewSizesError means that a line cannot be fitted.
+// TooFewSizesError reports that the results of a series cover fewer distinct sizes
+// than a fit needs.
 type TooFewSizesError struct {
+	// Title is the title of the series.
 	Title string
+	// Sizes is the number of distinct sizes found.
 	Sizes int
 }
 
-// Error says how many sizes were found.
+// Error returns the title of the series, the number of sizes found and the minimum.
 func (e *TooFewSizesError) Error() string {
 	return fmt.Sprintf("%s: %d sizes measured, 3 are needed", e.Title, e.Sizes)
 }
 
-// minSizes is how many sizes a fit needs, so that a bend can be seen.
+// minSizes is the minimum number of distinct sizes in a fit. Two points always fit
+// a straight line, which would hide a cost that does not grow linearly.
 const minSizes = 3
 
-// Result is one benchmark result: full name, and values by unit.
+// Result is one line of benchmark output.
 type Result struct {
-	Name   string
+	// Name is the full name without the prefix "Benchmark", with the parts of
+	// sub-benchmarks and the processor count.
+	Name string
+	// Values maps a unit, such as sec/op, to the measured value.
 	Values map[string]float64
 }
 
-// ReadResults reads the output of go test -bench. Several runs of one benchmark
-// give several results.
+// ReadResults parses the output of go test -bench from r; name identifies the
+// input in parse errors. Each run of a benchmark is a result of its own.
 func ReadResults(r io.Reader, name string) ([]Result, error) {
 	var results []Result
 	reader := benchfmt.NewReader(r, name)
@@ -95,12 +113,13 @@
 	return results, trace.Wrap(reader.Err())
 }
 
-// NewFit fits a line through the results that belong to it. Costs of several
-// runs at one size are averaged.
-func NewFit(line Series, results []Result) (Fit, error) {
-	fit := Fit{Series: line, Points: line.points(results)}
+// NewFit fits a straight line to those results that belong to the series. Costs of
+// several runs at one size are averaged first. It returns a *TooFewSizesError if
+// the results cover fewer than 3 sizes.
+func NewFit(series Series, results []Result) (Fit, error) {
+	fit := Fit{Series: series, Points: series.meanCosts(results)}
 	if len(fit.Points) < minSizes {
-		return fit, &TooFewSizesError{Title: line.Title, Sizes: len(fit.Points)}
+		return fit, &TooFewSizesError{Title: series.Title, Sizes: len(fit.Points)}
 	}
 	sizes := make([]float64, len(fit.Points))
 	costs := make([]float64, len(fit.Points))
@@ -108,28 +127,28 @@
 	for i, p := range fit.Points {
 		sizes[i] = p.Size
 		costs[i] = p.Cost
-		// Relative errors count, not absolute ones: otherwise the largest size
-		// alone would decide the line.
+		// Weights of 1/cost² make the regression minimise relative errors. With
+		// absolute errors, the largest size alone would determine the fit.
 		weights[i] = 1 / math.Max(p.Cost*p.Cost, math.SmallestNonzeroFloat32)
 	}
 	fit.Intercept, fit.Slope = stat.LinearRegression(sizes, costs, weights, false)
-	fit.TargetCost = fit.Intercept + fit.Slope*line.TargetSize
-	fit.Extrapolated = line.TargetSize < sizes[0] || line.TargetSize > sizes[len(sizes)-1]
+	fit.TargetCost = fit.Intercept + fit.Slope*series.TargetSize
+	fit.Extrapolated = series.TargetSize < sizes[0] || series.TargetSize > sizes[len(sizes)-1]
 	for _, p := range fit.Points {
-		if p.Size == line.TargetSize {
+		if p.Size == series.TargetSize {
 			fit.TargetCost = p.Cost
 		}
 	}
 	return fit, nil
 }
 
-// points returns the mean cost by size, rising.
-func (l Series) points(results []Result) []Point {
+// meanCosts returns the mean cost of the series at each size, by rising size.
+func (s Series) meanCosts(results []Result) []Point {
 	sums := make(map[float64]Point)
 	for _, r := range results {
-		size, ok := l.size(r.Name)
-		cost, has := r.Values[l.Unit]
-		if !ok || !has {
+		size, ok := s.sizeFromName(r.Name)
+		cost, hasUnit := r.Values[s.Unit]
+		if !ok || !hasUnit {
 			continue
 		}
 		sum := sums[size]
@@ -143,32 +162,34 @@
 	return points
 }
 
-// size reads the size out of a benchmark's full name if it belongs to the line.
-func (l Series) size(name string) (float64, bool) {
+// sizeFromName parses the size from the full name of a benchmark result. It returns
+// false if the result does not belong to the series.
+func (s Series) sizeFromName(name string) (float64, bool) {
 	if i := strings.LastIndexByte(name, '-'); i >= 0 {
-		name = name[:i] // the number of processors
+		name = name[:i] // strip the processor count
 	}
 	parts := strings.Split(name, "/")
-	if parts[0] != l.Benchmark || len(parts) < 2 || !strings.Contains(name+"/", l.NameContains) {
+	if parts[0] != s.Benchmark || len(parts) < 2 || !strings.Contains(name+"/", s.NameContains) {
 		return 0, false
 	}
 	for _, part := range parts[1:] {
-		key, value, keyed := strings.Cut(part, "=")
-		if l.SizeKey != "" && keyed && key == l.SizeKey {
-			return number(value)
+		key, value, hasKey := strings.Cut(part, "=")
+		if s.SizeKey != "" && hasKey && key == s.SizeKey {
+			return parseSize(value)
 		}
 	}
-	if l.SizeKey != "" {
+	if s.SizeKey != "" {
 		return 0, false
 	}
 	last := parts[len(parts)-1]
-	if _, value, keyed := strings.Cut(last, "="); keyed {
-		return number(value)
+	if _, value, hasKey := strings.Cut(last, "="); hasKey {
+		return parseSize(value)
 	}
-	return number(last)
+	return parseSize(last)
 }
 
-func number(text string) (float64, bool) {
+// parseSize parses a size and reports whether the text is a number.
+func parseSize(text string) (float64, bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	return v, err == nil
 }
--- a/capacity/series.go
+++ b/capacity/series.go
@@ -1,37 +1,43 @@
 package capacity
 
-// The sizes of the target that lines refer to.
+// Target sizes: the fleet and load for which the capacity is planned.
 const (
 	TargetInstances     = 340
 	TargetEndpoints     = 1100
 	TargetOrganisations = 8600
-	// TargetCachedBlocks is how many of the fleet's 100 million cached blocks one
-	// instance keeps rows of.
+	// TargetCachedBlocks is the number of cached blocks that one instance keeps
+	// rows for, out of 100 million in the fleet.
 	TargetCachedBlocks = 12.5e6
-	// TargetConfigurationChanges is a hundred days of configuration changes.
+	// TargetConfigurationChanges is the number of configuration changes in 100 days.
 	TargetConfigurationChanges = 140_000
-	// TargetConcurrentClaims is how many claims are asked for at once.
+	// TargetConcurrentClaims is the number of callers that request claims concurrently.
 	TargetConcurrentClaims = 128
 )
 
-// What an instance may spend on control at the target.
+// Budgets of one instance for memory, network traffic and processor time of the
+// control functions at the target sizes.
 const (
 	ControlMemoryBudgetBytes           = 256 << 20
 	ControlTrafficBudgetBytesPerSecond = 29_000
-	// ControlCPUBudgetMicrosPerSecond is 1.6 % of a core.
+	// ControlCPUBudgetMicrosPerSecond is the processor time per second, 1.6 % of a core.
 	ControlCPUBudgetMicrosPerSecond = 16_000
 )
 
-// In force everywhere within 3 s, and first served within 200 ms of a start.
+// Latency objectives.
 const (
-	inForceMillis  = 3000
-	restartSeconds = 0.2
-	// decisionGoal is the goal for one decision at 138 endpoints, in seconds.
-	decisionGoal      = 20e-6
-	decisionEndpoints = 138
+	// propagationLimitMillis is the time in which a configuration change takes
+	// effect on all instances, 3 s.
+	propagationLimitMillis = 3000
+	// restartLimitSeconds is the time from the start of a control replica to its
+	// first answer, 200 ms.
+	restartLimitSeconds = 0.2
+	// decisionLimitSeconds is the 99th percentile of the time of one decision at
+	// 138 endpoints.
+	decisionLimitSeconds = 20e-6
+	decisionEndpoints    = 138
 )
 
-// TrackedSeries are the costs that docs/CAPACITY.md is worked out from.
+// TrackedSeries lists the series behind the cost models of docs/CAPACITY.md.
 var TrackedSeries = []Series{
 	{
 		Title: "Decision by endpoints", Benchmark: "Decision", SizeKey: "endpoints", NameContains: "/blocks=12500000/",
@@ -39,7 +45,7 @@
 	},
 	{
 		Title: "Decision tail at 138 endpoints", Benchmark: "Decision", SizeKey: "endpoints", NameContains: "/blocks=12500000/",
-		Unit: "p99-sec/decision", SizeName: "endpoints", TargetSize: decisionEndpoints, Limit: decisionGoal,
+		Unit: "p99-sec/decision", SizeName: "endpoints", TargetSize: decisionEndpoints, Limit: decisionLimitSeconds,
 	},
 	{
 		Title: "Decision by known blocks", Benchmark: "Decision", SizeKey: "blocks", NameContains: "/endpoints=1100/",
@@ -59,7 +65,7 @@
 	},
 	{
 		Title: "Change in force at all", Benchmark: "FanOut", SizeKey: "followers",
-		Unit: "in_force_p99_ms", SizeName: "followers", TargetSize: TargetInstances, Limit: inForceMillis,
+		Unit: "in_force_p99_ms", SizeName: "followers", TargetSize: TargetInstances, Limit: propagationLimitMillis,
 	},
 	{
 		Title: "Change bytes of a control instance", Benchmark: "FanOut", SizeKey: "followers",
@@ -71,7 +77,7 @@
 	},
 	{
 		Title: "Restart of a control replica", Benchmark: "Restart", SizeKey: "changes",
-		Unit: "sec/op", SizeName: "changes", TargetSize: TargetConfigurationChanges, Limit: restartSeconds,
+		Unit: "sec/op", SizeName: "changes", TargetSize: TargetConfigurationChanges, Limit: restartLimitSeconds,
 	},
 	{
 		Title: "Metrics memory", Benchmark: "Organisations",
