--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -21,7 +21,8 @@
 // Series describes a cost as a function of one size: the benchmark results that
 // measure it, the target size, and the limit for the cost at the target size.
 type Series struct {
-	// Title is the heading of the plot and the name of the table row.
+	// Title is the heading of the plot and the first cell of the table row. Command
+	// slopes also derives the file name of the plot from it.
 	Title string
 	// Benchmark is the name of the top-level benchmark: the part of a result's
 	// name before the first slash, without the prefix "Benchmark".
@@ -95,7 +96,8 @@
 }
 
 // ReadResults parses the output of go test -bench from r; name identifies the
-// input in parse errors. Each run of a benchmark is a result of its own.
+// input in errors. Each run of a benchmark is a result of its own. Lines that are
+// not benchmark results, malformed ones included, are skipped.
 func ReadResults(r io.Reader, name string) ([]Result, error) {
 	var results []Result
 	reader := benchfmt.NewReader(r, name)
