--- a/cli/apply.go
+++ b/cli/apply.go
@@ -14,12 +14,19 @@
 	"github.com/carawaystile/carawaystile/settings"
 )
 
-// applyCommand puts declarations in force.
+// applyCommand replaces the cluster's configuration by declarations from files.
+// It is a compare-and-swap: the control group accepts the change only if the
+// current revision is still base.
 type applyCommand struct {
-	remote
+	operatorClient
+	// operator is the name that the history records for the change.
 	operator string
-	request  string
-	base     int64
+	// request identifies the change; operator and request together are its
+	// idempotency key.
+	request string
+	// base is the revision that the change expects to replace; below 0 it is the
+	// current revision at the time of the call.
+	base int64
 }
 
 func (*applyCommand) Name() string     { return "apply" }
@@ -30,7 +37,7 @@
   Checks the declarations in a file or folder and puts them in force, if the
   revision in force is still the base. Without -base that is the revision in
   force now. Exit codes: 3 faults in the files, 4 conflict, 5 no answer.
-` + remoteUsage
+` + operatorClientUsage
 }
 
 func (c *applyCommand) SetFlags(f *flag.FlagSet) {
@@ -49,22 +56,22 @@
 	if err != nil {
 		return fail(code, err)
 	}
-	if err := c.open(); err != nil {
+	if err := c.configure(); err != nil {
 		return fail(exitUsage, err)
 	}
 	if c.base < 0 {
-		inForce, err := c.inForce(ctx)
+		current, err := c.currentConfiguration(ctx)
 		if err != nil {
-			return failRemote(err, "")
+			return failCall(err, "")
 		}
-		c.base = int64(inForce.GetRevision().GetNumber())
+		c.base = int64(current.GetRevision().GetNumber())
 	}
 	if c.request == "" {
 		c.request = newRequestID()
 	}
 	answer, err := c.apply(ctx, items)
 	if err != nil {
-		return failRemote(err, c.request)
+		return failCall(err, c.request)
 	}
 	result, code := newChangeResult(c.request, answer)
 	return result.print(c.asJSON, code)
@@ -72,30 +79,32 @@
 
 func (c *applyCommand) apply(ctx context.Context, items []*rpc.Item) (*rpc.ChangeAnswer, error) {
 	request := &rpc.ApplyRequest{Operator: c.operator, Request: c.request, Base: uint64(c.base), Items: items}
-	return ask(ctx, &c.remote, func(ctx context.Context, o rpc.Operator) (*rpc.ChangeAnswer, error) {
+	return callFirstAvailable(ctx, &c.operatorClient, func(ctx context.Context, o rpc.Operator) (*rpc.ChangeAnswer, error) {
 		return o.Apply(ctx, request)
 	})
 }
 
-// inForce asks for the configuration in force.
-func (r *remote) inForce(ctx context.Context) (*rpc.ConfigurationAnswer, error) {
-	return ask(ctx, r, func(ctx context.Context, o rpc.Operator) (*rpc.ConfigurationAnswer, error) {
+// currentConfiguration fetches the current configuration and its revision.
+func (r *operatorClient) currentConfiguration(ctx context.Context) (*rpc.ConfigurationAnswer, error) {
+	return callFirstAvailable(ctx, r, func(ctx context.Context, o rpc.Operator) (*rpc.ConfigurationAnswer, error) {
 		return o.Configuration(ctx, &rpc.ConfigurationRequest{})
 	})
 }
 
-// readItems reads declarations as items. The exit code goes with the failure.
+// readItems reads declarations from a file or folder and encodes them as items.
+// The exit code applies only if the error is not nil.
 func readItems(path string) ([]*rpc.Item, subcommands.ExitStatus, error) {
 	declarations, err := settings.ReadDeclarations(path)
 	if err != nil {
-		return nil, exitInvalid, err
+		return nil, exitInvalidInput, err
 	}
 	items, err := configuration.Encode(*declarations)
 	return items, exitFailure, trace.Wrap(err)
 }
 
-// diffCommand compares declarations with what is in force.
-type diffCommand struct{ remote }
+// diffCommand is a dry run of apply: it lists the differences between
+// declarations in files and the current configuration.
+type diffCommand struct{ operatorClient }
 
 func (*diffCommand) Name() string     { return "diff" }
 func (*diffCommand) Synopsis() string { return "compare declarations with what is in force" }
@@ -104,12 +113,13 @@
 	return `diff [-json] PATH
   Shows what applying the declarations in a file or folder would change.
   Exit codes: 0 nothing, 7 something, 3 faults in the files, 5 no answer.
-` + remoteUsage
+` + operatorClientUsage
 }
 
 func (c *diffCommand) SetFlags(f *flag.FlagSet) { c.setFlags(f) }
 
-// diffResult is what -json prints.
+// diffResult is the JSON output of diff: the current revision and the
+// changes to it, in the format of formatChanges.
 type diffResult struct {
 	Revision uint64   `json:"revision"`
 	Changes  []string `json:"changes"`
@@ -124,17 +134,17 @@
 	if err != nil {
 		return fail(code, err)
 	}
-	if err := c.open(); err != nil {
+	if err := c.configure(); err != nil {
 		return fail(exitUsage, err)
 	}
-	inForce, err := c.inForce(ctx)
+	current, err := c.currentConfiguration(ctx)
 	if err != nil {
-		return failRemote(err, "")
+		return failCall(err, "")
 	}
-	from := configuration.NewContent(inForce.GetItems())
+	from := configuration.NewContent(current.GetItems())
 	return c.print(diffResult{
-		Revision: inForce.GetRevision().GetNumber(),
-		Changes:  differenceLines(configuration.DiffContents(from, configuration.NewContent(items))),
+		Revision: current.GetRevision().GetNumber(),
+		Changes:  formatChanges(configuration.DiffContents(from, configuration.NewContent(items))),
 	})
 }
 
@@ -155,8 +165,9 @@
 	return exitOK
 }
 
-// exportCommand writes what is in force as declarations.
-type exportCommand struct{ remote }
+// exportCommand prints the current configuration as declarations that apply and
+// validate can read.
+type exportCommand struct{ operatorClient }
 
 func (*exportCommand) Name() string     { return "export" }
 func (*exportCommand) Synopsis() string { return "write what is in force as declarations" }
@@ -165,7 +176,7 @@
 	return `export [-json]
   Writes the configuration in force to standard output, as YAML that apply
   reads, or with -json as one object with its revision.
-` + remoteUsage
+` + operatorClientUsage
 }
 
 func (c *exportCommand) SetFlags(f *flag.FlagSet) { c.setFlags(f) }
@@ -175,12 +186,12 @@
 		f.Usage()
 		return exitUsage
 	}
-	if err := c.open(); err != nil {
+	if err := c.configure(); err != nil {
 		return fail(exitUsage, err)
 	}
-	answer, err := c.inForce(ctx)
+	answer, err := c.currentConfiguration(ctx)
 	if err != nil {
-		return failRemote(err, "")
+		return failCall(err, "")
 	}
 	if err := c.write(answer); err != nil {
 		return fail(exitFailure, err)
@@ -189,14 +200,14 @@
 }
 
 func (c *exportCommand) write(answer *rpc.ConfigurationAnswer) error {
-	inForce, err := decodeItems(answer)
+	current, err := decodeConfiguration(answer)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if c.asJSON {
-		return trace.Wrap(writeJSON(os.Stdout, inForce))
+		return trace.Wrap(writeJSON(os.Stdout, current))
 	}
-	text, err := settings.WriteDeclarations(&inForce)
+	text, err := settings.WriteDeclarations(&current)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/cli/backup.go
+++ b/cli/backup.go
@@ -18,9 +18,11 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// backupCommand writes the control state into a file.
+// backupCommand saves a snapshot of the replicated control state to a file. The
+// snapshot comes from a running control instance or, with -data, from the Raft
+// log in the data folder of a stopped one, for when the group has lost its quorum.
 type backupCommand struct {
-	remote
+	operatorClient
 	data string
 }
 
@@ -32,7 +34,7 @@
   Writes the control state into a new file: configuration, history and claims.
   With -data it is read from the data folder of an instance that does not run,
   for when too few control instances are left to decide.
-` + remoteUsage
+` + operatorClientUsage
 }
 
 func (c *backupCommand) SetFlags(f *flag.FlagSet) {
@@ -45,7 +47,7 @@
 		f.Usage()
 		return exitUsage
 	}
-	backup, code, err := c.read(ctx)
+	backup, code, err := c.fetch(ctx)
 	if err != nil {
 		return fail(code, err)
 	}
@@ -61,22 +63,26 @@
 	return exitOK
 }
 
-// read gets the backup. The exit code goes with the failure.
-func (c *backupCommand) read(ctx context.Context) (*rpc.Backup, subcommands.ExitStatus, error) {
+// fetch obtains the backup from the data folder, if one is given, or from a
+// control instance. The exit code applies only if the error is not nil.
+func (c *backupCommand) fetch(ctx context.Context) (*rpc.Backup, subcommands.ExitStatus, error) {
 	if c.data != "" {
-		backup, err := backupOfFolder(c.data)
+		backup, err := backupFromDataFolder(c.data)
 		return backup, exitFailure, err
 	}
-	if err := c.open(); err != nil {
+	if err := c.configure(); err != nil {
 		return nil, exitUsage, err
 	}
-	backup, err := ask(ctx, &c.remote, func(ctx context.Context, o rpc.Operator) (*rpc.Backup, error) {
+	backup, err := callFirstAvailable(ctx, &c.operatorClient, func(ctx context.Context, o rpc.Operator) (*rpc.Backup, error) {
 		return o.Backup(ctx, &rpc.BackupRequest{})
 	})
 	return backup, exitUnreachable, err
 }
 
-func backupOfFolder(data string) (*rpc.Backup, error) {
+// backupFromDataFolder rebuilds the control state from the log in the data folder
+// of a stopped instance. It fails if the folder does not exist, which OpenFolder
+// would create.
+func backupFromDataFolder(data string) (*rpc.Backup, error) {
 	if _, err := os.Stat(data); err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
@@ -89,13 +95,16 @@
 	return backup, trace.Wrap(err)
 }
 
-// restoreCommand founds a new control group from a backup.
+// restoreCommand bootstraps a new control group, with this instance as its only
+// member, from a backup. It writes the initial log into an empty data folder.
 type restoreCommand struct {
 	data            string
 	instance        string
 	address         string
 	revisionAtLeast uint64
-	holdClaims      time.Duration
+	// holdClaims is how long idempotency keys that the backup does not contain are
+	// refused, because their requests may have run after the backup.
+	holdClaims time.Duration
 }
 
 func (*restoreCommand) Name() string     { return "restore" }
@@ -130,7 +139,7 @@
 	}
 	backup, err := server.DecodeBackup(encoded)
 	if err != nil {
-		return fail(exitInvalid, err)
+		return fail(exitInvalidInput, err)
 	}
 	if err := c.restore(backup); err != nil {
 		return fail(exitFailure, err)
--- a/cli/change.go
+++ b/cli/change.go
@@ -12,31 +12,38 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// changeResult is what -json prints of a change.
+// changeResult is the outcome of a configuration change, and the JSON output of
+// the commands that make one.
 type changeResult struct {
 	// Result is accepted, conflict or refused.
 	Result   string `json:"result"`
 	Request  string `json:"request"`
 	Revision uint64 `json:"revision,omitempty"`
-	// Resent is set when this request had been accepted before.
+	// Resent says that the request is a duplicate: an earlier call with the same
+	// operator and request ID was accepted, and this one changed nothing.
 	Resent bool `json:"resent,omitempty"`
-	// The winner of a conflict.
-	Winner        string   `json:"winner,omitempty"`
-	WinnerRequest string   `json:"winner_request,omitempty"`
-	WinnerTime    string   `json:"winner_time,omitempty"`
-	Reason        string   `json:"reason,omitempty"`
-	Difference    []string `json:"difference,omitempty"`
+	// Winner, WinnerRequest and WinnerTime (RFC 3339) identify the change that was
+	// accepted first. They are set only on a conflict.
+	Winner        string `json:"winner,omitempty"`
+	WinnerRequest string `json:"winner_request,omitempty"`
+	WinnerTime    string `json:"winner_time,omitempty"`
+	// Reason explains a refusal.
+	Reason string `json:"reason,omitempty"`
+	// Difference lists what the rejected change would do to the current revision.
+	// It is set only on a conflict.
+	Difference []string `json:"difference,omitempty"`
 }
 
-// refusalTexts explains refusals in one short sentence each.
-var refusalTexts = map[rpc.RefusalReason]string{
+// refusalMessages maps refusal reasons to the texts that operators see.
+var refusalMessages = map[rpc.RefusalReason]string{
 	rpc.RefusalReason_REFUSED_MALFORMED:        "the change cannot be read",
 	rpc.RefusalReason_REFUSED_REQUEST_REUSED:   "this request id was used for another change",
 	rpc.RefusalReason_REFUSED_UNKNOWN_ENDPOINT: "no endpoint of that name is declared",
 	rpc.RefusalReason_REFUSED_OLD_LIFE:         "the endpoint has joined again since",
 }
 
-// newChangeResult sums up the answer to a change.
+// newChangeResult converts the response to a change into its outcome and the exit
+// code for it.
 func newChangeResult(request string, answer *rpc.ChangeAnswer) (changeResult, subcommands.ExitStatus) {
 	result := changeResult{Request: request}
 	if accepted := answer.GetAccepted(); accepted != nil {
@@ -52,19 +59,20 @@
 		result.Winner = winner.GetOperator()
 		result.WinnerRequest = winner.GetRequest()
 		result.WinnerTime = time.Unix(0, winner.GetWall()).UTC().Format(time.RFC3339)
-		result.Difference = differenceOf(answer)
+		result.Difference = formatConflictChanges(answer)
 		return result, exitConflict
 	}
 	reason := answer.GetRefusal().GetReason()
 	result.Result = "refused"
-	result.Reason = refusalTexts[reason]
+	result.Reason = refusalMessages[reason]
 	if result.Reason == "" {
 		result.Reason = reason.String()
 	}
 	return result, exitFailure
 }
 
-func differenceOf(answer *rpc.ChangeAnswer) []string {
+// formatConflictChanges formats the difference that a conflict response carries.
+func formatConflictChanges(answer *rpc.ChangeAnswer) []string {
 	var changes []configuration.ItemChange
 	for _, c := range answer.GetDifference() {
 		changes = append(changes, configuration.ItemChange{
@@ -72,10 +80,11 @@
 			Before: c.GetBefore(), After: c.GetAfter(),
 		})
 	}
-	return differenceLines(changes)
+	return formatChanges(changes)
 }
 
-// print writes the result and returns the exit code.
+// print writes the result as JSON or text and returns code, or exitFailure if
+// the JSON cannot be written. Conflicts and refusals go to standard error.
 func (c changeResult) print(asJSON bool, code subcommands.ExitStatus) subcommands.ExitStatus {
 	if asJSON {
 		if err := writeJSON(os.Stdout, c); err != nil {
@@ -103,8 +112,10 @@
 	return code
 }
 
-// failRemote prints why nothing was answered, and how to send the change again.
-func failRemote(err error, request string) subcommands.ExitStatus {
+// failCall prints the error of a failed call and returns exitUnreachable. For a
+// change, request is its request ID: the outcome is unknown, so failCall also
+// prints how to retry without applying the change twice. It is empty for a query.
+func failCall(err error, request string) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	if request != "" {
 		fmt.Fprintf(os.Stderr, "The change may or may not be in force. To ask again without changing twice, add -request %s\n", request)
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,6 +1,7 @@
-// Package cli is the operators' command as a library: one subcommand a type.
-// Each explains itself with `carawaystile help NAME`; docs/OPERATING.md tells
-// when to use which.
+// Package cli implements the operators' command line tool, carawaystile, as a
+// library, so that tests can run it in their own process. Each subcommand is a
+// type that implements subcommands.Command. `carawaystile help NAME` prints the
+// usage of one; docs/OPERATING.md describes when to use which.
 package cli
 
 import (
@@ -10,16 +11,18 @@
 	"github.com/google/subcommands"
 )
 
-// Run runs the subcommand that the process's arguments name and returns the
-// exit code. It is called once a process.
+// Run executes the subcommand that os.Args selects and returns its exit code. It
+// registers the subcommands with the global commander and parses the global
+// flags, so a process calls it only once.
 func Run(ctx context.Context) subcommands.ExitStatus {
-	register(subcommands.DefaultCommander)
+	registerCommands(subcommands.DefaultCommander)
 	flag.Parse()
 	return subcommands.Execute(ctx)
 }
 
-// register lists the subcommands, by the groups that help shows.
-func register(commander *subcommands.Commander) {
+// registerCommands adds every subcommand to the commander, under the group that
+// the help text lists it in.
+func registerCommands(commander *subcommands.Commander) {
 	commander.Register(commander.HelpCommand(), "help")
 	commander.Register(commander.FlagsCommand(), "help")
 	commander.Register(commander.CommandsCommand(), "help")
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -13,7 +13,9 @@
 	"github.com/carawaystile/carawaystile/demo"
 )
 
-// demoCommand runs the system against stand-ins on loopback.
+// demoCommand runs a small cluster in this process against simulated endpoints on
+// the loopback interface, optionally with fault injection, and checks the
+// delivery guarantees afterwards.
 type demoCommand struct {
 	asJSON  bool
 	options demo.Options
@@ -32,6 +34,7 @@
 `
 }
 
+// faultNames lists the faults that -fault accepts, for the usage text.
 func faultNames() string {
 	var names []string
 	for _, f := range demo.Faults() {
@@ -70,7 +73,7 @@
 		report.WriteTable(os.Stdout)
 	}
 	if broken != nil {
-		return exitBroken
+		return exitViolation
 	}
 	return exitOK
 }
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -9,31 +9,34 @@
 	"github.com/google/subcommands"
 )
 
-// The exit codes of every subcommand. They are documented in docs/OPERATING.md
-// and never change their meaning.
+// Exit codes of all subcommands. docs/OPERATING.md documents them. Scripts rely on
+// them, so a code never changes its meaning.
 const (
 	exitOK      = subcommands.ExitSuccess
 	exitFailure = subcommands.ExitFailure
 	exitUsage   = subcommands.ExitUsageError
-	// exitInvalid: a file has faults.
-	exitInvalid subcommands.ExitStatus = 3
-	// exitConflict: another change was accepted first.
+	// exitInvalidInput means that an input file is invalid.
+	exitInvalidInput subcommands.ExitStatus = 3
+	// exitConflict means that another change was accepted first, so the base
+	// revision is outdated.
 	exitConflict subcommands.ExitStatus = 4
-	// exitUnreachable: no instance answered, or no quorum.
+	// exitUnreachable means that no instance answered, or that the control group
+	// has no quorum.
 	exitUnreachable subcommands.ExitStatus = 5
-	// exitBroken: a demo or measurement saw a promise broken.
-	exitBroken subcommands.ExitStatus = 6
-	// exitDiffers: diff found a difference.
+	// exitViolation means that demo or standin observed a violation of the
+	// delivery guarantees.
+	exitViolation subcommands.ExitStatus = 6
+	// exitDiffers means that diff found at least one difference.
 	exitDiffers subcommands.ExitStatus = 7
 )
 
-// fail prints a failure and returns the exit code.
+// fail prints the error to standard error and returns code.
 func fail(code subcommands.ExitStatus, err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	return code
 }
 
-// writeJSON prints a value as one indented JSON object.
+// writeJSON writes a value as indented JSON.
 func writeJSON(w io.Writer, value any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/cli/history.go
+++ b/cli/history.go
@@ -14,9 +14,10 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// historyCommand lists accepted revisions.
+// historyCommand lists the accepted configuration revisions, newest first: the
+// audit log of changes.
 type historyCommand struct {
-	remote
+	operatorClient
 	limit uint
 }
 
@@ -26,7 +27,7 @@
 func (*historyCommand) Usage() string {
 	return `history [-limit N] [-json]
   Lists accepted revisions with their operator, request and changed items.
-` + remoteUsage
+` + operatorClientUsage
 }
 
 func (c *historyCommand) SetFlags(f *flag.FlagSet) {
@@ -34,7 +35,9 @@
 	f.UintVar(&c.limit, "limit", 20, "how many revisions; 0 means all that are kept")
 }
 
-// historyRow is one revision of what -json prints.
+// historyRow is one revision in the JSON output of history. Time is in RFC 3339
+// format, Request is the request ID of the change, and Items is the number of items
+// that it changed.
 type historyRow struct {
 	Revision uint64 `json:"revision"`
 	Time     string `json:"time"`
@@ -48,14 +51,14 @@
 		f.Usage()
 		return exitUsage
 	}
-	if err := c.open(); err != nil {
+	if err := c.configure(); err != nil {
 		return fail(exitUsage, err)
 	}
-	answer, err := ask(ctx, &c.remote, func(ctx context.Context, o rpc.Operator) (*rpc.HistoryAnswer, error) {
+	answer, err := callFirstAvailable(ctx, &c.operatorClient, func(ctx context.Context, o rpc.Operator) (*rpc.HistoryAnswer, error) {
 		return o.History(ctx, &rpc.HistoryRequest{Limit: uint32(c.limit)})
 	})
 	if err != nil {
-		return failRemote(err, "")
+		return failCall(err, "")
 	}
 	rows := make([]historyRow, 0, len(answer.GetRevisions()))
 	for _, r := range answer.GetRevisions() {
@@ -83,5 +86,6 @@
 	}
 }
 
-// newTable returns a writer that aligns columns on standard output.
+// newTable returns a writer that aligns tab-separated columns on standard output.
+// The caller flushes it.
 func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0) }
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -12,8 +12,9 @@
 	"github.com/carawaystile/carawaystile/logs/losses"
 )
 
-// lossesCommand tells from logs which requests came late or not at all, and why.
-type lossesCommand struct{ json bool }
+// lossesCommand aggregates the requests that failed or missed their deadline, by
+// route and cause, from collected log files. It calls no instance.
+type lossesCommand struct{ asJSON bool }
 
 func (*lossesCommand) Name() string     { return "losses" }
 func (*lossesCommand) Synopsis() string { return "tell from logs which answers came late, and why" }
@@ -28,7 +29,7 @@
 }
 
 func (c *lossesCommand) SetFlags(f *flag.FlagSet) {
-	f.BoolVar(&c.json, "json", false, "print JSON")
+	f.BoolVar(&c.asJSON, "json", false, "print JSON")
 }
 
 func (c *lossesCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -43,7 +44,7 @@
 		}
 	}
 	table := reader.Table()
-	if c.json {
+	if c.asJSON {
 		if err := writeJSON(os.Stdout, table); err != nil {
 			return fail(exitFailure, trace.Wrap(err))
 		}
--- a/cli/measure.go
+++ b/cli/measure.go
@@ -15,9 +15,11 @@
 	"github.com/carawaystile/carawaystile/measure"
 )
 
-// measureCommand plays traffic to several policies in virtual time.
+// measureCommand runs a discrete-event simulation in virtual time that compares
+// placement policies under the same traffic.
 type measureCommand struct {
-	options  measure.Options
+	options measure.Options
+	// sites, policies, faults and seeds are the lists as given in the flags.
 	sites    string
 	policies string
 	faults   string
@@ -73,24 +75,24 @@
 	return exitOK
 }
 
-// parse reads the lists.
+// parse converts the lists in the flags to options.
 func (c *measureCommand) parse() error {
-	c.options.Sites = words(c.sites)
-	c.options.Policies = words(c.policies)
-	for _, fault := range words(c.faults) {
+	c.options.Sites = splitList(c.sites)
+	c.options.Policies = splitList(c.policies)
+	for _, fault := range splitList(c.faults) {
 		c.options.Faults = append(c.options.Faults, measure.Fault(fault))
 	}
-	for _, text := range words(c.seeds) {
+	for _, text := range splitList(c.seeds) {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return &badFlag{Flag: "seeds", Reason: fmt.Sprintf("%q is not a number", text)}
+			return &flagError{Flag: "seeds", Reason: fmt.Sprintf("%q is not a number", text)}
 		}
 		c.options.Seeds = append(c.options.Seeds, seed)
 	}
 	return nil
 }
 
-// words splits a list; an empty one has none.
-func words(list string) []string {
+// splitList splits a list at commas and spaces and drops empty elements.
+func splitList(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/cli/remote.go
+++ b/cli/remote.go
@@ -23,56 +23,66 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// Environment variables that stand in for the flags of the same meaning.
+// Environment variables that set the defaults of -instances and -key.
 const (
 	instancesVariable = "CARAWAYSTILE_INSTANCES"
 	keyVariable       = "CARAWAYSTILE_KEY"
 )
 
+// defaultRemoteTimeout is the default time limit of a call to one instance.
 const defaultRemoteTimeout = 10 * time.Second
 
-// maxAnswerBytes bounds what is read of one answer.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes limits the size of a JSON response body, so that a faulty
+// instance cannot exhaust the memory of the command.
+const maxResponseBytes = 64 << 20
 
-// remote is how a subcommand reaches instances.
-type remote struct {
+// operatorClient calls the operator API of control instances with failover: it
+// tries the given addresses in order. Subcommands embed it together with its
+// flags; configure must run before the first call.
+type operatorClient struct {
+	// instances is the comma-separated list of addresses as given.
 	instances string
-	key       string
-	timeout   time.Duration
-	asJSON    bool
+	// key is the path of the file with the operators' key.
+	key string
+	// timeout limits the call to one instance.
+	timeout time.Duration
+	asJSON  bool
 
+	// addresses and client are set by configure.
 	addresses []netip.AddrPort
 	client    *http.Client
 }
 
-// remoteUsage is the end of each usage text.
-const remoteUsage = `  Instances are asked one after the other until one answers. Their addresses
+// operatorClientUsage ends the usage text of each subcommand that calls instances.
+const operatorClientUsage = `  Instances are asked one after the other until one answers. Their addresses
   and the key file come from -instances and -key, or from the environment
   variables ` + instancesVariable + ` and ` + keyVariable + `.
 `
 
-func (r *remote) setFlags(f *flag.FlagSet) {
+func (r *operatorClient) setFlags(f *flag.FlagSet) {
 	f.StringVar(&r.instances, "instances", os.Getenv(instancesVariable), "addresses of control instances, separated by commas")
 	f.StringVar(&r.key, "key", os.Getenv(keyVariable), "file with the operators' key")
 	f.DurationVar(&r.timeout, "timeout", defaultRemoteTimeout, "how long to wait for one instance")
 	f.BoolVar(&r.asJSON, "json", false, "print the result as one JSON object")
 }
 
-// badFlag means that a flag or its environment variable is missing or wrong.
-type badFlag struct{ Flag, Reason string }
+// flagError reports a flag, or its environment variable, that is missing or
+// invalid.
+type flagError struct{ Flag, Reason string }
 
-// Error names the flag.
-func (e *badFlag) Error() string { return fmt.Sprintf("-%s: %s", e.Flag, e.Reason) }
+// Error implements error; the text starts with the flag.
+func (e *flagError) Error() string { return fmt.Sprintf("-%s: %s", e.Flag, e.Reason) }
 
-// unanswered is why one instance gave no answer.
-type unanswered struct {
+// instanceError is the failure of a call to one instance.
+type instanceError struct {
 	At    netip.AddrPort
 	Cause error
 }
 
-// Error names the instance. Of a failed connection it tells what the operating
-// system said; the layers above it repeat the address and the path.
-func (e *unanswered) Error() string {
+// Error implements error; the text starts with the instance's address. For a
+// network error it contains only the innermost cause, because the wrapping errors
+// repeat the address and the path.
+func (e *instanceError) Error() string {
 	var connection *net.OpError
 	if errors.As(e.Cause, &connection) {
 		return fmt.Sprintf("%s: %v", e.At, connection.Err)
@@ -80,14 +90,14 @@
 	return fmt.Sprintf("%s: %v", e.At, e.Cause)
 }
 
-// Unwrap gives the cause.
-func (e *unanswered) Unwrap() error { return e.Cause }
+// Unwrap returns the cause.
+func (e *instanceError) Unwrap() error { return e.Cause }
 
-// unreachable means that no instance gave an answer.
-type unreachable struct{ Causes []error }
+// unreachableError reports that the calls to all instances failed.
+type unreachableError struct{ Causes []error }
 
-// Error lists why, an instance a line.
-func (e *unreachable) Error() string {
+// Error implements error; the text has one line for each failed instance.
+func (e *unreachableError) Error() string {
 	lines := []string{"no instance answered:"}
 	for _, cause := range e.Causes {
 		lines = append(lines, "  "+cause.Error())
@@ -95,20 +105,21 @@
 	return strings.Join(lines, "\n")
 }
 
-// open reads the flags.
-func (r *remote) open() error {
+// configure parses the addresses, reads the key file and creates the HTTP client,
+// which sends the key with each request.
+func (r *operatorClient) configure() error {
 	if r.instances == "" {
-		return &badFlag{Flag: "instances", Reason: "no address is given"}
+		return &flagError{Flag: "instances", Reason: "no address is given"}
 	}
 	for _, text := range strings.Split(r.instances, ",") {
 		at, err := netip.ParseAddrPort(strings.TrimSpace(text))
 		if err != nil {
-			return &badFlag{Flag: "instances", Reason: text + " is not an IP number with a port"}
+			return &flagError{Flag: "instances", Reason: text + " is not an IP number with a port"}
 		}
 		r.addresses = append(r.addresses, at)
 	}
 	if r.key == "" {
-		return &badFlag{Flag: "key", Reason: "no file is given"}
+		return &flagError{Flag: "key", Reason: "no file is given"}
 	}
 	ring, err := keys.Read(r.key)
 	if err != nil {
@@ -118,32 +129,36 @@
 	return nil
 }
 
-// ask calls instances one after the other until one answers. A failure that
-// another instance would repeat ends it at once.
-func ask[T any](ctx context.Context, r *remote, call func(context.Context, rpc.Operator) (T, error)) (T, error) {
+// callFirstAvailable tries the instances in order and returns the first successful
+// response. It stops at a permanent error, which every other instance would return
+// too. If all calls fail, the error is an unreachableError.
+func callFirstAvailable[T any](ctx context.Context, r *operatorClient, call func(context.Context, rpc.Operator) (T, error)) (T, error) {
 	var none T
-	failed := &unreachable{}
+	failed := &unreachableError{}
 	for _, at := range r.addresses {
 		answer, err := call(ctx, rpc.NewOperatorProtobufClient("http://"+at.String(), r.client))
 		if err == nil {
 			return answer, nil
 		}
-		if final(err) {
+		if isPermanent(err) {
 			return none, trace.Wrap(err)
 		}
-		failed.Causes = append(failed.Causes, &unanswered{At: at, Cause: err})
+		failed.Causes = append(failed.Causes, &instanceError{At: at, Cause: err})
 	}
 	return none, failed
 }
 
-// final says whether asking another instance would give the same failure.
-func final(err error) bool {
+// isPermanent reports whether a retry at another instance would fail with the same
+// error: the request is invalid or its key is not accepted.
+func isPermanent(err error) bool {
 	refusal, ok := err.(twirp.Error)
 	return ok && (refusal.Code() == twirp.InvalidArgument || refusal.Code() == twirp.Unauthenticated)
 }
 
-// get reads a JSON answer of one instance.
-func (r *remote) get(ctx context.Context, at netip.AddrPort, path string, into any) (int, error) {
+// getJSON sends a GET request to one instance and returns the status code. It
+// decodes the body into the value that into points to if the status is 200 OK, and
+// ignores the body otherwise.
+func (r *operatorClient) getJSON(ctx context.Context, at netip.AddrPort, path string, into any) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+path, nil)
 	if err != nil {
 		return 0, trace.Wrap(err)
@@ -156,17 +171,20 @@
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, nil
 	}
-	return resp.StatusCode, trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(into))
+	return resp.StatusCode, trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(into))
 }
 
-// newRequestID names one change, so that sending it again changes nothing.
+// newRequestID returns a random request ID of 12 bytes in hexadecimal. The
+// control group applies only one change per operator and request ID, so a retry
+// with the same ID is idempotent.
 func newRequestID() string {
 	var raw [12]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// defaultOperator is the name that changes are recorded under.
+// defaultOperator returns the default of -operator: the login name in the USER
+// variable, or "operator" if that is not set.
 func defaultOperator() string {
 	if user := os.Getenv("USER"); user != "" {
 		return user
--- a/cli/trail.go
+++ b/cli/request_trail.go
@@ -11,8 +11,9 @@
 	"github.com/carawaystile/carawaystile/logs/trail"
 )
 
-// explainLogs tells the life of a request from log files; - is standard input.
-func explainLogs(request string, paths []string) subcommands.ExitStatus {
+// printRequestTrail prints the timeline of a request from collected log files. The
+// path - means standard input.
+func printRequestTrail(request string, paths []string) subcommands.ExitStatus {
 	reader := trail.NewReader(request)
 	for _, path := range paths {
 		if err := readLog(reader, path); err != nil {
@@ -31,12 +32,13 @@
 	return exitOK
 }
 
-// logReader takes logs in.
+// logReader parses one log file at a time and accumulates what it finds. The file
+// argument is the name that errors refer to.
 type logReader interface {
 	Read(file string, log io.Reader) error
 }
 
-// readLog reads a file; - is standard input.
+// readLog passes a log file to the reader. The path - means standard input.
 func readLog(reader logReader, path string) error {
 	if path == "-" {
 		return trace.Wrap(reader.Read("standard input", os.Stdin))
--- a/cli/script_test.go
+++ b/cli/script_test.go
@@ -21,9 +21,8 @@
 	})
 }
 
-// TestScripts runs each script against an instance of its own, whose control
-// group has that one member and whose first declarations are those of
-// examples/ashanti.
+// TestScripts runs each script in testdata against a new instance: the only member
+// of its control group, bootstrapped with the declarations in examples/ashanti.
 func TestScripts(t *testing.T) {
 	examples, err := filepath.Abs("../examples")
 	if err != nil {
@@ -38,6 +37,8 @@
 	})
 }
 
+// startInstance starts the daemon for one script, waits until it has a
+// configuration, and sets the environment variables that the subcommands read.
 func startInstance(env *testscript.Env) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -13,7 +13,8 @@
 	"github.com/carawaystile/carawaystile/standin"
 )
 
-// standinCommand runs stand-ins for declared endpoints.
+// standinCommand runs simulated endpoints at the addresses of the declared ones
+// until the process is interrupted. speedup divides their service times.
 type standinCommand struct{ speedup float64 }
 
 func (*standinCommand) Name() string { return "standin" }
@@ -42,7 +43,7 @@
 	}
 	declarations, err := settings.ReadDeclarations(f.Arg(0))
 	if err != nil {
-		return fail(exitInvalid, err)
+		return fail(exitInvalidInput, err)
 	}
 	running, err := standin.StartDeclared(declarations, c.speedup)
 	if err != nil {
@@ -55,14 +56,16 @@
 	if err := writeJSON(os.Stdout, summary); err != nil {
 		return fail(exitFailure, trace.Wrap(err))
 	}
-	if broken(summary) {
-		return exitBroken
+	if hasViolations(summary) {
+		return exitViolation
 	}
 	return exitOK
 }
 
-// broken says whether the stand-ins saw a promise broken.
-func broken(s standin.Summary) bool {
+// hasViolations reports whether the simulated endpoints observed a request that
+// violates the delivery guarantees, such as a duplicate execution under one
+// idempotency key or the use of a stale or foreign cache.
+func hasViolations(s standin.Summary) bool {
 	e := s.Engines
 	return len(s.DuplicateKeys) > 0 ||
 		e.ForeignCache+e.OldWeightsCache+e.DeadCache+e.BadResumes+e.DuplicateAttempts+e.OldOrders > 0
--- a/cli/status.go
+++ b/cli/status.go
@@ -18,8 +18,9 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// statusCommand shows instances and measurements.
-type statusCommand struct{ remote }
+// statusCommand shows the cluster's instances, the configuration revision that each
+// one uses, the leader of the control group, and latency histograms.
+type statusCommand struct{ operatorClient }
 
 func (*statusCommand) Name() string     { return "status" }
 func (*statusCommand) Synopsis() string { return "show instances, revisions and measurements" }
@@ -28,12 +29,14 @@
 	return `status [-json]
   Shows which instance has which revision in force and since when, the leader
   of the control group, and the histograms of the first instance that answers.
-` + remoteUsage
+` + operatorClientUsage
 }
 
 func (c *statusCommand) SetFlags(f *flag.FlagSet) { c.setFlags(f) }
 
-// statusResult is what -json prints.
+// statusResult is the JSON output of status. Instance, Zone and Revision are those
+// of the instance that answered; Revision is the last one that the control group
+// accepted.
 type statusResult struct {
 	Instance     string           `json:"instance"`
 	Zone         string           `json:"zone"`
@@ -43,7 +46,8 @@
 	Measurements []metrics.Row    `json:"measurements"`
 }
 
-// instanceStatus is one instance of statusResult.
+// instanceStatus is one instance in statusResult. Since is the time, in RFC 3339
+// format, at which the instance began to use the revision.
 type instanceStatus struct {
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
@@ -58,18 +62,18 @@
 		f.Usage()
 		return exitUsage
 	}
-	if err := c.open(); err != nil {
+	if err := c.configure(); err != nil {
 		return fail(exitUsage, err)
 	}
-	answer, err := ask(ctx, &c.remote, func(ctx context.Context, o rpc.Operator) (*rpc.StatusAnswer, error) {
+	answer, err := callFirstAvailable(ctx, &c.operatorClient, func(ctx context.Context, o rpc.Operator) (*rpc.StatusAnswer, error) {
 		return o.Status(ctx, &rpc.StatusRequest{})
 	})
 	if err != nil {
-		return failRemote(err, "")
+		return failCall(err, "")
 	}
 	result := newStatusResult(answer)
 	for _, at := range c.addresses {
-		if code, err := c.get(ctx, at, daemon.MeasurementsPath, &result.Measurements); err == nil && code == http.StatusOK {
+		if code, err := c.getJSON(ctx, at, daemon.MeasurementsPath, &result.Measurements); err == nil && code == http.StatusOK {
 			break
 		}
 	}
@@ -114,8 +118,9 @@
 	}
 }
 
-// explainCommand tells why a request went where it went.
-type explainCommand struct{ remote }
+// explainCommand shows the routing decision for one request. Without log files it
+// queries the instances; with log files it prints the timeline of the request.
+type explainCommand struct{ operatorClient }
 
 func (*explainCommand) Name() string     { return "explain" }
 func (*explainCommand) Synopsis() string { return "tell why a request went where it went" }
@@ -131,36 +136,36 @@
   the collected logs of its processes, in order: what was decided and on what,
   how it ended, and what happened around it. - reads standard input. Talks to no
   instance.
-` + remoteUsage
+` + operatorClientUsage
 }
 
 func (c *explainCommand) SetFlags(f *flag.FlagSet) { c.setFlags(f) }
 
 func (c *explainCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() > 1 {
-		return explainLogs(f.Arg(0), f.Args()[1:])
+		return printRequestTrail(f.Arg(0), f.Args()[1:])
 	}
 	if f.NArg() != 1 {
 		f.Usage()
 		return exitUsage
 	}
-	if err := c.open(); err != nil {
+	if err := c.configure(); err != nil {
 		return fail(exitUsage, err)
 	}
 	path := daemon.ExplainPath + "?request=" + url.QueryEscape(f.Arg(0))
-	failed := &unreachable{}
+	failed := &unreachableError{}
 	for _, at := range c.addresses {
 		var explanation router.Explanation
-		code, err := c.get(ctx, at, path, &explanation)
+		code, err := c.getJSON(ctx, at, path, &explanation)
 		switch {
 		case err != nil:
-			failed.Causes = append(failed.Causes, &unanswered{At: at, Cause: err})
+			failed.Causes = append(failed.Causes, &instanceError{At: at, Cause: err})
 		case code == http.StatusOK:
 			return c.print(explanation)
 		}
 	}
 	if len(failed.Causes) > 0 {
-		return failRemote(failed, "")
+		return failCall(failed, "")
 	}
 	fmt.Fprintf(os.Stderr, "No instance that was asked remembers the request %s.\n", f.Arg(0))
 	return exitFailure
--- a/cli/token.go
+++ b/cli/token.go
@@ -14,10 +14,11 @@
 	"github.com/gravitational/trace"
 )
 
-// tokenBytes is the length of the random part of a token.
+// tokenBytes is the number of random bytes in a token, before base64 encoding.
 const tokenBytes = 32
 
-// tokenCommand makes a bearer token for an organisation.
+// tokenCommand generates a bearer token for an organisation and its SHA-256 hash.
+// The declarations contain only the hash.
 type tokenCommand struct{ asJSON bool }
 
 func (*tokenCommand) Name() string     { return "token" }
@@ -34,7 +35,7 @@
 	f.BoolVar(&c.asJSON, "json", false, "print the result as one JSON object")
 }
 
-// tokenResult is what -json prints.
+// tokenResult is the JSON output of token.
 type tokenResult struct {
 	Token  string `json:"token"`
 	SHA256 string `json:"token_sha256"`
--- a/cli/validate.go
+++ b/cli/validate.go
@@ -14,12 +14,14 @@
 	"github.com/carawaystile/carawaystile/settings"
 )
 
-// validateCommand checks files without talking to any instance.
+// validateCommand checks declarations, settings files or documents offline. At most
+// one of its file type flags is meant to be set; without one, the path contains
+// declarations.
 type validateCommand struct {
-	asJSON     bool
-	process    bool
-	forwarding bool
-	document   bool
+	asJSON          bool
+	processSettings bool
+	forwarding      bool
+	document        bool
 }
 
 func (*validateCommand) Name() string     { return "validate" }
@@ -36,12 +38,12 @@
 
 func (c *validateCommand) SetFlags(f *flag.FlagSet) {
 	f.BoolVar(&c.asJSON, "json", false, "print the result as one JSON object")
-	f.BoolVar(&c.process, "settings", false, "PATH is the settings file of one instance")
+	f.BoolVar(&c.processSettings, "settings", false, "PATH is the settings file of one instance")
 	f.BoolVar(&c.forwarding, "forwarding", false, "PATH is the settings file of one instance of a forwarding deployment")
 	f.BoolVar(&c.document, "document", false, "PATH is an operator's document for a forwarding deployment")
 }
 
-// validateResult is what -json prints.
+// validateResult is the JSON output of validate.
 type validateResult struct {
 	Path     string             `json:"path"`
 	Valid    bool               `json:"valid"`
@@ -80,12 +82,14 @@
 		fmt.Printf("%s is valid: %s.\n", result.Path, result.Summary)
 	}
 	if invalid != nil {
-		return exitInvalid
+		return exitInvalidInput
 	}
 	return exitOK
 }
 
-// check reads the path and sums up what it holds.
+// check parses the files at path as the type that the flags select and returns a
+// one-line summary. If several flags are set, forwarding has precedence over
+// document, and document over processSettings.
 func (c *validateCommand) check(path string) (string, error) {
 	switch {
 	case c.forwarding:
@@ -96,7 +100,7 @@
 		return fmt.Sprintf("instance %s in zone %s", s.Instance, s.Zone), nil
 	case c.document:
 		return checkDocument(path)
-	case c.process:
+	case c.processSettings:
 		p, err := settings.ReadProcess(path)
 		if err != nil {
 			return "", err
@@ -106,7 +110,8 @@
 	return checkDeclarations(path)
 }
 
-// checkDocument reads an operator's document as control instances do.
+// checkDocument parses an operator's document with the parser of the control
+// instances and returns a summary. Any parse error becomes a settings.Invalid.
 func checkDocument(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -120,6 +125,8 @@
 		table.Revision, len(table.Routes), len(table.Services), len(table.Organisations)), nil
 }
 
+// checkDeclarations parses declarations and returns the number of items of each
+// kind.
 func checkDeclarations(path string) (string, error) {
 	d, err := settings.ReadDeclarations(path)
 	if err != nil {
--- a/cli/version.go
+++ b/cli/version.go
@@ -10,7 +10,7 @@
 	"github.com/carawaystile/carawaystile/version"
 )
 
-// versionCommand prints what this binary was built from.
+// versionCommand prints the release number, commit and Go version of the binary.
 type versionCommand struct{}
 
 func (*versionCommand) Name() string           { return "version" }
--- a/version/version.go
+++ b/version/version.go
@@ -1,4 +1,5 @@
-// Package version names the version of the running binary.
+// Package version reports the release number and build information of the
+// running binary.
 package version
 
 import (
@@ -7,11 +8,12 @@
 	"runtime/debug"
 )
 
-// Number is the version of the source; it changes with CHANGELOG.md.
+// Number is the release number of this source tree. Each release changes it
+// together with CHANGELOG.md.
 const Number = "0.1.0"
 
-// String gives the number, the commit if the build recorded it, and the Go
-// version.
+// String returns the release number, the commit if the build embedded one, and
+// the Go version, on one line.
 func String() string {
 	commit := "unknown commit"
 	if info, ok := debug.ReadBuildInfo(); ok {
