--- a/cli/apply.go
+++ b/cli/apply.go
@@ -85,8 +85,8 @@
 }
 
 // currentConfiguration fetches the current configuration and its revision.
-func (r *operatorClient) currentConfiguration(ctx context.Context) (*rpc.ConfigurationAnswer, error) {
-	return callFirstAvailable(ctx, r, func(ctx context.Context, o rpc.Operator) (*rpc.ConfigurationAnswer, error) {
+func (c *operatorClient) currentConfiguration(ctx context.Context) (*rpc.ConfigurationAnswer, error) {
+	return callFirstAvailable(ctx, c, func(ctx context.Context, o rpc.Operator) (*rpc.ConfigurationAnswer, error) {
 		return o.Configuration(ctx, &rpc.ConfigurationRequest{})
 	})
 }
--- a/cli/diff.go
+++ b/cli/diff.go
@@ -46,19 +46,19 @@
 // fields in the order of after, then removed fields in the order of before.
 func formatFieldChanges(title string, before, after []settings.Field) []string {
 	var lines []string
-	old := make(map[string]string)
+	oldValues := make(map[string]string)
 	for _, f := range before {
-		old[f.Key] = f.Value
+		oldValues[f.Key] = f.Value
 	}
 	for _, f := range after {
-		if was, had := old[f.Key]; !had || was != f.Value {
-			lines = append(lines, fmt.Sprintf("~ %s: %s: %s -> %s", title, f.Key, valueOrNone(was), f.Value))
+		if oldValue, existed := oldValues[f.Key]; !existed || oldValue != f.Value {
+			lines = append(lines, fmt.Sprintf("~ %s: %s: %s -> %s", title, f.Key, valueOrNone(oldValue), f.Value))
 		}
-		delete(old, f.Key)
+		delete(oldValues, f.Key)
 	}
 	for _, f := range before {
-		if was, left := old[f.Key]; left {
-			lines = append(lines, fmt.Sprintf("~ %s: %s: %s -> (none)", title, f.Key, was))
+		if oldValue, removed := oldValues[f.Key]; removed {
+			lines = append(lines, fmt.Sprintf("~ %s: %s: %s -> (none)", title, f.Key, oldValue))
 		}
 	}
 	return lines
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -55,17 +55,17 @@
 }
 
 func printLosses(t losses.Table) {
-	asked := map[string]int{}
+	requestsByRoute := map[string]int{}
 	out := newTable()
 	defer out.Flush()
 	fmt.Fprintln(out, "route\tasked\tin time")
 	for _, r := range t.Routes {
-		asked[r.Name] = r.Asked
+		requestsByRoute[r.Name] = r.Asked
 		fmt.Fprintf(out, "%s\t%d\t%.1f %%\n", r.Name, r.Asked, percent(r.InTime, r.Asked))
 	}
 	fmt.Fprintln(out, "\nroute\tlost\tof it\treason\tmoment")
 	for _, row := range t.Losses {
-		fmt.Fprintf(out, "%s\t%d\t%.2f %%\t%s\t%s\n", row.Route, row.Count, percent(row.Count, asked[row.Route]), row.Reason, row.Moment)
+		fmt.Fprintf(out, "%s\t%d\t%.2f %%\t%s\t%s\n", row.Route, row.Count, percent(row.Count, requestsByRoute[row.Route]), row.Reason, row.Moment)
 	}
 }
 
--- a/cli/remote.go
+++ b/cli/operator_client.go
@@ -29,8 +29,8 @@
 	keyVariable       = "CARAWAYSTILE_KEY"
 )
 
-// defaultRemoteTimeout is the default time limit of a call to one instance.
-const defaultRemoteTimeout = 10 * time.Second
+// defaultCallTimeout is the default time limit of a call to one instance.
+const defaultCallTimeout = 10 * time.Second
 
 // maxResponseBytes limits the size of a JSON response body, so that a faulty
 // instance cannot exhaust the memory of the command.
@@ -49,8 +49,8 @@
 	asJSON  bool
 
 	// addresses and client are set by configure.
-	addresses []netip.AddrPort
-	client    *http.Client
+	addresses  []netip.AddrPort
+	httpClient *http.Client
 }
 
 // operatorClientUsage ends the usage text of each subcommand that calls instances.
@@ -59,11 +59,12 @@
   variables ` + instancesVariable + ` and ` + keyVariable + `.
 `
 
-func (r *operatorClient) setFlags(f *flag.FlagSet) {
-	f.StringVar(&r.instances, "instances", os.Getenv(instancesVariable), "addresses of control instances, separated by commas")
-	f.StringVar(&r.key, "key", os.Getenv(keyVariable), "file with the operators' key")
-	f.DurationVar(&r.timeout, "timeout", defaultRemoteTimeout, "how long to wait for one instance")
-	f.BoolVar(&r.asJSON, "json", false, "print the result as one JSON object")
+// setFlags registers the flags that all subcommands with an operatorClient share.
+func (c *operatorClient) setFlags(f *flag.FlagSet) {
+	f.StringVar(&c.instances, "instances", os.Getenv(instancesVariable), "addresses of control instances, separated by commas")
+	f.StringVar(&c.key, "key", os.Getenv(keyVariable), "file with the operators' key")
+	f.DurationVar(&c.timeout, "timeout", defaultCallTimeout, "how long to wait for one instance")
+	f.BoolVar(&c.asJSON, "json", false, "print the result as one JSON object")
 }
 
 // flagError reports a flag, or its environment variable, that is missing or
@@ -75,8 +76,8 @@
 
 // instanceError is the failure of a call to one instance.
 type instanceError struct {
-	At    netip.AddrPort
-	Cause error
+	Address netip.AddrPort
+	Cause   error
 }
 
 // Error implements error; the text starts with the instance's address. For a
@@ -85,9 +86,9 @@
 func (e *instanceError) Error() string {
 	var connection *net.OpError
 	if errors.As(e.Cause, &connection) {
-		return fmt.Sprintf("%s: %v", e.At, connection.Err)
+		return fmt.Sprintf("%s: %v", e.Address, connection.Err)
 	}
-	return fmt.Sprintf("%s: %v", e.At, e.Cause)
+	return fmt.Sprintf("%s: %v", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -107,45 +108,45 @@
 
 // configure parses the addresses, reads the key file and creates the HTTP client,
 // which sends the key with each request.
-func (r *operatorClient) configure() error {
-	if r.instances == "" {
+func (c *operatorClient) configure() error {
+	if c.instances == "" {
 		return &flagError{Flag: "instances", Reason: "no address is given"}
 	}
-	for _, text := range strings.Split(r.instances, ",") {
-		at, err := netip.ParseAddrPort(strings.TrimSpace(text))
+	for _, text := range strings.Split(c.instances, ",") {
+		address, err := netip.ParseAddrPort(strings.TrimSpace(text))
 		if err != nil {
 			return &flagError{Flag: "instances", Reason: text + " is not an IP number with a port"}
 		}
-		r.addresses = append(r.addresses, at)
+		c.addresses = append(c.addresses, address)
 	}
-	if r.key == "" {
+	if c.key == "" {
 		return &flagError{Flag: "key", Reason: "no file is given"}
 	}
-	ring, err := keys.Read(r.key)
+	ring, err := keys.Read(c.key)
 	if err != nil {
 		return err
 	}
-	r.client = &http.Client{Transport: &keys.Transport{Ring: ring, Base: http.DefaultTransport}, Timeout: r.timeout}
+	c.httpClient = &http.Client{Transport: &keys.Transport{Ring: ring, Base: http.DefaultTransport}, Timeout: c.timeout}
 	return nil
 }
 
 // callFirstAvailable tries the instances in order and returns the first successful
 // response. It stops at a permanent error, which every other instance would return
 // too. If all calls fail, the error is an unreachableError.
-func callFirstAvailable[T any](ctx context.Context, r *operatorClient, call func(context.Context, rpc.Operator) (T, error)) (T, error) {
+func callFirstAvailable[T any](ctx context.Context, client *operatorClient, call func(context.Context, rpc.Operator) (T, error)) (T, error) {
 	var none T
-	failed := &unreachableError{}
-	for _, at := range r.addresses {
-		answer, err := call(ctx, rpc.NewOperatorProtobufClient("http://"+at.String(), r.client))
+	unreachable := &unreachableError{}
+	for _, address := range client.addresses {
+		answer, err := call(ctx, rpc.NewOperatorProtobufClient("http://"+address.String(), client.httpClient))
 		if err == nil {
 			return answer, nil
 		}
 		if isPermanent(err) {
 			return none, trace.Wrap(err)
 		}
-		failed.Causes = append(failed.Causes, &instanceError{At: at, Cause: err})
+		unreachable.Causes = append(unreachable.Causes, &instanceError{Address: address, Cause: err})
 	}
-	return none, failed
+	return none, unreachable
 }
 
 // isPermanent reports whether a retry at another instance would fail with the same
@@ -156,14 +157,14 @@
 }
 
 // getJSON sends a GET request to one instance and returns the status code. It
-// decodes the body into the value that into points to if the status is 200 OK, and
-// ignores the body otherwise.
-func (r *operatorClient) getJSON(ctx context.Context, at netip.AddrPort, path string, into any) (int, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+path, nil)
+// decodes the body into target, a pointer, if the status is 200 OK, and ignores the
+// body otherwise.
+func (c *operatorClient) getJSON(ctx context.Context, address netip.AddrPort, path string, target any) (int, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+path, nil)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	resp, err := r.client.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
@@ -171,7 +172,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, nil
 	}
-	return resp.StatusCode, trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(into))
+	return resp.StatusCode, trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(target))
 }
 
 // newRequestID returns a random request ID of 12 bytes in hexadecimal. The
--- a/cli/status.go
+++ b/cli/status.go
@@ -72,8 +72,8 @@
 		return failCall(err, "")
 	}
 	result := newStatusResult(answer)
-	for _, at := range c.addresses {
-		if code, err := c.getJSON(ctx, at, daemon.MeasurementsPath, &result.Measurements); err == nil && code == http.StatusOK {
+	for _, address := range c.addresses {
+		if code, err := c.getJSON(ctx, address, daemon.MeasurementsPath, &result.Measurements); err == nil && code == http.StatusOK {
 			break
 		}
 	}
@@ -153,19 +153,19 @@
 		return fail(exitUsage, err)
 	}
 	path := daemon.ExplainPath + "?request=" + url.QueryEscape(f.Arg(0))
-	failed := &unreachableError{}
-	for _, at := range c.addresses {
+	unreachable := &unreachableError{}
+	for _, address := range c.addresses {
 		var explanation router.Explanation
-		code, err := c.getJSON(ctx, at, path, &explanation)
+		code, err := c.getJSON(ctx, address, path, &explanation)
 		switch {
 		case err != nil:
-			failed.Causes = append(failed.Causes, &instanceError{At: at, Cause: err})
+			unreachable.Causes = append(unreachable.Causes, &instanceError{Address: address, Cause: err})
 		case code == http.StatusOK:
 			return c.print(explanation)
 		}
 	}
-	if len(failed.Causes) > 0 {
-		return failCall(failed, "")
+	if len(unreachable.Causes) > 0 {
+		return failCall(unreachable, "")
 	}
 	fmt.Fprintf(os.Stderr, "No instance that was asked remembers the request %s.\n", f.Arg(0))
 	return exitFailure
