--- a/cli/exit.go
+++ b/cli/exit.go
@@ -9,8 +9,8 @@
 	"github.com/google/subcommands"
 )
 
-// Exit codes of all subcommands. docs/OPERATING.md documents them. Scripts rely on
-// them, so a code never changes its meaning.
+// Exit codes of all subcommands. docs/OPERATING.md documents them, and a code
+// never changes its meaning.
 const (
 	exitOK      = subcommands.ExitSuccess
 	exitFailure = subcommands.ExitFailure
--- a/cli/operator_client.go
+++ b/cli/operator_client.go
@@ -32,8 +32,7 @@
 // defaultCallTimeout is the default time limit of a call to one instance.
 const defaultCallTimeout = 10 * time.Second
 
-// maxResponseBytes limits the size of a JSON response body, so that a faulty
-// instance cannot exhaust the memory of the command.
+// maxResponseBytes limits how much getJSON reads of one response body.
 const maxResponseBytes = 64 << 20
 
 // operatorClient calls the operator API of control instances with failover: it
@@ -48,7 +47,7 @@
 	timeout time.Duration
 	asJSON  bool
 
-	// addresses and client are set by configure.
+	// addresses and httpClient are set by configure.
 	addresses  []netip.AddrPort
 	httpClient *http.Client
 }
