--- a/cli/apply.go
+++ b/cli/apply.go
@@ -118,8 +118,8 @@
 
 func (c *diffCommand) SetFlags(f *flag.FlagSet) { c.setFlags(f) }
 
-// diffResult is the JSON output of diff: the current revision and the
-// changes to it, in the format of formatChanges.
+// diffResult is the JSON output of diff: the current revision and the changes to
+// it, in the format of formatChanges.
 type diffResult struct {
 	Revision uint64   `json:"revision"`
 	Changes  []string `json:"changes"`
--- a/cli/change.go
+++ b/cli/change.go
@@ -113,8 +113,9 @@
 }
 
 // failCall prints the error of a failed call and returns exitUnreachable. For a
-// change, request is its request ID: the outcome is unknown, so failCall also
-// prints how to retry without applying the change twice. It is empty for a query.
+// change, request is its request ID: the outcome may be unknown, so failCall
+// also prints how to retry without applying the change twice. request is empty for
+// a query.
 func failCall(err error, request string) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	if request != "" {
--- a/cli/endpoint.go
+++ b/cli/endpoint.go
@@ -18,8 +18,8 @@
 	// idempotency key.
 	request string
 	// incarnation is the life of the endpoint that the command applies to; joining
-	// increments it. 0 means the newest. A command for an older one is refused, so
-	// that a late retry of a leave cannot undo a join.
+	// increments it. 0 means the current one. A command for any other is refused,
+	// so that a late retry of a leave cannot undo a join.
 	incarnation uint64
 }
 
--- a/cli/history.go
+++ b/cli/history.go
@@ -14,8 +14,8 @@
 	"github.com/carawaystile/carawaystile/rpc"
 )
 
-// historyCommand lists the accepted configuration revisions, newest first: the
-// audit log of changes.
+// historyCommand lists the accepted configuration revisions that the control group
+// retains, newest first: the audit log of changes.
 type historyCommand struct {
 	operatorClient
 	limit uint
--- a/cli/operator_client.go
+++ b/cli/operator_client.go
@@ -80,8 +80,8 @@
 }
 
 // Error implements error; the text starts with the instance's address. For a
-// network error it contains only the innermost cause, because the wrapping errors
-// repeat the address and the path.
+// failed connection only the operating system's error follows, because the errors
+// that wrap it repeat the address and the path.
 func (e *instanceError) Error() string {
 	var connection *net.OpError
 	if errors.As(e.Cause, &connection) {
--- a/cli/status.go
+++ b/cli/status.go
@@ -19,7 +19,8 @@
 )
 
 // statusCommand shows the cluster's instances, the configuration revision that each
-// one uses, the leader of the control group, and latency histograms.
+// one uses, the leader of the control group, and the histograms of the first
+// instance that returns them.
 type statusCommand struct{ operatorClient }
 
 func (*statusCommand) Name() string     { return "status" }
