--- a/demo/faults.go
+++ b/demo/faults.go
@@ -19,7 +19,7 @@
 		s.points[items/4] = func() { s.crash(0) }
 		s.points[items*3/4] = func() { s.crash(4) }
 	case FaultPartition:
-		s.points[items/3] = func() { w.network.Cut(zones[len(zones)-1]) }
+		s.points[items/3] = func() { w.network.Isolate(zones[len(zones)-1]) }
 		s.points[items*2/3] = w.network.Heal
 		s.ending = w.network.Heal
 	case FaultOverload:
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -117,7 +117,7 @@
 		return err
 	}
 	f.engines = append(f.engines, e)
-	n.Place(e.Address().String(), zone)
+	n.SetZone(e.Address().String(), zone)
 	fmt.Fprintf(&f.yaml, "  - {name: %s, zone: %s, address: '%s', models: [draft-12b, rights-34b], checks_fencing: %t, slots: %d, "+
 		"cache_pieces: %d, prefill_tokens_per_second: %.0f, decode_tokens_per_second: %.0f}\n",
 		options.ID, zone, e.Address(), options.ChecksFence, class.slots, engineCache,
@@ -141,7 +141,7 @@
 		return err
 	}
 	f.services = append(f.services, s)
-	n.Place(s.Address().String(), zone)
+	n.SetZone(s.Address().String(), zone)
 	fmt.Fprintf(&f.yaml, "  - {name: %s, zone: %s, address: '%s', service: %s, slots: %d}\n",
 		options.ID, zone, s.Address(), name, serviceSlots)
 	return nil
--- a/demo/instance.go
+++ b/demo/instance.go
@@ -73,7 +73,7 @@
 		}
 		all = append(all, i)
 		group = append(group, settings.ControlInstance{Name: i.process.Instance, Zone: zone, Address: i.process.Listen.Instances})
-		n.Place(i.process.Listen.Instances.String(), zone)
+		n.SetZone(i.process.Listen.Instances.String(), zone)
 	}
 	for _, i := range all {
 		i.process.ControlInstances = group
@@ -96,11 +96,11 @@
 
 func newInstance(folder, key string, zone tables.Zone) (*instance, error) {
 	i := &instance{}
-	callers, err := i.ports.Hold()
+	callers, err := i.ports.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	instances, err := i.ports.Hold()
+	instances, err := i.ports.Reserve()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/datagram/calls.go
+++ b/internal/datagram/correlator.go
@@ -14,30 +14,30 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Calls are the questions of one life of an instance that wait for their answers. It is
+// Correlator are the questions of one life of an instance that wait for their answers. It is
 // safe for concurrent use.
-type Calls[A any] struct {
+type Correlator[A any] struct {
 	mu      sync.Mutex
 	number  uint64
 	waiting map[uint64]chan A
 }
 
-// NewCalls returns Calls that number questions from after first on.
-func NewCalls[A any](first uint64) *Calls[A] {
-	return &Calls[A]{number: first, waiting: map[uint64]chan A{}}
+// NewCorrelator returns Calls that number questions from after first on.
+func NewCorrelator[A any](first uint64) *Correlator[A] {
+	return &Correlator[A]{number: first, waiting: map[uint64]chan A{}}
 }
 
-// Number returns a number for a message that nobody answers.
-func (c *Calls[A]) Number() uint64 {
+// NextID returns a number for a message that nobody answers.
+func (c *Correlator[A]) NextID() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.number++
 	return c.number
 }
 
-// Ask sends a question under a new number and waits for its answer; found is false if none
+// Call sends a question under a new number and waits for its answer; found is false if none
 // came in time.
-func (c *Calls[A]) Ask(ctx context.Context, timeout time.Duration, send func(number uint64)) (answer A, number uint64, found bool) {
+func (c *Correlator[A]) Call(ctx context.Context, timeout time.Duration, send func(number uint64)) (answer A, number uint64, found bool) {
 	answered := make(chan A, 1)
 	c.mu.Lock()
 	c.number++
@@ -57,14 +57,14 @@
 	return answer, number, false
 }
 
-func (c *Calls[A]) forget(number uint64) {
+func (c *Correlator[A]) forget(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiting, number)
 }
 
-// Answered hands an answer over, and says whether anybody has waited for it.
-func (c *Calls[A]) Answered(number uint64, answer A) bool {
+// Deliver hands an answer over, and says whether anybody has waited for it.
+func (c *Correlator[A]) Deliver(number uint64, answer A) bool {
 	c.mu.Lock()
 	waiting := c.waiting[number]
 	delete(c.waiting, number)
@@ -76,14 +76,14 @@
 	return true
 }
 
-// Silent remembers instances that are not asked for a while. It is safe for concurrent use.
-type Silent struct {
+// Backoffs remembers instances that are not asked for a while. It is safe for concurrent use.
+type Backoffs struct {
 	mu    sync.Mutex
 	until map[tables.InstanceID]tables.Instant
 }
 
-// Leave has an instance not asked until then.
-func (s *Silent) Leave(id tables.InstanceID, now, until tables.Instant) {
+// BackOff has an instance not asked until then.
+func (s *Backoffs) BackOff(id tables.InstanceID, now, until tables.Instant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.until == nil {
@@ -97,16 +97,16 @@
 	}
 }
 
-// Left says whether an instance is not to be asked now.
-func (s *Silent) Left(id tables.InstanceID, now tables.Instant) bool {
+// IsBackingOff says whether an instance is not to be asked now.
+func (s *Backoffs) IsBackingOff(id tables.InstanceID, now tables.Instant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now < s.until[id]
 }
 
-// Pick chooses one of several instances by rendezvous hashing: the one with the highest draw
+// PickRendezvous chooses one of several instances by rendezvous hashing: the one with the highest draw
 // for the key of those that are not left out.
-func Pick(key uint64, entries []membership.EntryInstance, left func(tables.InstanceID) bool) (best membership.EntryInstance, found bool) {
+func PickRendezvous(key uint64, entries []membership.EntryInstance, left func(tables.InstanceID) bool) (best membership.EntryInstance, found bool) {
 	var highest uint64
 	for _, e := range entries {
 		if left(e.Instance) {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -16,8 +16,8 @@
 	held map[netip.AddrPort]net.Listener
 }
 
-// Hold listens on a free port.
-func (p *Ports) Hold() (netip.AddrPort, error) {
+// Reserve listens on a free port.
+func (p *Ports) Reserve() (netip.AddrPort, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return netip.AddrPort{}, err
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -29,15 +29,15 @@
 	return &Network{zones: make(map[string]tables.Zone)}
 }
 
-// Place notes the zone of an address.
-func (n *Network) Place(address string, zone tables.Zone) {
+// SetZone notes the zone of an address.
+func (n *Network) SetZone(address string, zone tables.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[address] = zone
 }
 
-// Cut isolates a zone from all others.
-func (n *Network) Cut(zone tables.Zone) {
+// Isolate isolates a zone from all others.
+func (n *Network) Isolate(zone tables.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isolated = zone
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -18,7 +18,7 @@
 	defer func() { _ = l.Close() }()
 	at := netip.MustParseAddrPort(l.Addr().String())
 	n := New()
-	n.Place(at.String(), "far")
+	n.SetZone(at.String(), "far")
 	arrived := make(chan byte, 1)
 	go func() {
 		for {
@@ -37,7 +37,7 @@
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 
-	n.Cut("far")
+	n.Isolate("far")
 	written, err := c.Write([]byte("lost"))
 	assert.NilError(t, err)
 	assert.Equal(t, written, len("lost"))
--- a/scenario/commands.go
+++ b/scenario/commands.go
@@ -313,7 +313,7 @@
 	need(ts, args, 1)
 	for _, zone := range zones {
 		if string(zone) == args[0] {
-			worldOf(ts).network.Cut(zone)
+			worldOf(ts).network.Isolate(zone)
 			return
 		}
 	}
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	w.engines[name] = e
-	w.network.Place(e.Address().String(), zone)
+	w.network.SetZone(e.Address().String(), zone)
 	c.Endpoints = append(c.Endpoints, tables.Endpoint{
 		ID: e.ID(), Kind: tables.Engine, Zone: zone, Address: e.Address(), Life: 1, ChecksFence: true,
 		Models: []tables.ModelName{model}, Slots: standin.DefaultSlots, CacheBlocks: standin.DefaultCacheBlocks,
@@ -142,7 +142,7 @@
 	}
 	s.LoseAnswers(w.losesAnswer)
 	w.services[name] = s
-	w.network.Place(s.Address().String(), zone)
+	w.network.SetZone(s.Address().String(), zone)
 	c.Endpoints = append(c.Endpoints, tables.Endpoint{
 		ID: s.ID(), Kind: tables.PlainService, Zone: zone, Address: s.Address(), Life: 1, Service: "press", Slots: serviceSlots,
 	})
@@ -163,7 +163,7 @@
 		}
 		p := i.options.Process
 		w.instances[string(p.Instance)] = i
-		w.network.Place(p.Listen.Instances.String(), zone)
+		w.network.SetZone(p.Listen.Instances.String(), zone)
 		group = append(group, settings.ControlInstance{Name: p.Instance, Zone: zone, Address: p.Listen.Instances})
 	}
 	for _, i := range w.instances {
@@ -179,18 +179,18 @@
 
 func (w *world) newInstance(c *tables.Configuration, key string, zone tables.Zone) (*instance, error) {
 	i := &instance{}
-	callers, err := i.ports.Hold()
+	callers, err := i.ports.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	instances, err := i.ports.Hold()
+	instances, err := i.ports.Reserve()
 	if err != nil {
 		return nil, err
 	}
 	if i.platform, err = standin.StartPlatform(netip.AddrPort{}, platformLag); err != nil {
 		return nil, err
 	}
-	w.network.Place(i.platform.Address().String(), zone)
+	w.network.SetZone(i.platform.Address().String(), zone)
 	i.pause = newPause(w.network.Dialer(zone))
 	name := "entry-" + string(zone)
 	data := filepath.Join(w.folder, name)
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -48,13 +48,13 @@
 // Client asks schedulers for assignments. It is safe for concurrent use.
 type Client struct {
 	options  ClientOptions
-	calls    *datagram.Calls[*rpc.ScheduleAnswer]
-	backoffs datagram.Silent
+	calls    *datagram.Correlator[*rpc.ScheduleAnswer]
+	backoffs datagram.Backoffs
 }
 
 // NewClient returns a client that asks the given schedulers.
 func NewClient(o ClientOptions) *Client {
-	return &Client{options: o, calls: datagram.NewCalls[*rpc.ScheduleAnswer](o.BootEpoch)}
+	return &Client{options: o, calls: datagram.NewCorrelator[*rpc.ScheduleAnswer](o.BootEpoch)}
 }
 
 // Assignment is a scheduler's decision about one attempt. Its methods notify the scheduler
@@ -111,12 +111,12 @@
 // pickScheduler returns the scheduler of a key, leaving out schedulers that are backed off.
 func (c *Client) pickScheduler(key uint64) (membership.EntryInstance, bool) {
 	now := c.options.Now()
-	return datagram.Pick(key, c.options.Schedulers(), func(id tables.InstanceID) bool { return c.backoffs.Left(id, now) })
+	return datagram.PickRendezvous(key, c.options.Schedulers(), func(id tables.InstanceID) bool { return c.backoffs.IsBackingOff(id, now) })
 }
 
 // askScheduler asks one scheduler. The answer is nil if none came in time.
 func (c *Client) askScheduler(ctx context.Context, s membership.EntryInstance, r *dispatch.Request) (*rpc.ScheduleAnswer, uint64) {
-	answer, number, _ := c.calls.Ask(ctx, answerTimeout, func(number uint64) {
+	answer, number, _ := c.calls.Call(ctx, answerTimeout, func(number uint64) {
 		c.options.Send(s.Address, &rpc.ScheduleMessage{Number: number, Question: encodeQuestion(c.options.Now(), r)})
 	})
 	return answer, number
@@ -131,14 +131,14 @@
 		events.SchedulerSilent.Log(c.options.Log, zap.String("scheduler", string(s.Instance)))
 	}
 	now := c.options.Now()
-	c.backoffs.Leave(s.Instance, now, now+pause)
+	c.backoffs.BackOff(s.Instance, now, now+pause)
 }
 
 // HandleAnswer hands a scheduler's answer to the call that waits for it. If the call has
 // timed out, HandleAnswer cancels the assignment, so that the scheduler does not go on
 // counting an attempt that is never made.
 func (c *Client) HandleAnswer(from netip.AddrPort, number uint64, answer *rpc.ScheduleAnswer) {
-	if c.calls.Answered(number, answer) {
+	if c.calls.Deliver(number, answer) {
 		return
 	}
 	if answer.GetEndpoint() != "" {
--- a/usage/client.go
+++ b/usage/client.go
@@ -84,8 +84,8 @@
 // concurrent use.
 type Client struct {
 	options  ClientOptions
-	calls    *datagram.Calls[*rpc.UsageAnswer]
-	backoffs datagram.Silent
+	calls    *datagram.Correlator[*rpc.UsageAnswer]
+	backoffs datagram.Backoffs
 
 	mu       sync.Mutex
 	limiters map[Subject]*LocalLimiter
@@ -95,7 +95,7 @@
 // NewClient returns a client without limiters.
 func NewClient(o ClientOptions) *Client {
 	return &Client{
-		options: o, calls: datagram.NewCalls[*rpc.UsageAnswer](o.BootEpoch), limiters: map[Subject]*LocalLimiter{},
+		options: o, calls: datagram.NewCorrelator[*rpc.UsageAnswer](o.BootEpoch), limiters: map[Subject]*LocalLimiter{},
 	}
 }
 
@@ -202,7 +202,7 @@
 		reply = c.options.Server.Debit(membership.Sender{Instance: c.options.Self, Address: owner.Address}, d)
 		return c.applyReply(d, reply)
 	}
-	got, _, found := c.calls.Ask(ctx, replyTimeout, func(number uint64) {
+	got, _, found := c.calls.Call(ctx, replyTimeout, func(number uint64) {
 		c.options.Send(owner.Address, &rpc.UsageMessage{Number: number, Debit: encodeDebit(d)})
 	})
 	if found && got.GetReady() {
@@ -211,7 +211,7 @@
 	c.rollBack(d)
 	if ctx.Err() == nil {
 		now := c.options.Now()
-		c.backoffs.Leave(owner.Instance, now, now+silentBackoff)
+		c.backoffs.BackOff(owner.Instance, now, now+silentBackoff)
 		events.AccountantSilent.Log(c.options.Log, zap.String("accountant", string(owner.Instance)), zap.Bool("answered", found))
 	}
 	return DebitReply{}, false
@@ -231,7 +231,7 @@
 		return
 	}
 	go func() {
-		got, _, replied := c.calls.Ask(context.Background(), replyTimeout, func(number uint64) {
+		got, _, replied := c.calls.Call(context.Background(), replyTimeout, func(number uint64) {
 			c.options.Send(owner.Address, &rpc.UsageMessage{Number: number, Debit: encodeDebit(d)})
 		})
 		if replied && got.GetReady() {
@@ -245,8 +245,8 @@
 // pickOwner returns the owner in this zone, leaving out instances that are backed off.
 func (c *Client) pickOwner(id Subject) (membership.EntryInstance, bool) {
 	now := c.options.Now()
-	return datagram.Pick(subjectHash(id), c.options.EntriesByZone()[c.options.Zone], func(other tables.InstanceID) bool {
-		return c.backoffs.Left(other, now)
+	return datagram.PickRendezvous(subjectHash(id), c.options.EntriesByZone()[c.options.Zone], func(other tables.InstanceID) bool {
+		return c.backoffs.IsBackingOff(other, now)
 	})
 }
 
@@ -279,7 +279,7 @@
 
 // HandleReply hands an owner's reply to the call that waits for it.
 func (c *Client) HandleReply(number uint64, reply *rpc.UsageAnswer) {
-	c.calls.Answered(number, reply)
+	c.calls.Deliver(number, reply)
 }
 
 // RevokeLease ends this instance's lease, as its owner has asked.
--- a/usage/server.go
+++ b/usage/server.go
@@ -168,5 +168,5 @@
 // pickOwnerOf returns a subject's owner among the entry instances of a zone, by rendezvous
 // hashing.
 func pickOwnerOf(id Subject, entries []membership.EntryInstance) (membership.EntryInstance, bool) {
-	return datagram.Pick(subjectHash(id), entries, func(tables.InstanceID) bool { return false })
+	return datagram.PickRendezvous(subjectHash(id), entries, func(tables.InstanceID) bool { return false })
 }
