--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -279,7 +279,7 @@
 	var payload, sealed []byte
 	for _, d := range datagrams {
 		if len(payload) == 0 || len(d.Payload) == 0 || &payload[0] != &d.Payload[0] {
-			payload, sealed = d.Payload, g.options.Ring.Seal(d.Payload)
+			payload, sealed = d.Payload, g.options.Ring.Sign(d.Payload)
 		}
 		g.send(d, sealed)
 	}
@@ -369,7 +369,7 @@
 func (g *Gossip) receive(sealed []byte, from netip.AddrPort) {
 	g.receivedDatagrams.Add(1)
 	g.receivedBytes.Add(uint64(len(sealed)))
-	payload, ok := g.options.Ring.Open(sealed)
+	payload, ok := g.options.Ring.Verify(sealed)
 	if !ok {
 		g.droppedDatagrams.Add(1)
 		return
--- a/daemon/suspect_notifier_test.go
+++ b/daemon/suspect_notifier_test.go
@@ -35,7 +35,7 @@
 		assert.NilError(t, err)
 		members = append(members, membership.Member{InstanceInfo: membership.InstanceInfo{Control: netip.MustParseAddrPort(at.Host)}})
 	}
-	notifier := newSuspectNotifier(keys.Of("k"), http.DefaultTransport, func() []membership.Member { return members }, zap.NewNop())
+	notifier := newSuspectNotifier(keys.NewRing("k"), http.DefaultTransport, func() []membership.Member { return members }, zap.NewNop())
 	go notifier.run(t.Context())
 	notified := notifier.enqueue([]quarantine.Suspect{{Fingerprint: 1}})
 	<-arrived
@@ -52,7 +52,7 @@
 // Guards against a failure response that waits forever because the queue of reports
 // is full.
 func TestDroppedReportDoesNotBlock(t *testing.T) {
-	notifier := newSuspectNotifier(keys.Of("k"), http.DefaultTransport, func() []membership.Member { return nil }, zap.NewNop())
+	notifier := newSuspectNotifier(keys.NewRing("k"), http.DefaultTransport, func() []membership.Member { return nil }, zap.NewNop())
 	for range maxQueuedReports {
 		notifier.enqueue(nil)
 	}
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -28,14 +28,14 @@
 	scheme  = "Bearer "
 )
 
-// BadFile means that a key file has no usable content.
-type BadFile struct {
+// FileError means that a key file has no usable content.
+type FileError struct {
 	Path   string
 	Reason string
 }
 
 // Error names the file and what is wrong; it holds no key.
-func (e *BadFile) Error() string { return fmt.Sprintf("key file %s: %s", e.Path, e.Reason) }
+func (e *FileError) Error() string { return fmt.Sprintf("key file %s: %s", e.Path, e.Reason) }
 
 // Ring is the keys of one file. It is safe for concurrent use.
 type Ring struct {
@@ -54,8 +54,8 @@
 	return r, err
 }
 
-// Of returns a ring of one key that does not come from a file.
-func Of(key string) *Ring {
+// NewRing returns a ring of one key that does not come from a file.
+func NewRing(key string) *Ring {
 	return &Ring{send: key, sums: [][sha256.Size]byte{sha256.Sum256([]byte(key))}}
 }
 
@@ -98,7 +98,7 @@
 			continue
 		}
 		if len(line) < minLength {
-			return nil, &BadFile{Path: path, Reason: fmt.Sprintf("a key has fewer than %d characters", minLength)}
+			return nil, &FileError{Path: path, Reason: fmt.Sprintf("a key has fewer than %d characters", minLength)}
 		}
 		keys = append(keys, line)
 	}
@@ -106,9 +106,9 @@
 	case lines.Err() != nil:
 		return nil, trace.Wrap(lines.Err())
 	case len(keys) == 0:
-		return nil, &BadFile{Path: path, Reason: "there is no key"}
+		return nil, &FileError{Path: path, Reason: "there is no key"}
 	case len(keys) > maxKeys:
-		return nil, &BadFile{Path: path, Reason: fmt.Sprintf("there are more than %d keys", maxKeys)}
+		return nil, &FileError{Path: path, Reason: fmt.Sprintf("there are more than %d keys", maxKeys)}
 	}
 	return keys, nil
 }
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -88,7 +88,7 @@
 	for _, content := range [][]string{{}, {"short"}, strings.Split(strings.Repeat(newKey+" ", maxKeys+1), " ")[:maxKeys+1]} {
 		write(t, path, content...)
 		_, err = ring.Reload()
-		var bad *BadFile
+		var bad *FileError
 		assert.Assert(t, errors.As(err, &bad), "got %v for %v", err, content)
 		assert.Assert(t, ring.Accepts(oldKey))
 	}
--- a/keys/mac.go
+++ b/keys/mac.go
@@ -8,18 +8,18 @@
 // macSize is the length in bytes of the code that Seal puts before a datagram.
 const macSize = 16
 
-// Seal returns the payload with a code before it that proves it comes from a
+// Sign returns the payload with a code before it that proves it comes from a
 // holder of the key that is sent.
-func (r *Ring) Seal(payload []byte) []byte {
+func (r *Ring) Sign(payload []byte) []byte {
 	r.mu.RLock()
 	key := sha256.Sum256([]byte(r.send))
 	r.mu.RUnlock()
 	return append(code(key, payload), payload...)
 }
 
-// Open returns the payload of what Seal made with any of the accepted keys, and
+// Verify returns the payload of what Seal made with any of the accepted keys, and
 // false for anything else.
-func (r *Ring) Open(sealed []byte) ([]byte, bool) {
+func (r *Ring) Verify(sealed []byte) ([]byte, bool) {
 	if len(sealed) < macSize {
 		return nil, false
 	}
--- a/keys/mac_test.go
+++ b/keys/mac_test.go
@@ -21,15 +21,15 @@
 func TestSealedDatagrams(t *testing.T) {
 	const older, newer = "older-older-older-older-older-older", "newer-newer-newer-newer-newer-newer"
 	both, only := ringOf(t, older+"\n"+newer+"\n"), ringOf(t, newer+"\n")
-	payload, ok := both.Open(only.Seal([]byte("row")))
+	payload, ok := both.Verify(only.Sign([]byte("row")))
 	assert.Assert(t, ok)
 	assert.Equal(t, string(payload), "row")
-	_, ok = only.Open(both.Seal([]byte("row")))
+	_, ok = only.Verify(both.Sign([]byte("row")))
 	assert.Assert(t, !ok)
-	changed := only.Seal([]byte("row"))
+	changed := only.Sign([]byte("row"))
 	changed[len(changed)-1]++
-	_, ok = only.Open(changed)
+	_, ok = only.Verify(changed)
 	assert.Assert(t, !ok)
-	_, ok = only.Open([]byte("short"))
+	_, ok = only.Verify([]byte("short"))
 	assert.Assert(t, !ok)
 }
--- a/node/members.go
+++ b/node/members.go
@@ -43,7 +43,7 @@
 			UseSchedulers: true,
 		},
 		ListenAddress:    s.Listen.Membership,
-		Ring:             keys.Of(datagramKey),
+		Ring:             keys.NewRing(datagramKey),
 		Log:              n.log,
 		OnMembersChanged: n.handleMembersChanged,
 		OnPlacement:      n.handlePlacement,
