--- a/cli/status.go
+++ b/cli/status.go
@@ -39,12 +39,12 @@
 // of the instance that answered; Revision is the last one that the control group
 // accepted.
 type statusResult struct {
-	Instance     string           `json:"instance"`
-	Zone         string           `json:"zone"`
-	Leader       string           `json:"leader"`
-	Revision     uint64           `json:"revision"`
-	Instances    []instanceStatus `json:"instances"`
-	Measurements []metrics.Row    `json:"measurements"`
+	Instance     string                     `json:"instance"`
+	Zone         string                     `json:"zone"`
+	Leader       string                     `json:"leader"`
+	Revision     uint64                     `json:"revision"`
+	Instances    []instanceStatus           `json:"instances"`
+	Measurements []metrics.HistogramSummary `json:"measurements"`
 }
 
 // instanceStatus is one instance in statusResult. Since is the time, in RFC 3339
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -78,7 +78,7 @@
 		Log:      d.options.Log,
 		ObserveCommand: func(command string, decided bool, took time.Duration) {
 			d.registry.Histogram("carawaystile_control_decision_seconds",
-				"Time until the control group has decided a command, or it was given up.", metrics.Seconds,
+				"Time until the control group has decided a command, or it was given up.", metrics.SecondsBounds,
 				metrics.Label{Name: "command", Value: command},
 				metrics.Label{Name: "decided", Value: strconv.FormatBool(decided)}).Update(took.Microseconds())
 		},
--- a/daemon/diagnostics.go
+++ b/daemon/diagnostics.go
@@ -35,7 +35,9 @@
 }
 
 // Measurements returns summaries of the histograms: count, mean and percentiles.
-func (d *Daemon) Measurements() []metrics.Row { return d.registry.Rows(measurementsPrefix) }
+func (d *Daemon) Measurements() []metrics.HistogramSummary {
+	return d.registry.HistogramSummaries(measurementsPrefix)
+}
 
 // serveExplain writes the Explanation of the request that the query names, as JSON.
 func (d *Daemon) serveExplain(w http.ResponseWriter, req *http.Request) {
--- a/forward/metrics.go
+++ b/forward/metrics.go
@@ -88,7 +88,7 @@
 	}
 	kind := metrics.Label{Name: "kind", Value: c.route.Kind.String()}
 	m.registry.Histogram("carawaystile_forwarded_seconds",
-		"Time from arrival to the end of an endpoint's answer.", metrics.Seconds, kind,
+		"Time from arrival to the end of an endpoint's answer.", metrics.SecondsBounds, kind,
 		metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Update((c.now() - c.arrivedAt).Microseconds())
 }
 
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -39,7 +39,7 @@
 func TestPercentileAgainstSortedValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Int64Range(250, 60_000_000), 1, 200).Draw(t, "values")
-		sample := newBucketSample(Seconds)
+		sample := newBucketSample(SecondsBounds)
 		for _, v := range values {
 			sample.Update(v)
 		}
--- a/metrics/registry.go
+++ b/metrics/registry.go
@@ -188,8 +188,8 @@
 	return name + "{" + labels + "}"
 }
 
-// Row is one histogram in brief, for a terminal.
-type Row struct {
+// HistogramSummary is one histogram in brief, for a terminal.
+type HistogramSummary struct {
 	Family string  `json:"family"`
 	Labels string  `json:"labels"`
 	Count  int64   `json:"count"`
@@ -199,17 +199,17 @@
 	P99    float64 `json:"p99"`
 }
 
-// Rows returns the histograms whose family starts with the given text, in
+// HistogramSummaries returns the histograms whose family starts with the given text, in
 // brief. Percentiles are upper bounds of buckets.
-func (r *Registry) Rows(prefix string) []Row {
-	var rows []Row
+func (r *Registry) HistogramSummaries(prefix string) []HistogramSummary {
+	var rows []HistogramSummary
 	for _, s := range r.sorted() {
 		h, ok := s.value.(gometrics.Histogram)
 		if !ok || !strings.HasPrefix(s.family, prefix) {
 			continue
 		}
 		p := h.Percentiles([]float64{0.5, 0.95, 0.99})
-		rows = append(rows, Row{
+		rows = append(rows, HistogramSummary{
 			Family: s.family, Labels: s.labels, Count: h.Count(), Mean: h.Mean() * unit,
 			P50: p[0] * unit, P95: p[1] * unit, P99: p[2] * unit,
 		})
--- a/metrics/requests.go
+++ b/metrics/requests.go
@@ -65,10 +65,10 @@
 		return system + prefix + family[len(system):]
 	}
 	return &group{
-		ttft: r.registry.Histogram(name(familyTTFT), "Time from arrival to the first token.", Seconds, label),
-		gap:  r.registry.Histogram(name(familyGap), "Time between two tokens of one answer.", Seconds, label),
-		wait: r.registry.Histogram(name(familyWait), "Time from arrival to the first dispatch.", Seconds, label),
-		hit:  r.registry.Histogram(name(familyHit), "Share of the prompt that came from an endpoint's cache.", Ratio, label),
+		ttft: r.registry.Histogram(name(familyTTFT), "Time from arrival to the first token.", SecondsBounds, label),
+		gap:  r.registry.Histogram(name(familyGap), "Time between two tokens of one answer.", SecondsBounds, label),
+		wait: r.registry.Histogram(name(familyWait), "Time from arrival to the first dispatch.", SecondsBounds, label),
+		hit:  r.registry.Histogram(name(familyHit), "Share of the prompt that came from an endpoint's cache.", RatioBounds, label),
 	}
 }
 
--- a/metrics/sample.go
+++ b/metrics/sample.go
@@ -14,11 +14,11 @@
 // bucket without bound is kept beside them.
 type Bounds []float64
 
-// Seconds are the bounds for times: from 0.25 ms to 68 min by powers of two.
-var Seconds = exponential(0.00025, 2, 25)
+// SecondsBounds are the bounds for times: from 0.25 ms to 68 min by powers of two.
+var SecondsBounds = exponential(0.00025, 2, 25)
 
-// Ratio are the bounds for shares of a whole, in tenths.
-var Ratio = Bounds{0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1}
+// RatioBounds are the bounds for shares of a whole, in tenths.
+var RatioBounds = Bounds{0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1}
 
 func exponential(first, factor float64, n int) Bounds {
 	bounds := make(Bounds, n)
