--- a/control/client/claim_client.go
+++ b/control/client/claim_client.go
@@ -327,7 +327,7 @@
 			}})
 			cancel()
 			if err != nil {
-				events.ClaimsNotKeptAlive.Log(c.options.Log, zap.Error(err))
+				events.ClaimKeepAliveFailed.Log(c.options.Log, zap.Error(err))
 			}
 		}
 		c.resendPending(ctx, pending)
--- a/control/follower/follower.go
+++ b/control/follower/follower.go
@@ -234,7 +234,7 @@
 		index++
 		failures++
 		if failures == len(sources) && ctx.Err() == nil {
-			events.FollowerBehind.Log(f.options.Log, zap.Error(err))
+			events.FollowerDisconnected.Log(f.options.Log, zap.Error(err))
 		}
 		sleepRetryDelay(ctx)
 	}
--- a/control/server/bootstrap.go
+++ b/control/server/bootstrap.go
@@ -31,7 +31,7 @@
 // log and asks to be added as a learner.
 func (s *Server) joinOrBootstrap(ctx context.Context) (Log, error) {
 	self := s.selfAsFounder()
-	events.ControlJoins.Log(s.log, zap.Uint64("replica", self.GetReplica()))
+	events.ControlJoinRequested.Log(s.log, zap.Uint64("replica", self.GetReplica()))
 	for {
 		answers, allAnswered := s.sendJoinRequests(ctx, self)
 		for _, answer := range answers {
@@ -296,7 +296,7 @@
 		zap.Uint64("replica", uint64(change.Replica)),
 	}
 	if _, err := s.node.ProposeChange(change); err != nil {
-		events.ControlRepairRefused.Log(s.log, append(fields, zap.Error(err))...)
+		events.ControlMembershipChangeRefused.Log(s.log, append(fields, zap.Error(err))...)
 		return
 	}
 	events.ControlReplicaAdded.Log(s.log, fields...)
--- a/control/server/event_loop.go
+++ b/control/server/event_loop.go
@@ -206,7 +206,7 @@
 		newest := s.state.Now()
 		s.mu.RUnlock()
 		s.logClock.restart(newest, s.options.Clock.Now())
-		events.ControlLeads.Log(s.log, zap.Uint64("term", s.node.Status().Term))
+		events.ControlLeaderElected.Log(s.log, zap.Uint64("term", s.node.Status().Term))
 	} else {
 		s.failPendingProposals(LeadershipLost)
 		s.finishTransfer()
--- a/control/server/freshness.go
+++ b/control/server/freshness.go
@@ -39,9 +39,9 @@
 // The fields distinguish a replica that does not hear from the group from one that
 // cannot persist what it receives.
 func (s *Server) logCurrentChange(soft replog.SoftState) {
-	event := events.ControlLags
+	event := events.ControlReplicaStale
 	if soft.UpToDate {
-		event = events.ControlCurrent
+		event = events.ControlReplicaCurrent
 	}
 	status := s.node.Status()
 	event.Log(s.log, zap.Uint64("leader", uint64(soft.Leader)), zap.Bool("votes", status.Members.IsVoter(status.ID)),
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -196,7 +196,7 @@
 		return nil
 	}
 	if err := d.entry.Drain(ctx); err != nil {
-		events.DaemonDrainCut.Log(d.options.Log, zap.Error(err))
+		events.DaemonDrainAborted.Log(d.options.Log, zap.Error(err))
 		return trace.Wrap(err)
 	}
 	shutdown.Flush(ctx, d.callerServer)
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -47,6 +47,6 @@
 	case err != nil:
 		events.KeysUnreadable.Log(d.options.Log, zap.String("file", path), zap.Error(err))
 	case changed:
-		events.KeysReread.Log(d.options.Log, zap.String("file", path))
+		events.KeysReloaded.Log(d.options.Log, zap.String("file", path))
 	}
 }
--- a/daemon/suspect_notifier.go
+++ b/daemon/suspect_notifier.go
@@ -101,6 +101,6 @@
 func (n *suspectNotifier) sendReport(ctx context.Context, address netip.AddrPort, report *rpc.SuspectReport) {
 	err := suspectpeers.SendReport(ctx, rpc.NewPeerProtobufClient("http://"+address.String(), n.client), report)
 	if err != nil {
-		events.SuspectsNotTold.Log(n.log, zap.Stringer("instance_address", address), zap.Error(err))
+		events.SuspectReportFailed.Log(n.log, zap.Stringer("instance_address", address), zap.Error(err))
 	}
 }
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -38,7 +38,7 @@
 func (s *Server) Drain(ctx context.Context) error {
 	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 	if err := s.gate.Drain(ctx, s.now); err != nil {
-		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.InFlight()))
+		events.DrainAborted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 		return err
 	}
 	events.DrainEnded.Log(s.log)
--- a/forward/failure.go
+++ b/forward/failure.go
@@ -117,14 +117,14 @@
 func (c *clientRequest) abortStream() {
 	c.finished = true
 	c.server.metrics.countFailed(c, tables.CodeStreamBroken, tables.OutcomeUnknown)
-	events.StreamCut.Log(c.server.log, append(c.logFields(), zap.NamedError("cause", c.lastErr))...)
+	events.StreamAborted.Log(c.server.log, append(c.logFields(), zap.NamedError("cause", c.lastErr))...)
 	panic(http.ErrAbortHandler)
 }
 
 // abortDisconnected ends a request whose client has disconnected.
 func (c *clientRequest) abortDisconnected(err error) {
 	c.finished = true
-	events.CallerGone.Log(c.server.log, append(c.logFields(), zap.Error(err))...)
+	events.ClientDisconnected.Log(c.server.log, append(c.logFields(), zap.Error(err))...)
 	panic(http.ErrAbortHandler)
 }
 
--- a/forward/server.go
+++ b/forward/server.go
@@ -297,7 +297,7 @@
 func (s *Server) Drain(ctx context.Context) error {
 	events.DrainStarted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 	if err := s.gate.Drain(ctx, s.options.Now); err != nil {
-		events.DrainCut.Log(s.log, zap.Int64("open", s.gate.InFlight()))
+		events.DrainAborted.Log(s.log, zap.Int64("open", s.gate.InFlight()))
 		return err
 	}
 	events.DrainEnded.Log(s.log)
--- a/logs/losses/losses.go
+++ b/logs/losses/losses.go
@@ -131,9 +131,9 @@
 			reason = Refused
 		}
 		r.lose(line, reason)
-	case events.StreamCut.Number:
+	case events.StreamAborted.Number:
 		r.lose(line, Failed)
-	case events.CallerGone.Number:
+	case events.ClientDisconnected.Number:
 		r.lose(line, Left)
 	}
 }
--- a/logs/sampling.go
+++ b/logs/sampling.go
@@ -100,7 +100,7 @@
 // take, and by event those that were left out.
 func missingLine(now time.Time, stuck int, left map[string]int) string {
 	var b strings.Builder
-	b.WriteString(`{"level":"warn","ts":"` + now.Format(time.RFC3339Nano) + `","msg":"` + events.LinesDropped.Text + `"`)
+	b.WriteString(`{"level":"warn","ts":"` + now.Format(time.RFC3339Nano) + `","msg":"` + events.LogLinesDropped.Text + `"`)
 	b.WriteString(`,"lines":` + strconv.Itoa(stuck) + `,"sampled":{`)
 	for i, text := range slices.Sorted(maps.Keys(left)) {
 		if i > 0 {
@@ -108,6 +108,6 @@
 		}
 		b.WriteString(strconv.Quote(text) + ":" + strconv.Itoa(left[text]))
 	}
-	b.WriteString(`},"event":` + strconv.Itoa(int(events.LinesDropped.Number)) + "}\n")
+	b.WriteString(`},"event":` + strconv.Itoa(int(events.LogLinesDropped.Number)) + "}\n")
 	return b.String()
 }
--- a/logs/trail/story.go
+++ b/logs/trail/story.go
@@ -56,7 +56,7 @@
 		fmt.Fprintf(w, "logs missing of the control instances at: %s\n", strings.Join(t.Missing, ", "))
 	}
 	if t.LeftOut > 0 {
-		fmt.Fprintf(w, "processes left lines out of their logs near this time: see event %d\n", events.LinesDropped.Number)
+		fmt.Fprintf(w, "processes left lines out of their logs near this time: see event %d\n", events.LogLinesDropped.Number)
 	}
 }
 
@@ -75,9 +75,9 @@
 				return text + "; it has not run"
 			}
 			return text + "; whether it has run is not known"
-		case events.StreamCut.Number:
+		case events.StreamAborted.Number:
 			return "its stream was broken off after event " + line.Field("last_event")
-		case events.CallerGone.Number:
+		case events.ClientDisconnected.Number:
 			return "its caller left after " + line.Field("took")
 		}
 	}
--- a/logs/trail/trail.go
+++ b/logs/trail/trail.go
@@ -207,7 +207,7 @@
 		if line.At.Before(from) || line.At.After(to) {
 			continue
 		}
-		if line.Event == events.LinesDropped.Number {
+		if line.Event == events.LogLinesDropped.Number {
 			t.LeftOut++
 		}
 		endpoint := line.Field("endpoint")
--- a/node/cachesync.go
+++ b/node/cachesync.go
@@ -231,7 +231,7 @@
 		ctx, cancel := context.WithTimeout(c.node.lifetime, holdingsTimeout)
 		defer cancel()
 		if _, err := c.client(at).Hold(ctx, message); err != nil {
-			events.CacheNotShared.Log(c.node.log, zap.Stringer("with", at), zap.Int("endpoints", len(holdings)), zap.Error(err))
+			events.CacheSyncFailed.Log(c.node.log, zap.Stringer("with", at), zap.Int("endpoints", len(holdings)), zap.Error(err))
 			c.mu.Lock()
 			delete(c.informedPeers, at)
 			c.mu.Unlock()
@@ -262,7 +262,7 @@
 	defer cancel()
 	holdings, err := c.client(at).TellHoldings(bounded, &rpc.HoldingsRequest{})
 	if err != nil {
-		events.CacheNotShared.Log(c.node.log, zap.Stringer("with", at), zap.Error(err))
+		events.CacheSyncFailed.Log(c.node.log, zap.Stringer("with", at), zap.Error(err))
 		return false
 	}
 	c.node.applyHoldings(holdings)
--- a/node/control.go
+++ b/node/control.go
@@ -138,9 +138,9 @@
 func (n *Node) logListTransition(ctx context.Context, failing bool, err error) {
 	switch {
 	case err != nil && !failing && ctx.Err() == nil:
-		events.ListUnread.Log(n.log, zap.Error(err))
+		events.PlatformListUnreadable.Log(n.log, zap.Error(err))
 	case err == nil && failing:
-		events.ListRead.Log(n.log)
+		events.PlatformListReadable.Log(n.log)
 	}
 }
 
--- a/node/listen.go
+++ b/node/listen.go
@@ -78,7 +78,7 @@
 	report := peers.EncodeReport(suspects)
 	n.callEntryPeers(func(ctx context.Context, at string) {
 		if err := peers.SendReport(ctx, rpc.NewPeerProtobufClient(at, n.client), report); err != nil {
-			events.SuspectsNotTold.Log(n.log, zap.String("instance_address", at), zap.Error(err))
+			events.SuspectReportFailed.Log(n.log, zap.String("instance_address", at), zap.Error(err))
 		}
 	})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -218,7 +218,7 @@
 // need a restart.
 func (n *Node) Reload(s *settings.Forwarding) {
 	n.settings.Store(s)
-	events.SettingsReread.Log(n.log, zap.Int("seeds", len(s.Seeds)))
+	events.SettingsReloaded.Log(n.log, zap.Int("seeds", len(s.Seeds)))
 }
 
 // Drain takes the instance out of service without aborting a request. It returns early when
@@ -229,7 +229,7 @@
 		return
 	}
 	if err := n.entry.Drain(ctx); err != nil {
-		events.DaemonDrainCut.Log(n.log, zap.Error(err))
+		events.DaemonDrainAborted.Log(n.log, zap.Error(err))
 		return
 	}
 	shutdown.Flush(ctx, n.callerServer)
--- a/schedule/client.go
+++ b/schedule/client.go
@@ -128,7 +128,7 @@
 	pause := unreadyBackoff
 	if silent {
 		pause = silentBackoff
-		events.SchedulerSilent.Log(c.options.Log, zap.String("scheduler", string(s.Instance)))
+		events.SchedulerTimedOut.Log(c.options.Log, zap.String("scheduler", string(s.Instance)))
 	}
 	now := c.options.Now()
 	c.backoffs.BackOff(s.Instance, now, now+pause)
--- a/usage/client.go
+++ b/usage/client.go
@@ -212,7 +212,7 @@
 	if ctx.Err() == nil {
 		now := c.options.Now()
 		c.backoffs.BackOff(owner.Instance, now, now+silentBackoff)
-		events.AccountantSilent.Log(c.options.Log, zap.String("accountant", string(owner.Instance)), zap.Bool("answered", found))
+		events.UsageOwnerTimedOut.Log(c.options.Log, zap.String("accountant", string(owner.Instance)), zap.Bool("answered", found))
 	}
 	return DebitReply{}, false
 }
