--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime reads a clock that goes on while the machine is suspended.
-// The clock of package time stands still then: a lease that is counted on it
-// looks valid after a suspension that has outlived it.
+// Package boottime reads CLOCK_BOOTTIME, which keeps running while the machine is
+// suspended. The monotonic clock of package time stops during a suspension: a lease
+// measured on it would look valid after a suspension that outlasted it.
 package boottime
 
 import (
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the machine started, suspensions included.
+// Now returns the time since the machine booted, suspensions included.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every kernel since 2.6.39 has the clock.
+		// Linux has had this clock since 2.6.39.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
--- a/internal/datagram/correlator.go
+++ b/internal/datagram/correlator.go
@@ -1,5 +1,6 @@
-// Package datagram matches questions and answers that go as single datagrams, each of
-// which may be lost, and keeps those who did not answer from being asked again at once.
+// Package datagram implements request/response exchanges over single, unreliable
+// datagrams: correlation of responses with requests, back-off from peers that timed
+// out, and rendezvous hashing to choose a peer.
 package datagram
 
 import (
@@ -14,60 +15,62 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Correlator are the questions of one life of an instance that wait for their answers. It is
-// safe for concurrent use.
+// Correlator is a table of pending requests. It assigns request IDs and matches each
+// response to its request; the IDs are unique within one process life of an instance.
+// It is safe for concurrent use.
 type Correlator[A any] struct {
 	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]chan A
+	lastID  uint64
+	pending map[uint64]chan A
 }
 
-// NewCorrelator returns Calls that number questions from after first on.
+// NewCorrelator returns a Correlator whose first ID is first+1.
 func NewCorrelator[A any](first uint64) *Correlator[A] {
-	return &Correlator[A]{number: first, waiting: map[uint64]chan A{}}
+	return &Correlator[A]{lastID: first, pending: map[uint64]chan A{}}
 }
 
-// NextID returns a number for a message that nobody answers.
+// NextID returns an ID for a message that expects no response.
 func (c *Correlator[A]) NextID() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.number++
-	return c.number
+	c.lastID++
+	return c.lastID
 }
 
-// Call sends a question under a new number and waits for its answer; found is false if none
-// came in time.
-func (c *Correlator[A]) Call(ctx context.Context, timeout time.Duration, send func(number uint64)) (answer A, number uint64, found bool) {
+// Call sends a request under a new ID and waits for the response. It returns the ID;
+// found is false if no response came before the timeout or the end of the context.
+func (c *Correlator[A]) Call(ctx context.Context, timeout time.Duration, send func(id uint64)) (answer A, id uint64, found bool) {
 	answered := make(chan A, 1)
 	c.mu.Lock()
-	c.number++
-	number = c.number
-	c.waiting[number] = answered
+	c.lastID++
+	id = c.lastID
+	c.pending[id] = answered
 	c.mu.Unlock()
-	defer c.forget(number)
-	send(number)
+	defer c.remove(id)
+	send(id)
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case answer = <-answered:
-		return answer, number, true
+		return answer, id, true
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return answer, number, false
+	return answer, id, false
 }
 
-func (c *Correlator[A]) forget(number uint64) {
+func (c *Correlator[A]) remove(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, number)
+	delete(c.pending, id)
 }
 
-// Deliver hands an answer over, and says whether anybody has waited for it.
-func (c *Correlator[A]) Deliver(number uint64, answer A) bool {
+// Deliver hands a response to the caller that waits for it, and reports whether there
+// was one. Duplicate and late responses find no pending request.
+func (c *Correlator[A]) Deliver(id uint64, answer A) bool {
 	c.mu.Lock()
-	waiting := c.waiting[number]
-	delete(c.waiting, number)
+	waiting := c.pending[id]
+	delete(c.pending, id)
 	c.mu.Unlock()
 	if waiting == nil {
 		return false
@@ -76,13 +79,14 @@
 	return true
 }
 
-// Backoffs remembers instances that are not asked for a while. It is safe for concurrent use.
+// Backoffs records, for each instance, until when it is not sent requests after it
+// failed to respond. The zero value is ready to use. It is safe for concurrent use.
 type Backoffs struct {
 	mu    sync.Mutex
 	until map[tables.InstanceID]tables.Instant
 }
 
-// BackOff has an instance not asked until then.
+// BackOff excludes an instance until the given time, and removes expired entries.
 func (s *Backoffs) BackOff(id tables.InstanceID, now, until tables.Instant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,28 +101,28 @@
 	}
 }
 
-// IsBackingOff says whether an instance is not to be asked now.
+// IsBackingOff reports whether an instance is excluded now.
 func (s *Backoffs) IsBackingOff(id tables.InstanceID, now tables.Instant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now < s.until[id]
 }
 
-// PickRendezvous chooses one of several instances by rendezvous hashing: the one with the highest draw
-// for the key of those that are not left out.
-func PickRendezvous(key uint64, entries []membership.EntryInstance, left func(tables.InstanceID) bool) (best membership.EntryInstance, found bool) {
+// PickRendezvous chooses an instance by rendezvous (highest random weight) hashing: of
+// the instances that are not excluded, the one with the highest score for the key.
+func PickRendezvous(key uint64, entries []membership.EntryInstance, excluded func(tables.InstanceID) bool) (best membership.EntryInstance, found bool) {
 	var highest uint64
 	for _, e := range entries {
-		if left(e.Instance) {
+		if excluded(e.Instance) {
 			continue
 		}
-		if drawn := draw(e.Instance, key); !found || drawn > highest {
-			best, highest, found = e, drawn, true
+		if score := rendezvousScore(e.Instance, key); !found || score > highest {
+			best, highest, found = e, score, true
 		}
 	}
 	return best, found
 }
 
-func draw(id tables.InstanceID, key uint64) uint64 {
+func rendezvousScore(id tables.InstanceID, key uint64) uint64 {
 	return placement.Mix64(placement.Mix64(xxhash.Sum64String(string(id))) ^ key)
 }
--- a/internal/datagram/correlator_test.go
+++ b/internal/datagram/correlator_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against an answer that is handed to another question, or to nobody.
-func TestAnswersReachTheirQuestions(t *testing.T) {
+// Guards against a response that is delivered to another request, or to none.
+func TestDeliverMatchesRequestID(t *testing.T) {
 	c := NewCorrelator[string](7)
 	first, number, found := c.Call(t.Context(), time.Hour, func(number uint64) {
 		assert.Assert(t, !c.Deliver(number+1, "nobody's"))
@@ -18,11 +18,11 @@
 	assert.Assert(t, found)
 	assert.Equal(t, first, "mine")
 	assert.Equal(t, number, uint64(8))
-	assert.Assert(t, !c.Deliver(number, "once more"), "an answer counts once")
+	assert.Assert(t, !c.Deliver(number, "once more"), "a duplicate response was delivered")
 }
 
-// Guards against a question whose asker is gone being waited for.
-func TestAQuestionEndsWithItsContext(t *testing.T) {
+// Guards against a request that stays pending after its context has ended.
+func TestCallEndsWithContext(t *testing.T) {
 	c := NewCorrelator[string](0)
 	ctx, cancel := context.WithCancel(t.Context())
 	_, number, found := c.Call(ctx, time.Hour, func(uint64) { cancel() })
@@ -30,8 +30,8 @@
 	assert.Assert(t, !c.Deliver(number, "late"))
 }
 
-// Guards against an instance that was silent once never being asked again.
-func TestSilentInstancesAreAskedAgain(t *testing.T) {
+// Guards against an instance that timed out once and is excluded forever.
+func TestBackoffExpires(t *testing.T) {
 	var s Backoffs
 	s.BackOff("a", time.Second, 2*time.Second)
 	assert.Assert(t, s.IsBackingOff("a", time.Second))
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in options that were left out.
+// Package defaults sets default values of options that were left out.
 package defaults
 
-// Set gives a field a value if it has the zero value of its type.
+// Set assigns value to a field that has the zero value of its type.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/defaults/defaults_test.go
+++ b/internal/defaults/defaults_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOnlyZeroFieldsAreSet(t *testing.T) {
+func TestSetFillsOnlyZeroFields(t *testing.T) {
 	var unset int
 	set := 3
 	Set(&unset, 7)
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,6 +1,5 @@
-// Package fixedseed lets property tests run from a fixed seed, so that the same
-// commit gets the same verdict every time. Another seed is asked for with the
-// flag -rapid.seed.
+// Package fixedseed runs property-based tests from a fixed seed, so that a commit gets
+// the same result on every run. The flag -rapid.seed selects another seed.
 package fixedseed
 
 import (
@@ -9,13 +8,13 @@
 	"testing"
 )
 
-// seedFlag is the flag of the property testing library.
+// seedFlag is the flag of pgregory.net/rapid that sets the seed.
 const seedFlag = "rapid.seed"
 
-// seed is used unless another one is asked for.
+// seed is the default if the flag is not given.
 const seed = "5"
 
-// Main is the TestMain of packages with property tests.
+// Main is the TestMain of packages with property-based tests.
 func Main(m *testing.M) {
 	flag.Parse()
 	if given := flag.Lookup(seedFlag); given != nil && given.Value.String() == given.DefValue {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback chooses loopback addresses for instances that run within one
-// process, for tests and the demo.
+// Package loopback reserves loopback ports for instances that run within one
+// process, in tests and in the demo.
 package loopback
 
 import (
@@ -8,15 +8,15 @@
 	"sync"
 )
 
-// Ports holds the listeners of an instance from the choice of its addresses
-// until its first start, so that nobody else takes them. The zero value is
-// ready to use.
+// Ports keeps a listener open on each reserved port from the choice of an instance's
+// addresses until its first start, so that no other process can bind the port. The
+// zero value is ready to use. It is safe for concurrent use.
 type Ports struct {
-	mu   sync.Mutex
-	held map[netip.AddrPort]net.Listener
+	mu       sync.Mutex
+	reserved map[netip.AddrPort]net.Listener
 }
 
-// Reserve listens on a free port.
+// Reserve listens on a free loopback port and returns its address.
 func (p *Ports) Reserve() (netip.AddrPort, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,18 +25,19 @@
 	at := listener.Addr().(*net.TCPAddr).AddrPort()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held == nil {
-		p.held = make(map[netip.AddrPort]net.Listener)
+	if p.reserved == nil {
+		p.reserved = make(map[netip.AddrPort]net.Listener)
 	}
-	p.held[at] = listener
+	p.reserved[at] = listener
 	return at, nil
 }
 
-// Listen gives up the listener that is held at an address, or opens one.
+// Listen hands over the listener reserved for an address, or opens a new one if the
+// reservation was already used.
 func (p *Ports) Listen(at netip.AddrPort) (net.Listener, error) {
 	p.mu.Lock()
-	listener := p.held[at]
-	delete(p.held, at)
+	listener := p.reserved[at]
+	delete(p.reserved, at)
 	p.mu.Unlock()
 	if listener != nil {
 		return listener, nil
@@ -44,11 +45,11 @@
 	return net.Listen("tcp", at.String())
 }
 
-// Close closes the listeners that are still held.
+// Close closes the listeners of reservations that were not used.
 func (p *Ports) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, listener := range p.held {
+	for _, listener := range p.reserved {
 		_ = listener.Close()
 	}
 }
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -1,4 +1,4 @@
-// Package partition cuts availability zones off from each other within one
+// Package partition simulates network partitions between availability zones within one
 // process, for tests and the demo.
 package partition
 
@@ -12,31 +12,31 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Network knows which zone each address is in and which zones are cut off. A
-// cut is silent: what is sent into it is lost and nobody is told, as in a
-// partition without resets.
+// Network maps addresses to zones and knows which zone is partitioned from the others. A
+// partition is silent: packets sent across it are dropped without an error, as in a real
+// partition without TCP resets. It is safe for concurrent use.
 type Network struct {
 	mu    sync.Mutex
 	zones map[string]tables.Zone
-	// isolated is the zone that is cut off, empty if none.
+	// isolated is the zone that is partitioned from all others, empty if none.
 	isolated tables.Zone
-	// healed is closed when the cut ends.
+	// healed is closed when the partition ends.
 	healed chan struct{}
 }
 
-// New returns a network in which every zone reaches every other.
+// New returns a network without a partition.
 func New() *Network {
 	return &Network{zones: make(map[string]tables.Zone)}
 }
 
-// SetZone notes the zone of an address.
+// SetZone records the zone of an address.
 func (n *Network) SetZone(address string, zone tables.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[address] = zone
 }
 
-// Isolate isolates a zone from all others.
+// Isolate partitions a zone from all others.
 func (n *Network) Isolate(zone tables.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,7 +44,7 @@
 	n.healed = make(chan struct{})
 }
 
-// Heal ends the cut.
+// Heal ends the partition.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,9 +54,9 @@
 	}
 }
 
-// blocked returns nil if two zones reach each other, or a channel that is
-// closed when they may do so again.
-func (n *Network) blocked(a, b tables.Zone) <-chan struct{} {
+// healedSignal returns nil if two zones can reach each other, or a channel that is
+// closed when the partition between them ends.
+func (n *Network) healedSignal(a, b tables.Zone) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.isolated == "" || a == b || a != n.isolated && b != n.isolated {
@@ -65,23 +65,25 @@
 	return n.healed
 }
 
-// Reaches says whether datagrams sent from a zone arrive at an address.
+// Reaches returns a function that reports whether datagrams sent from a zone arrive at
+// an address.
 func (n *Network) Reaches(from tables.Zone) func(to netip.AddrPort) bool {
 	return func(to netip.AddrPort) bool {
 		n.mu.Lock()
 		zone := n.zones[to.String()]
 		n.mu.Unlock()
-		return n.blocked(from, zone) == nil
+		return n.healedSignal(from, zone) == nil
 	}
 }
 
-// Dialer opens connections from a zone.
+// Dialer returns a dial function for clients in a zone. Dialing across a partition blocks
+// until the partition heals or the context ends.
 func (n *Network) Dialer(from tables.Zone) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, protocol, address string) (net.Conn, error) {
 		n.mu.Lock()
 		to := n.zones[address]
 		n.mu.Unlock()
-		if healed := n.blocked(from, to); healed != nil {
+		if healed := n.healedSignal(from, to); healed != nil {
 			select {
 			case <-healed:
 			case <-ctx.Done():
@@ -92,27 +94,27 @@
 		if err != nil {
 			return nil, err
 		}
-		return &cuttable{Conn: inner, network: n, from: from, to: to, closed: make(chan struct{})}, nil
+		return &partitionedConn{Conn: inner, network: n, from: from, to: to, closed: make(chan struct{})}, nil
 	}
 }
 
-// cuttable is a connection that a cut can silence. After a cut that lost bytes
-// it is reset.
-type cuttable struct {
+// partitionedConn is a connection subject to partitions. It is reset once a partition
+// that dropped bytes of it has ended.
+type partitionedConn struct {
 	net.Conn
-	network  *Network
-	from, to tables.Zone
-	closing  sync.Once
-	closed   chan struct{}
-	losing   sync.Once
-	// lost is set once something was sent into a cut.
-	lost atomic.Bool
+	network   *Network
+	from, to  tables.Zone
+	closeOnce sync.Once
+	closed    chan struct{}
+	dropOnce  sync.Once
+	// dropped is set once a write fell into a partition.
+	dropped atomic.Bool
 }
 
-// Read gives nothing while the zones are cut off from each other.
-func (c *cuttable) Read(p []byte) (int, error) {
+// Read blocks while the zones are partitioned, then fails because the connection is reset.
+func (c *partitionedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	healed := c.network.blocked(c.from, c.to)
+	healed := c.network.healedSignal(c.from, c.to)
 	if err != nil || healed == nil {
 		return n, err
 	}
@@ -124,25 +126,25 @@
 	}
 }
 
-// Write loses what is sent into a cut. A connection never goes on with a hole
-// in it, which TCP would not allow either.
-func (c *cuttable) Write(p []byte) (int, error) {
-	if healed := c.network.blocked(c.from, c.to); healed != nil {
-		c.losing.Do(func() {
-			c.lost.Store(true)
+// Write drops data sent across a partition. Later writes fail: a TCP stream never
+// continues with bytes missing.
+func (c *partitionedConn) Write(p []byte) (int, error) {
+	if healed := c.network.healedSignal(c.from, c.to); healed != nil {
+		c.dropOnce.Do(func() {
+			c.dropped.Store(true)
 			go c.resetAfter(healed)
 		})
 		return len(p), nil
 	}
-	if c.lost.Load() {
+	if c.dropped.Load() {
 		return 0, &net.OpError{Op: "write", Net: "tcp", Err: net.ErrClosed}
 	}
 	return c.Conn.Write(p)
 }
 
-// resetAfter ends the connection when the cut is over, so that its reader does
-// not wait for an answer to what was lost.
-func (c *cuttable) resetAfter(healed <-chan struct{}) {
+// resetAfter closes the connection when the partition ends, so that its reader does not
+// wait for a response to dropped data.
+func (c *partitionedConn) resetAfter(healed <-chan struct{}) {
 	select {
 	case <-healed:
 		_ = c.Conn.Close()
@@ -150,8 +152,8 @@
 	}
 }
 
-// Close ends the connection.
-func (c *cuttable) Close() error {
-	c.closing.Do(func() { close(c.closed) })
+// Close closes the connection and releases blocked reads.
+func (c *partitionedConn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -10,9 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Packets between two zones are lost for a while, in both directions and
-// without a word. Inside each zone everything goes on.
-func TestCutIsSilentAndEnds(t *testing.T) {
+// Guards against a simulated partition that does not behave like packet loss: between
+// two zones packets are dropped in both directions without an error, within a zone
+// traffic goes on, and a connection that lost bytes is reset when the partition heals.
+func TestPartitionDropsSilentlyAndHeals(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
@@ -52,7 +53,7 @@
 	n.Heal()
 	assert.Assert(t, n.Reaches("near")(at))
 	_, err = c.Write([]byte{'x'})
-	assert.Assert(t, err != nil, "a connection went on with a hole in it")
+	assert.Assert(t, err != nil, "a connection that lost bytes was not reset")
 	_, err = c.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
 	again, err := n.Dialer("near")(t.Context(), "tcp", at.String())
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,4 +1,4 @@
-// Package shutdown ends HTTP servers without losing an answer.
+// Package shutdown closes HTTP servers gracefully, without truncating responses.
 package shutdown
 
 import (
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// flushTimeout bounds the wait for answers that are written; a caller that does not
-// read must not hold up the end of an instance.
+// flushTimeout bounds the wait for pending response writes; a client that does not
+// read must not delay the shutdown of an instance.
 const flushTimeout = time.Second
 
 // Flush closes a server's listeners and idle connections, and waits until the
-// answers of handlers that have returned are written.
+// responses of handlers that have returned are written.
 //
-// A drain counts requests in its handlers. The last part of a small answer is
-// written after its handler has returned: a server that is closed as soon as none is
-// counted cuts it, and the caller of the very last request never hears of work that
-// was done.
+// Draining counts requests in their handlers, but net/http writes the last part of a
+// small response after the handler has returned. A server closed as soon as the count
+// is zero truncates that response, and the client of the last request does not learn
+// that its work was done.
 func Flush(ctx context.Context, server *http.Server) {
 	bounded, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	_ = server.Shutdown(bounded) // what is left after the time is cut by Close
+	_ = server.Shutdown(bounded) // the caller's Close ends the connections that remain after the timeout
 }
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -9,39 +9,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// heldListener gives connections that write nothing until they are released.
-type heldListener struct {
+// blockingListener accepts connections whose writes block until release is closed.
+type blockingListener struct {
 	net.Listener
 	release chan struct{}
 }
 
-func (l heldListener) Accept() (net.Conn, error) {
+func (l blockingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return heldConn{Conn: conn, release: l.release}, nil
+	return blockingConn{Conn: conn, release: l.release}, nil
 }
 
-type heldConn struct {
+type blockingConn struct {
 	net.Conn
 	release chan struct{}
 }
 
-func (c heldConn) Write(b []byte) (int, error) {
+func (c blockingConn) Write(b []byte) (int, error) {
 	<-c.release
 	return c.Conn.Write(b)
 }
 
-// A caller whose request was the last one of an instance that restarts got a closed
-// connection in place of its answer, though the work was done. The drain ends when the
-// request's handler has returned; the server writes the answer after that, and was
-// closed in between. On a busy machine the pause is long enough: seen with answers
-// that had been waited for, which are the last to end.
-func TestTheLastAnswerIsWrittenBeforeTheEnd(t *testing.T) {
+// Guards against a truncated response to the last request of an instance that restarts.
+// Draining ends when the request's handler has returned; the server writes the response
+// after that and must not be closed in between. On a busy machine the gap is long enough
+// to lose responses, as seen with responses that were waited for, which end last.
+func TestFlushWritesLastResponse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	held := heldListener{Listener: listener, release: make(chan struct{})}
+	held := blockingListener{Listener: listener, release: make(chan struct{})}
 	drained := make(chan struct{})
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		defer close(drained)
@@ -70,7 +69,7 @@
 		_ = server.Close()
 		close(ended)
 	}()
-	// The listener is closed first, so from here on the server is on its way down.
+	// Shutdown closes the listener first, so a refused connection shows that it has begun.
 	for {
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or for the end of a context.
+// Package wait provides a sleep that a context can cancel.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits, or returns early with the context's error.
+// For sleeps for d, or returns early with the context's error.
 func For(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
