--- a/events/daemon.go
+++ b/events/daemon.go
@@ -2,21 +2,21 @@
 
 import "go.uber.org/zap/zapcore"
 
-// Events of the daemon.
+// Events of the daemon: start, shutdown, settings and keys.
 var (
 	DaemonStarted           = define(6000, zapcore.InfoLevel, "The daemon has started.")
 	DaemonStopped           = define(6001, zapcore.InfoLevel, "The daemon has stopped.")
-	DaemonDrainStarted      = define(6002, zapcore.InfoLevel, "The daemon drains: it ends its requests and then stops.")
-	DaemonDrainAborted          = define(6003, zapcore.WarnLevel, "The drain was ended while requests were running.")
+	DaemonDrainStarted      = define(6002, zapcore.InfoLevel, "The daemon is draining: it finishes its requests and then stops.")
+	DaemonDrainAborted      = define(6003, zapcore.WarnLevel, "The drain was aborted while requests were running.")
 	ConfigurationServed     = define(6004, zapcore.InfoLevel, "A configuration revision is in force on this instance.")
-	KeysReloaded              = define(6005, zapcore.InfoLevel, "The shared keys were read again.")
-	KeysUnreadable          = define(6006, zapcore.ErrorLevel, "The shared keys cannot be read. The last good keys stay in use.")
+	KeysReloaded            = define(6005, zapcore.InfoLevel, "The shared keys were reloaded.")
+	KeysUnreadable          = define(6006, zapcore.ErrorLevel, "The shared keys cannot be read. The last valid keys stay in use.")
 	ListenerFailed          = define(6007, zapcore.ErrorLevel, "A listener has failed.")
-	BootstrapFailed         = define(6008, zapcore.ErrorLevel, "The first declarations cannot be applied.")
-	SettingsReloaded          = define(6009, zapcore.InfoLevel, "The settings were read again.")
-	LogLinesDropped            = define(6010, zapcore.WarnLevel, "Log lines were dropped.")
-	SettingsUnreadable      = define(6011, zapcore.ErrorLevel, "The settings cannot be read again. The last good ones stay in use.")
-	SettingReplaced         = define(6014, zapcore.ErrorLevel, "A quantity in the settings does not fit. Its default or the nearest bound is used.")
+	BootstrapFailed         = define(6008, zapcore.ErrorLevel, "The initial declarations cannot be applied.")
+	SettingsReloaded        = define(6009, zapcore.InfoLevel, "The settings were reloaded.")
+	LogLinesDropped         = define(6010, zapcore.WarnLevel, "Log lines were dropped.")
+	SettingsUnreadable      = define(6011, zapcore.ErrorLevel, "The settings cannot be reloaded. The last valid ones stay in use.")
+	SettingReplaced         = define(6014, zapcore.ErrorLevel, "A quantity in the settings is not valid. Its default or the nearest bound is used.")
 	WeightsWanted           = define(6012, zapcore.InfoLevel, "Newer weights of a model are wanted.")
-	ConfigurationUnreadable = define(6013, zapcore.ErrorLevel, "A decided configuration cannot be read by this instance; the last one stays in force.")
+	ConfigurationUnreadable = define(6013, zapcore.ErrorLevel, "A committed configuration cannot be read by this instance; the last one stays in force.")
 )
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -12,16 +12,16 @@
 
 var rowPattern = regexp.MustCompile(`(?m)^\| (\d+) \| (\w+) \| (.+?) \| (.+?) \|$`)
 
-// Operators look events up by number. An event that the catalogue lacks, or
-// that says something else there, sends them the wrong way.
+// Guards against a page of events that differs from the code, since operators look up events
+// there by number: an event may be missing, listed twice, or have another level or text.
 func TestCatalogueMatchesDocument(t *testing.T) {
 	text, err := os.ReadFile("../docs/EVENTS.md")
 	assert.NilError(t, err)
 	documented := make(map[string]string)
 	for _, row := range rowPattern.FindAllStringSubmatch(string(text), -1) {
 		_, twice := documented[row[1]]
-		assert.Assert(t, !twice, "event %s stands twice in docs/EVENTS.md", row[1])
-		assert.Assert(t, strings.TrimSpace(row[4]) != "", "event %s does not say what to do", row[1])
+		assert.Assert(t, !twice, "event %s is listed twice in docs/EVENTS.md", row[1])
+		assert.Assert(t, strings.TrimSpace(row[4]) != "", "event %s has no instruction for operators", row[1])
 		documented[row[1]] = row[2] + " " + row[3]
 	}
 	defined := make(map[string]bool)
@@ -32,6 +32,6 @@
 		assert.Equal(t, documented[number], e.Level.String()+" "+e.Text, "event %s in docs/EVENTS.md", number)
 	}
 	for number := range documented {
-		assert.Assert(t, defined[number], "docs/EVENTS.md has event %s, the code does not", number)
+		assert.Assert(t, defined[number], "event %s of docs/EVENTS.md is not defined", number)
 	}
 }
--- a/events/membership.go
+++ b/events/membership.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap/zapcore"
 
-// Events of membership.
+// Events of membership and failure detection.
 var (
-	DatagramDropped = define(4000, zapcore.DebugLevel, "A datagram of failure detection was dropped.")
+	DatagramDropped = define(4000, zapcore.DebugLevel, "A failure detection datagram was dropped.")
 )
