--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,8 +1,8 @@
-// Package keys holds the shared keys that instances and operators prove
-// themselves with. A key file has one key a line; the first is sent, all are
-// accepted, so that a key is rotated by adding the new one behind the old on
-// every instance, then swapping them, then removing the old one. Files are read
-// again while the process runs.
+// Package keys implements shared-secret authentication between instances and of
+// operators: bearer tokens on HTTP requests and HMACs on datagrams. A key file has one
+// key per line; the first key is sent and all of them are accepted. To rotate a key, add
+// the new one after the old one on every instance, then swap them, then remove the old
+// one. Key files are reloaded while the process runs.
 package keys
 
 import (
@@ -20,34 +20,34 @@
 )
 
 const (
-	// minLength is the fewest characters a key has; keys are random, not
+	// minLength is the minimum length of a key in characters; keys are random, not
 	// passwords.
 	minLength = 32
-	// maxKeys bounds the work of checking a wrong key.
-	maxKeys = 8
-	scheme  = "Bearer "
+	// maxKeys bounds the cost of rejecting a wrong key.
+	maxKeys      = 8
+	bearerPrefix = "Bearer "
 )
 
-// FileError means that a key file has no usable content.
+// FileError reports a key file without usable content.
 type FileError struct {
 	Path   string
 	Reason string
 }
 
-// Error names the file and what is wrong; it holds no key.
+// Error names the file and the fault; it contains no key.
 func (e *FileError) Error() string { return fmt.Sprintf("key file %s: %s", e.Path, e.Reason) }
 
-// Ring is the keys of one file. It is safe for concurrent use.
+// Ring is the key ring of one key file. It is safe for concurrent use.
 type Ring struct {
 	path string
 
-	mu   sync.RWMutex
-	raw  []byte
-	send string
-	sums [][sha256.Size]byte
+	mu      sync.RWMutex
+	content []byte
+	primary string
+	digests [][sha256.Size]byte
 }
 
-// Read reads a key file.
+// Read returns the ring of a key file.
 func Read(path string) (*Ring, error) {
 	r := &Ring{path: path}
 	_, err := r.Reload()
@@ -56,18 +56,18 @@
 
 // NewRing returns a ring of one key that does not come from a file.
 func NewRing(key string) *Ring {
-	return &Ring{send: key, sums: [][sha256.Size]byte{sha256.Sum256([]byte(key))}}
+	return &Ring{primary: key, digests: [][sha256.Size]byte{sha256.Sum256([]byte(key))}}
 }
 
-// Reload reads the file again and says whether it changed. After a failure the
-// keys stay as they were: a half-written file must not lock everyone out.
+// Reload reads the file again and reports whether it changed. After a failure the
+// previous keys stay in use: a half-written file must not lock everyone out.
 func (r *Ring) Reload() (bool, error) {
 	raw, err := os.ReadFile(r.path)
 	if err != nil {
 		return false, trace.ConvertSystemError(err)
 	}
 	r.mu.RLock()
-	same := r.raw != nil && bytes.Equal(raw, r.raw)
+	same := r.content != nil && bytes.Equal(raw, r.content)
 	r.mu.RUnlock()
 	if same {
 		return false, nil
@@ -78,17 +78,17 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.raw = raw
-	r.send = keys[0]
-	r.sums = nil
+	r.content = raw
+	r.primary = keys[0]
+	r.digests = nil
 	for _, key := range keys {
-		r.sums = append(r.sums, sha256.Sum256([]byte(key)))
+		r.digests = append(r.digests, sha256.Sum256([]byte(key)))
 	}
 	return true, nil
 }
 
-// parse reads one key a line; empty lines and lines that start with # are
-// passed over.
+// parse returns the keys of a file, one per line; it skips empty lines and comments,
+// which start with #.
 func parse(path string, raw []byte) ([]string, error) {
 	var keys []string
 	lines := bufio.NewScanner(bytes.NewReader(raw))
@@ -113,31 +113,31 @@
 	return keys, nil
 }
 
-// Accepts says whether key is one of the ring's. Its time depends neither on
-// the key nor on which one matches, so a caller learns nothing by trying.
+// Accepts reports whether key is in the ring. It compares in constant time over all
+// keys, so a caller cannot learn a key from response times.
 func (r *Ring) Accepts(key string) bool {
 	sum := sha256.Sum256([]byte(key))
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	match := 0
-	for i := range r.sums {
-		match |= subtle.ConstantTimeCompare(sum[:], r.sums[i][:])
+	for i := range r.digests {
+		match |= subtle.ConstantTimeCompare(sum[:], r.digests[i][:])
 	}
 	return match == 1
 }
 
-// Key returns the key to send.
+// Key returns the key to send, the first one of the ring.
 func (r *Ring) Key() string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.send
+	return r.primary
 }
 
-// Require serves only requests that carry one of the ring's keys as a bearer
+// Require returns middleware that rejects requests without a key of the ring as bearer
 // token.
 func Require(r *Ring, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		key, found := strings.CutPrefix(req.Header.Get("Authorization"), scheme)
+		key, found := strings.CutPrefix(req.Header.Get("Authorization"), bearerPrefix)
 		if !found || !r.Accepts(key) {
 			http.Error(w, "the key is missing or not accepted", http.StatusUnauthorized)
 			return
@@ -146,15 +146,16 @@
 	})
 }
 
-// Transport sends the ring's key with every request.
+// Transport is an http.RoundTripper that adds the ring's key to every request as a bearer
+// token.
 type Transport struct {
 	Ring *Ring
 	Base http.RoundTripper
 }
 
-// RoundTrip adds the key to a copy of the request.
+// RoundTrip sends a copy of the request with the key added.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	req = req.Clone(req.Context())
-	req.Header.Set("Authorization", scheme+t.Ring.Key())
+	req.Header.Set("Authorization", bearerPrefix+t.Ring.Key())
 	return t.Base.RoundTrip(req)
 }
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -17,12 +17,12 @@
 	newKey = strings.Repeat("n", minLength)
 )
 
-func write(t *testing.T, path string, keys ...string) {
+func writeKeyFile(t *testing.T, path string, keys ...string) {
 	t.Helper()
 	assert.NilError(t, os.WriteFile(path, []byte("# keys\n"+strings.Join(keys, "\n")+"\n"), 0o600))
 }
 
-func status(t *testing.T, server *httptest.Server, transport http.RoundTripper) int {
+func getStatus(t *testing.T, server *httptest.Server, transport http.RoundTripper) int {
 	t.Helper()
 	resp, err := (&http.Client{Transport: transport}).Get(server.URL)
 	assert.NilError(t, err)
@@ -30,14 +30,14 @@
 	return resp.StatusCode
 }
 
-// A key is rotated while instances talk. At no step may a holder of the older
-// file be refused, or operators see calls fail half-way through a rotation.
-func TestRotationWithoutRefusal(t *testing.T) {
+// Guards against rejected requests in the middle of a key rotation: at each step, a
+// holder of the older file must be accepted.
+func TestRotationRejectsNoRequest(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "here")
 	other := filepath.Join(folder, "there")
-	write(t, path, oldKey)
-	write(t, other, oldKey)
+	writeKeyFile(t, path, oldKey)
+	writeKeyFile(t, other, oldKey)
 	here, err := Read(path)
 	assert.NilError(t, err)
 	there, err := Read(other)
@@ -57,36 +57,36 @@
 		{path, here, []string{newKey}},
 		{other, there, []string{newKey}},
 	} {
-		write(t, step.file, step.keys...)
+		writeKeyFile(t, step.file, step.keys...)
 		changed, err := step.ring.Reload()
 		assert.NilError(t, err)
 		assert.Assert(t, changed)
-		assert.Equal(t, status(t, server, transport), http.StatusOK, "after %v", step)
+		assert.Equal(t, getStatus(t, server, transport), http.StatusOK, "after %v", step)
 	}
 	assert.Assert(t, !here.Accepts(oldKey))
 }
 
-func TestCallsWithoutKeyAreRefused(t *testing.T) {
+func TestRequestsWithoutKeyAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
-	write(t, path, oldKey)
+	writeKeyFile(t, path, oldKey)
 	ring, err := Read(path)
 	assert.NilError(t, err)
 	server := httptest.NewServer(Require(ring, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})))
 	defer server.Close()
-	assert.Equal(t, status(t, server, http.DefaultTransport), http.StatusUnauthorized)
-	wrong := &Ring{send: newKey}
-	assert.Equal(t, status(t, server, &Transport{Ring: wrong, Base: http.DefaultTransport}), http.StatusUnauthorized)
+	assert.Equal(t, getStatus(t, server, http.DefaultTransport), http.StatusUnauthorized)
+	wrong := &Ring{primary: newKey}
+	assert.Equal(t, getStatus(t, server, &Transport{Ring: wrong, Base: http.DefaultTransport}), http.StatusUnauthorized)
 }
 
-// An editor truncates the file before it writes it, and the process reads it in
-// between. The keys in use must stay.
-func TestBadFileKeepsKeys(t *testing.T) {
+// Guards against a lockout when the file is read between an editor's truncation and its
+// write: the keys in use must stay.
+func TestInvalidFileKeepsKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
-	write(t, path, oldKey)
+	writeKeyFile(t, path, oldKey)
 	ring, err := Read(path)
 	assert.NilError(t, err)
 	for _, content := range [][]string{{}, {"short"}, strings.Split(strings.Repeat(newKey+" ", maxKeys+1), " ")[:maxKeys+1]} {
-		write(t, path, content...)
+		writeKeyFile(t, path, content...)
 		_, err = ring.Reload()
 		var bad *FileError
 		assert.Assert(t, errors.As(err, &bad), "got %v for %v", err, content)
--- a/keys/mac.go
+++ b/keys/mac.go
@@ -5,36 +5,37 @@
 	"crypto/sha256"
 )
 
-// macSize is the length in bytes of the code that Seal puts before a datagram.
+// macSize is the length in bytes of the message authentication code (a truncated
+// HMAC-SHA-256) in front of a datagram's payload.
 const macSize = 16
 
-// Sign returns the payload with a code before it that proves it comes from a
-// holder of the key that is sent.
+// Sign returns the payload preceded by its message authentication code under the key
+// to send. The payload is not encrypted.
 func (r *Ring) Sign(payload []byte) []byte {
 	r.mu.RLock()
-	key := sha256.Sum256([]byte(r.send))
+	key := sha256.Sum256([]byte(r.primary))
 	r.mu.RUnlock()
-	return append(code(key, payload), payload...)
+	return append(computeMAC(key, payload), payload...)
 }
 
-// Verify returns the payload of what Seal made with any of the accepted keys, and
-// false for anything else.
-func (r *Ring) Verify(sealed []byte) ([]byte, bool) {
-	if len(sealed) < macSize {
+// Verify returns the payload of a datagram from Sign if its code matches any accepted
+// key, and false otherwise.
+func (r *Ring) Verify(signed []byte) ([]byte, bool) {
+	if len(signed) < macSize {
 		return nil, false
 	}
-	payload := sealed[macSize:]
+	payload := signed[macSize:]
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	for _, key := range r.sums {
-		if hmac.Equal(sealed[:macSize], code(key, payload)) {
+	for _, key := range r.digests {
+		if hmac.Equal(signed[:macSize], computeMAC(key, payload)) {
 			return payload, true
 		}
 	}
 	return nil, false
 }
 
-func code(key [sha256.Size]byte, payload []byte) []byte {
+func computeMAC(key [sha256.Size]byte, payload []byte) []byte {
 	mac := hmac.New(sha256.New, key[:])
 	_, _ = mac.Write(payload)
 	return mac.Sum(nil)[:macSize]
--- a/keys/mac_test.go
+++ b/keys/mac_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func ringOf(t *testing.T, content string) *Ring {
+func ringFromContent(t *testing.T, content string) *Ring {
 	path := filepath.Join(t.TempDir(), "key")
 	assert.NilError(t, os.WriteFile(path, []byte(content), 0o600))
 	ring, err := Read(path)
@@ -16,11 +16,12 @@
 	return ring
 }
 
-// A key is being rotated: some instances send the new one, others still the old
-// one. A datagram under a key that nobody was given must not count.
-func TestSealedDatagrams(t *testing.T) {
+// Guards against datagrams that are rejected during a key rotation, when some instances
+// send the new key and others the old one, and against datagrams that are accepted with
+// an unknown key or a modified payload.
+func TestSignedDatagrams(t *testing.T) {
 	const older, newer = "older-older-older-older-older-older", "newer-newer-newer-newer-newer-newer"
-	both, only := ringOf(t, older+"\n"+newer+"\n"), ringOf(t, newer+"\n")
+	both, only := ringFromContent(t, older+"\n"+newer+"\n"), ringFromContent(t, newer+"\n")
 	payload, ok := both.Verify(only.Sign([]byte("row")))
 	assert.Assert(t, ok)
 	assert.Equal(t, string(payload), "row")
