--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -34,8 +34,7 @@
 	}
 }
 
-// The buckets must never tell a percentile below the true one, and never more
-// than one bucket above it.
+// A reported percentile must not be below the true one, and at most one bucket above it.
 func TestPercentileAgainstSortedValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Int64Range(250, 60_000_000), 1, 200).Draw(t, "values")
@@ -66,8 +65,8 @@
 	})
 }
 
-// A flood of organisations must not grow the memory of an instance without
-// bound; those past the bound are measured together.
+// Guards against memory growth without bound when very many organisations send requests:
+// those beyond the limit share one set of histograms.
 func TestOrganisationsAreBounded(t *testing.T) {
 	registry := NewRegistry()
 	requests := NewRequests(registry)
@@ -75,7 +74,7 @@
 		requests.ObserveTTFT(tables.OrganisationID(fmt.Sprintf("o%d", i)), "p", tables.Normal, time.Millisecond)
 	}
 	assert.Equal(t, len(requests.organisations), MaxOrganisations+1)
-	assert.Equal(t, requests.organisations[otherOrganisation].ttft.Count(), int64(50))
+	assert.Equal(t, requests.organisations[overflowOrganisation].ttft.Count(), int64(50))
 }
 
 func TestConcurrentUse(t *testing.T) {
@@ -89,10 +88,10 @@
 		})
 	}
 	wg.Wait()
-	assert.Equal(t, requests.classes[tables.Urgent].hit.Count(), int64(4000))
+	assert.Equal(t, requests.classes[tables.Urgent].prefixHitRatio.Count(), int64(4000))
 }
 
-// BenchmarkOrganisations gives the memory of the measurements by the number of
+// BenchmarkOrganisations reports the heap use of request metrics by number of
 // organisations, for docs/CAPACITY.md.
 func BenchmarkOrganisations(b *testing.B) {
 	for _, n := range []int{8, 860, 8600} {
--- a/metrics/registry.go
+++ b/metrics/registry.go
@@ -12,65 +12,65 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Label is one dimension of a measurement.
+// Label is one label of a time series.
 type Label struct{ Name, Value string }
 
-// Registry holds measurements by family and labels. It is safe for concurrent
+// Registry holds time series by metric family and labels. It is safe for concurrent
 // use.
 type Registry struct {
 	registry gometrics.Registry
 
-	mu       sync.RWMutex
-	families map[string]string // family to help text
-	before   []func()
+	mu           sync.RWMutex
+	helpTexts    map[string]string // family to help text
+	collectHooks []func()
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{registry: gometrics.NewRegistry(), families: make(map[string]string)}
+	return &Registry{registry: gometrics.NewRegistry(), helpTexts: make(map[string]string)}
 }
 
-// describe remembers the help text of a family.
-func (r *Registry) describe(family, help string) {
+// setHelp sets the help text of a family.
+func (r *Registry) setHelp(family, help string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.families[family] = help
+	r.helpTexts[family] = help
 }
 
-// Counter returns the counter of a family with these labels, made at its first
-// use. Its name ends in _total.
+// Counter returns the counter of a family with these labels and creates it on first
+// use. Names of counter families end in _total.
 func (r *Registry) Counter(family, help string, labels ...Label) gometrics.Counter {
 	name := seriesName(family, labels)
 	if found := r.registry.Get(name); found != nil {
 		return found.(gometrics.Counter)
 	}
-	r.describe(family, help)
+	r.setHelp(family, help)
 	return r.registry.GetOrRegister(name, gometrics.NewCounter).(gometrics.Counter)
 }
 
-// Gauge returns the gauge of a family with these labels, made at its first use.
+// Gauge returns the gauge of a family with these labels and creates it on first use.
 func (r *Registry) Gauge(family, help string, labels ...Label) gometrics.GaugeFloat64 {
 	name := seriesName(family, labels)
 	if found := r.registry.Get(name); found != nil {
 		return found.(gometrics.GaugeFloat64)
 	}
-	r.describe(family, help)
+	r.setHelp(family, help)
 	return r.registry.GetOrRegister(name, gometrics.NewGaugeFloat64).(gometrics.GaugeFloat64)
 }
 
-// Histogram returns the histogram of a family with these labels, made at its
-// first use. Values are given in millionths of the family's unit.
+// Histogram returns the histogram of a family with these labels and creates it on first
+// use. It takes values in millionths of the family's unit.
 func (r *Registry) Histogram(family, help string, bounds Bounds, labels ...Label) gometrics.Histogram {
 	name := seriesName(family, labels)
 	if found := r.registry.Get(name); found != nil {
 		return found.(gometrics.Histogram)
 	}
-	r.describe(family, help)
-	make := func() gometrics.Histogram { return gometrics.NewHistogram(newBucketSample(bounds)) }
-	return r.registry.GetOrRegister(name, make).(gometrics.Histogram)
+	r.setHelp(family, help)
+	newHistogram := func() gometrics.Histogram { return gometrics.NewHistogram(newBucketSample(bounds)) }
+	return r.registry.GetOrRegister(name, newHistogram).(gometrics.Histogram)
 }
 
-// seriesName joins family and labels the way the text format writes them.
+// seriesName returns the name of a time series as the text format writes it.
 func seriesName(family string, labels []Label) string {
 	if len(labels) == 0 {
 		return family
@@ -90,14 +90,14 @@
 	return b.String()
 }
 
-// series is one measurement with its name taken apart.
+// series is one time series with its name split into family and labels.
 type series struct {
 	family, labels string
 	value          any
 }
 
-// sorted returns all series, families together.
-func (r *Registry) sorted() []series {
+// sortedSeries returns all time series, sorted by family and then by labels.
+func (r *Registry) sortedSeries() []series {
 	var all []series
 	r.registry.Each(func(name string, value any) {
 		family, labels, _ := strings.Cut(name, "{")
@@ -112,37 +112,37 @@
 	return all
 }
 
-// BeforeWrite has a function called each time before measurements are written,
-// to update those that are ages.
+// BeforeWrite registers a hook that runs before each WriteText, to update gauges that
+// depend on the current time, such as ages.
 func (r *Registry) BeforeWrite(update func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.before = append(r.before, update)
+	r.collectHooks = append(r.collectHooks, update)
 }
 
-// WriteText writes all measurements in the text exposition format.
+// WriteText writes all time series in the Prometheus text exposition format.
 func (r *Registry) WriteText(w io.Writer) error {
 	r.mu.RLock()
-	before := r.before
+	before := r.collectHooks
 	r.mu.RUnlock()
 	for _, update := range before {
 		update()
 	}
 	out := bufio.NewWriter(w)
 	family := ""
-	for _, s := range r.sorted() {
+	for _, s := range r.sortedSeries() {
 		if s.family != family {
 			family = s.family
-			r.writeHead(out, s)
+			r.writeMetadata(out, s)
 		}
 		s.write(out)
 	}
 	return out.Flush()
 }
 
-func (r *Registry) writeHead(out *bufio.Writer, s series) {
+func (r *Registry) writeMetadata(out *bufio.Writer, s series) {
 	r.mu.RLock()
-	help := r.families[s.family]
+	help := r.helpTexts[s.family]
 	r.mu.RUnlock()
 	kind := "gauge"
 	switch s.value.(type) {
@@ -157,9 +157,9 @@
 func (s series) write(out *bufio.Writer) {
 	switch m := s.value.(type) {
 	case gometrics.Counter:
-		fmt.Fprintf(out, "%s %d\n", braced(s.family, s.labels), m.Count())
+		fmt.Fprintf(out, "%s %d\n", withLabels(s.family, s.labels), m.Count())
 	case gometrics.GaugeFloat64:
-		fmt.Fprintf(out, "%s %g\n", braced(s.family, s.labels), m.Value())
+		fmt.Fprintf(out, "%s %g\n", withLabels(s.family, s.labels), m.Value())
 	case gometrics.Histogram:
 		s.writeHistogram(out, m.Sample().Snapshot().(*bucketSample))
 	}
@@ -177,18 +177,19 @@
 	}
 	total := sample.Count()
 	fmt.Fprintf(out, "%s_bucket{%sle=\"+Inf\"} %d\n", s.family, prefix, total)
-	fmt.Fprintf(out, "%s %g\n", braced(s.family+"_sum", s.labels), float64(sample.Sum())*unit)
-	fmt.Fprintf(out, "%s %d\n", braced(s.family+"_count", s.labels), total)
+	fmt.Fprintf(out, "%s %g\n", withLabels(s.family+"_sum", s.labels), float64(sample.Sum())*recordedUnit)
+	fmt.Fprintf(out, "%s %d\n", withLabels(s.family+"_count", s.labels), total)
 }
 
-func braced(name, labels string) string {
+func withLabels(name, labels string) string {
 	if labels == "" {
 		return name
 	}
 	return name + "{" + labels + "}"
 }
 
-// HistogramSummary is one histogram in brief, for a terminal.
+// HistogramSummary is the count, mean and percentiles of one histogram, for display in a
+// terminal.
 type HistogramSummary struct {
 	Family string  `json:"family"`
 	Labels string  `json:"labels"`
@@ -199,19 +200,19 @@
 	P99    float64 `json:"p99"`
 }
 
-// HistogramSummaries returns the histograms whose family starts with the given text, in
-// brief. Percentiles are upper bounds of buckets.
+// HistogramSummaries summarises the histograms whose family starts with the prefix. A
+// percentile is the upper bound of its bucket, or the maximum if that is lower.
 func (r *Registry) HistogramSummaries(prefix string) []HistogramSummary {
 	var rows []HistogramSummary
-	for _, s := range r.sorted() {
+	for _, s := range r.sortedSeries() {
 		h, ok := s.value.(gometrics.Histogram)
 		if !ok || !strings.HasPrefix(s.family, prefix) {
 			continue
 		}
 		p := h.Percentiles([]float64{0.5, 0.95, 0.99})
 		rows = append(rows, HistogramSummary{
-			Family: s.family, Labels: s.labels, Count: h.Count(), Mean: h.Mean() * unit,
-			P50: p[0] * unit, P95: p[1] * unit, P99: p[2] * unit,
+			Family: s.family, Labels: s.labels, Count: h.Count(), Mean: h.Mean() * recordedUnit,
+			P50: p[0] * recordedUnit, P95: p[1] * recordedUnit, P99: p[2] * recordedUnit,
 		})
 	}
 	return rows
--- a/metrics/sample.go
+++ b/metrics/sample.go
@@ -1,6 +1,6 @@
-// Package metrics keeps counters and histograms per class and per organisation
-// in go-metrics registries of bounded size, and serves them in the text format
-// that scrapers read.
+// Package metrics keeps counters, gauges and histograms per priority class and per
+// organisation in go-metrics registries of bounded size, and serves them in the
+// Prometheus text exposition format.
 package metrics
 
 import (
@@ -10,17 +10,17 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Bounds is the list of upper bounds of a histogram's buckets, rising. A last
-// bucket without bound is kept beside them.
+// Bounds lists the upper bounds of a histogram's buckets in ascending order. A histogram
+// has a further bucket without an upper bound.
 type Bounds []float64
 
-// SecondsBounds are the bounds for times: from 0.25 ms to 68 min by powers of two.
-var SecondsBounds = exponential(0.00025, 2, 25)
+// SecondsBounds are the bucket bounds for durations: powers of two from 0.25 ms to 68 min.
+var SecondsBounds = exponentialBounds(0.00025, 2, 25)
 
-// RatioBounds are the bounds for shares of a whole, in tenths.
+// RatioBounds are the bucket bounds for ratios, in steps of a tenth.
 var RatioBounds = Bounds{0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1}
 
-func exponential(first, factor float64, n int) Bounds {
+func exponentialBounds(first, factor float64, n int) Bounds {
 	bounds := make(Bounds, n)
 	for i := range bounds {
 		bounds[i] = first
@@ -29,16 +29,14 @@
 	return bounds
 }
 
-// unit is what one step of a recorded integer stands for: go-metrics samples
-// take int64 values, so times are recorded in microseconds and ratios in
-// millionths.
-const unit = 1e-6
+// recordedUnit is the value of one step of a recorded integer: go-metrics samples take
+// int64 values, so durations are recorded in microseconds and ratios in millionths.
+const recordedUnit = 1e-6
 
-// bucketSample is a go-metrics sample that counts values by bucket. Its size is
-// fixed by the number of bounds, about 240 bytes for times, where the
-// library's own samples hold a thousand values of 8 bytes each: with 8,600
-// organisations and three histograms each, theirs would need over 200 MB. It is
-// safe for concurrent use.
+// bucketSample is a fixed-bucket histogram that implements go-metrics' Sample. Its size
+// depends only on the number of bounds and is about 240 bytes for durations. The
+// library's own samples hold a thousand values of 8 bytes each: with 8,600 organisations
+// and three histograms each, they would need over 200 MB. It is safe for concurrent use.
 type bucketSample struct {
 	bounds Bounds
 	counts []atomic.Uint32
@@ -52,9 +50,9 @@
 	return &bucketSample{bounds: bounds, counts: make([]atomic.Uint32, len(bounds)+1)}
 }
 
-// Update counts a value given in millionths.
+// Update records a value in millionths.
 func (s *bucketSample) Update(v int64) {
-	s.counts[s.bucket(float64(v)*unit)].Add(1)
+	s.counts[s.bucket(float64(v)*recordedUnit)].Add(1)
 	s.sum.Add(v)
 	for {
 		old := s.max.Load()
@@ -64,7 +62,7 @@
 	}
 }
 
-// bucket finds the first bound that is not below v.
+// bucket returns the index of the first bound that is not below v, by binary search.
 func (s *bucketSample) bucket(v float64) int {
 	low, high := 0, len(s.bounds)
 	for low < high {
@@ -78,7 +76,7 @@
 	return low
 }
 
-// Count returns how many values were counted.
+// Count returns the number of recorded values.
 func (s *bucketSample) Count() int64 {
 	var n int64
 	for i := range s.counts {
@@ -87,7 +85,7 @@
 	return n
 }
 
-// Clear forgets all values.
+// Clear resets the sample.
 func (s *bucketSample) Clear() {
 	for i := range s.counts {
 		s.counts[i].Store(0)
@@ -96,8 +94,8 @@
 	s.max.Store(0)
 }
 
-// Percentile returns an upper bound of the p-th part of the values (p from 0 to
-// 1): the bound of the bucket it lies in, or the maximum if that is lower.
+// Percentile returns an upper bound of the p-quantile (p from 0 to 1): the upper bound
+// of the bucket that contains it, or the maximum if that is lower.
 func (s *bucketSample) Percentile(p float64) float64 {
 	total := s.Count()
 	if total == 0 {
@@ -108,7 +106,7 @@
 	for i, bound := range s.bounds {
 		seen += int64(s.counts[i].Load())
 		if seen >= rank && seen > 0 {
-			return math.Min(bound/unit, float64(s.max.Load()))
+			return math.Min(bound/recordedUnit, float64(s.max.Load()))
 		}
 	}
 	return float64(s.max.Load())
@@ -126,7 +124,7 @@
 // Max returns the largest value.
 func (s *bucketSample) Max() int64 { return s.max.Load() }
 
-// Min returns 0: the smallest value is not kept.
+// Min returns 0: the sample does not keep the smallest value.
 func (s *bucketSample) Min() int64 { return 0 }
 
 // Sum returns the sum of all values.
@@ -144,16 +142,16 @@
 // Size returns the number of buckets.
 func (s *bucketSample) Size() int { return len(s.counts) }
 
-// StdDev returns 0: squares are not kept.
+// StdDev returns 0: the sample does not keep squares.
 func (s *bucketSample) StdDev() float64 { return 0 }
 
-// Variance returns 0: squares are not kept.
+// Variance returns 0: the sample does not keep squares.
 func (s *bucketSample) Variance() float64 { return 0 }
 
-// Values returns nothing: single values are not kept.
+// Values returns nil: the sample does not keep individual values.
 func (s *bucketSample) Values() []int64 { return nil }
 
-// Snapshot returns a copy that no longer changes.
+// Snapshot returns an immutable copy.
 func (s *bucketSample) Snapshot() gometrics.Sample {
 	out := newBucketSample(s.bounds)
 	for i := range s.counts {
