--- a/cli/request_trail.go
+++ b/cli/request_trail.go
@@ -20,8 +20,8 @@
 			return fail(exitFailure, err)
 		}
 	}
-	found, err := reader.Trail()
-	var missing *trail.NotFound
+	found, err := reader.Trace()
+	var missing *trail.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
 		return fail(exitFailure, err)
 	}
--- a/logs/losses/losses.go
+++ b/logs/losses/losses.go
@@ -24,19 +24,19 @@
 	Refused Reason = "refused"
 	// Failed: an endpoint had it and gave no whole answer.
 	Failed Reason = "failed at an endpoint"
-	// Left: its caller left before it was whole.
-	Left Reason = "caller left"
-	// Moved: answered late by a further endpoint.
-	Moved Reason = "late after a failed attempt"
-	// Held: it waited long for a place, or for a part of its prompt to be read.
-	Held Reason = "late after waiting for a place"
-	// Reading: no endpoint was expected to be in time, and it had most of its
+	// CallerLeft: its caller left before it was whole.
+	CallerLeft Reason = "caller left"
+	// Retried: answered late by a further endpoint.
+	Retried Reason = "late after a failed attempt"
+	// WaitedForPlacement: it waited long for a place, or for a part of its prompt to be read.
+	WaitedForPlacement Reason = "late after waiting for a place"
+	// LongPrefill: no endpoint was expected to be in time, and it had most of its
 	// prompt to read.
-	Reading Reason = "late since its prompt had to be read"
-	// Queued: no endpoint was expected to be in time.
-	Queued Reason = "late in a queue that was known"
-	// Fetching: a part of its prompt came later than expected from elsewhere.
-	Fetching Reason = "late while a prompt was fetched"
+	LongPrefill Reason = "late since its prompt had to be read"
+	// LongQueue: no endpoint was expected to be in time.
+	LongQueue Reason = "late in a queue that was known"
+	// SlowCacheFetch: a part of its prompt came later than expected from elsewhere.
+	SlowCacheFetch Reason = "late while a prompt was fetched"
 	// Unexpected: everything else that took longer than expected.
 	Unexpected Reason = "later than expected"
 )
@@ -46,26 +46,26 @@
 
 // The moments, of which the first that holds is taken.
 const (
-	// Started: an entry instance had just started.
-	Started Moment = "after a start of an entry instance"
-	// Weights: new weights were being rolled out.
-	Weights Moment = "while weights were new"
-	// Lost: an endpoint had crashed or taken no connections.
-	Lost Moment = "after an endpoint was lost"
+	// InstanceStarted: an entry instance had just started.
+	InstanceStarted Moment = "after a start of an entry instance"
+	// WeightsRollout: new weights were being rolled out.
+	WeightsRollout Moment = "while weights were new"
+	// EndpointLost: an endpoint had crashed or taken no connections.
+	EndpointLost Moment = "after an endpoint was lost"
 	// Ordinary is any other.
 	Ordinary Moment = "otherwise"
 )
 
 // spans is how long each moment lasts after the line that begins it: a rollout takes
 // some seconds, and so does it until queues are short again.
-var spans = map[Moment]time.Duration{Started: 2 * time.Second, Weights: 6 * time.Second, Lost: 3 * time.Second}
+var spans = map[Moment]time.Duration{InstanceStarted: 2 * time.Second, WeightsRollout: 6 * time.Second, EndpointLost: 3 * time.Second}
 
 // heldPart is the part of the target that a request waited for a place in, for that
 // to be the reason.
 const heldPart = 0.4
 
-// Row counts the losses of a route with one reason at one kind of moment.
-type Row struct {
+// LossCount counts the losses of a route with one reason at one kind of moment.
+type LossCount struct {
 	Route  string `json:"route"`
 	Reason Reason `json:"reason"`
 	Moment Moment `json:"moment"`
@@ -82,7 +82,7 @@
 // Table is what logs come to.
 type Table struct {
 	Routes []Route `json:"routes"`
-	Losses []Row   `json:"losses"`
+	Losses []LossCount   `json:"losses"`
 }
 
 // loss is a request that was not answered in time.
@@ -114,12 +114,12 @@
 	switch line.Event {
 	case events.DaemonStarted.Number:
 		if line.Field("entry") == "true" {
-			r.begin(Started, line.At)
+			r.begin(InstanceStarted, line.At)
 		}
 	case events.WeightsWanted.Number:
-		r.begin(Weights, line.At)
+		r.begin(WeightsRollout, line.At)
 	case events.EndpointCrashed.Number, events.EndpointUnreachable.Number:
-		r.begin(Lost, line.At)
+		r.begin(EndpointLost, line.At)
 	case events.RequestAnswered.Number:
 		r.answered(line)
 	case events.RequestFailed.Number:
@@ -134,7 +134,7 @@
 	case events.StreamAborted.Number:
 		r.lose(line, Failed)
 	case events.ClientDisconnected.Number:
-		r.lose(line, Left)
+		r.lose(line, CallerLeft)
 	}
 }
 
@@ -182,15 +182,15 @@
 func lateness(line trail.Line, target time.Duration) Reason {
 	switch {
 	case line.Int("sends") > 1:
-		return Moved
+		return Retried
 	case line.Duration("placed").Seconds() > heldPart*target.Seconds():
-		return Held
+		return WaitedForPlacement
 	case line.Duration("expected") > target && 2*line.Int("to_read") > line.Int("prompt"):
-		return Reading
+		return LongPrefill
 	case line.Duration("expected") > target:
-		return Queued
+		return LongQueue
 	case line.Field("source") != "":
-		return Fetching
+		return SlowCacheFetch
 	}
 	return Unexpected
 }
@@ -204,15 +204,15 @@
 	for _, name := range slices.Sorted(maps.Keys(r.routes)) {
 		t.Routes = append(t.Routes, *r.routes[name])
 	}
-	counts := map[Row]int{}
+	counts := map[LossCount]int{}
 	for _, l := range r.lost {
-		counts[Row{Route: l.route, Reason: l.reason, Moment: r.momentOf(l.at)}]++
+		counts[LossCount{Route: l.route, Reason: l.reason, Moment: r.momentOf(l.at)}]++
 	}
 	for row, n := range counts {
 		row.Count = n
 		t.Losses = append(t.Losses, row)
 	}
-	slices.SortFunc(t.Losses, func(a, b Row) int {
+	slices.SortFunc(t.Losses, func(a, b LossCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Route, b.Route),
 			cmp.Compare(a.Reason, b.Reason), cmp.Compare(a.Moment, b.Moment))
 	})
@@ -220,7 +220,7 @@
 }
 
 func (r *Reader) momentOf(at time.Time) Moment {
-	for _, m := range []Moment{Started, Weights, Lost} {
+	for _, m := range []Moment{InstanceStarted, WeightsRollout, EndpointLost} {
 		if r.isDuring(m, at) {
 			return m
 		}
--- a/logs/losses/losses_test.go
+++ b/logs/losses/losses_test.go
@@ -28,12 +28,12 @@
 	assert.NilError(t, r.Read("edge.log", strings.NewReader(log)))
 	table := r.Table()
 	assert.DeepEqual(t, table.Routes, []Route{{Name: "a", Asked: 5, InTime: 1}, {Name: "b", Asked: 1}})
-	assert.DeepEqual(t, table.Losses, []Row{
-		{Route: "a", Reason: Left, Moment: Ordinary, Count: 1},
-		{Route: "a", Reason: Moved, Moment: Started, Count: 1},
-		{Route: "a", Reason: Fetching, Moment: Lost, Count: 1},
-		{Route: "a", Reason: Refused, Moment: Weights, Count: 1},
-		{Route: "b", Reason: Reading, Moment: Weights, Count: 1},
+	assert.DeepEqual(t, table.Losses, []LossCount{
+		{Route: "a", Reason: CallerLeft, Moment: Ordinary, Count: 1},
+		{Route: "a", Reason: Retried, Moment: InstanceStarted, Count: 1},
+		{Route: "a", Reason: SlowCacheFetch, Moment: EndpointLost, Count: 1},
+		{Route: "a", Reason: Refused, Moment: WeightsRollout, Count: 1},
+		{Route: "b", Reason: LongPrefill, Moment: WeightsRollout, Count: 1},
 	})
 }
 
--- a/logs/trail/story.go
+++ b/logs/trail/story.go
@@ -40,28 +40,28 @@
 }
 
 // Write tells the trail in order, then what happened around it.
-func (t *Trail) Write(w io.Writer) {
+func (t *Trace) Write(w io.Writer) {
 	fmt.Fprintf(w, "request %s: %s\n", t.Request, t.verdict())
 	for i := range t.Lines {
 		t.writeLine(w, &t.Lines[i])
 	}
-	if len(t.Around) > 0 {
+	if len(t.Context) > 0 {
 		fmt.Fprintf(w, "around it, at its endpoints and in its processes:\n")
 	}
-	for i := range t.Around {
-		t.writeLine(w, &t.Around[i])
+	for i := range t.Context {
+		t.writeLine(w, &t.Context[i])
 	}
 	fmt.Fprintf(w, "logs read of: %s\n", strings.Join(t.Instances, ", "))
 	if len(t.Missing) > 0 {
 		fmt.Fprintf(w, "logs missing of the control instances at: %s\n", strings.Join(t.Missing, ", "))
 	}
-	if t.LeftOut > 0 {
+	if t.DropReports > 0 {
 		fmt.Fprintf(w, "processes left lines out of their logs near this time: see event %d\n", events.LogLinesDropped.Number)
 	}
 }
 
 // verdict is how the request ended.
-func (t *Trail) verdict() string {
+func (t *Trace) verdict() string {
 	for _, line := range slices.Backward(t.Lines) {
 		switch line.Event {
 		case events.RequestAnswered.Number:
@@ -90,7 +90,7 @@
 	"load_age", "doubt", "endpoints", "revision", "control_heard", "weights",
 }
 
-func (t *Trail) writeLine(w io.Writer, line *Line) {
+func (t *Trace) writeLine(w io.Writer, line *Line) {
 	fmt.Fprintf(w, "  %s %-10s %d %s\n", line.At.Format("15:04:05.000"), line.Instance, line.Event, line.Text)
 	var parts []string
 	tell := func(name string) {
--- a/logs/trail/trail.go
+++ b/logs/trail/trail.go
@@ -146,24 +146,24 @@
 	}
 }
 
-// Trail is what was found.
-type Trail struct {
+// Trace is what was found.
+type Trace struct {
 	Request string
-	// Lines are those that name the request, in their order, and Around those of
+	// Lines are those that name the request, in their order, and Context those of
 	// its endpoints, its configuration and its processes near in time.
-	Lines, Around []Line
+	Lines, Context []Line
 	// Instances are those whose logs were read. Missing are addresses of control
 	// instances that are spoken of and whose logs were not.
 	Instances []string
 	Missing   []string
-	// LeftOut counts lines near in time that processes left out of their logs.
-	LeftOut int
+	// DropReports counts lines near in time that processes left out of their logs.
+	DropReports int
 }
 
-// NotFound means that no line names the request.
-type NotFound struct{ Request string }
+// NotFoundError means that no line names the request.
+type NotFoundError struct{ Request string }
 
-func (e *NotFound) Error() string { return "no line names the request " + strconv.Quote(e.Request) }
+func (e *NotFoundError) Error() string { return "no line names the request " + strconv.Quote(e.Request) }
 
 // A line that explains a request may come this long before its life or after it:
 // an endpoint that crashed before, a control instance that fell silent, a crash
@@ -173,16 +173,16 @@
 	after = time.Second
 )
 
-// Trail sums up what was read.
-func (r *Reader) Trail() (*Trail, error) {
-	t := &Trail{Request: r.request}
+// Trace sums up what was read.
+func (r *Reader) Trace() (*Trace, error) {
+	t := &Trace{Request: r.request}
 	for name := range r.instances {
 		t.Instances = append(t.Instances, name)
 	}
 	slices.Sort(t.Instances)
 	t.Missing = r.missing()
 	if len(r.own) == 0 {
-		return t, &NotFound{Request: r.request}
+		return t, &NotFoundError{Request: r.request}
 	}
 	byTime := func(a, b Line) int { return a.At.Compare(b.At) }
 	slices.SortStableFunc(r.own, byTime)
@@ -192,12 +192,12 @@
 		from = from.Add(-took)
 	}
 	t.pick(r.around, from.Add(-near), to.Add(after))
-	slices.SortStableFunc(t.Around, byTime)
+	slices.SortStableFunc(t.Context, byTime)
 	return t, nil
 }
 
 // pick keeps the lines of a span of time that concern the request.
-func (t *Trail) pick(around []Line, from, to time.Time) {
+func (t *Trace) pick(around []Line, from, to time.Time) {
 	endpoints, instances := map[string]bool{}, map[string]bool{}
 	for i := range t.Lines {
 		endpoints[t.Lines[i].Field("endpoint")] = true
@@ -208,11 +208,11 @@
 			continue
 		}
 		if line.Event == events.LogLinesDropped.Number {
-			t.LeftOut++
+			t.DropReports++
 		}
 		endpoint := line.Field("endpoint")
 		if endpoint != "" && endpoints[endpoint] || endpoint == "" && instances[line.Instance] {
-			t.Around = append(t.Around, line)
+			t.Context = append(t.Context, line)
 		}
 	}
 }
--- a/logs/trail/trail_test.go
+++ b/logs/trail/trail_test.go
@@ -23,12 +23,12 @@
 {"level":"info","ts":"2026-01-02T10:00:07.5Z","msg":"An endpoint was ordered to load weights.","instance":"core-1","endpoint":"i-2","event":3022}
 `
 
-func read(t *testing.T, request string) (*Trail, error) {
+func read(t *testing.T, request string) (*Trace, error) {
 	t.Helper()
 	r := NewReader(request)
 	assert.NilError(t, r.Read("control.log", strings.NewReader(controlLog)))
 	assert.NilError(t, r.Read("entry.log", strings.NewReader(entryLog)))
-	return r.Trail()
+	return r.Trace()
 }
 
 // A caller got 502 for work that must run once. The engineer on call has the
@@ -38,7 +38,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(trail.Lines), 2)
 	var around []string
-	for _, line := range trail.Around {
+	for _, line := range trail.Context {
 		around = append(around, line.Field("endpoint")+line.Field("source"))
 	}
 	assert.DeepEqual(t, around, []string{"i-1", "10.0.0.9:7340", "i-1"})
@@ -58,7 +58,7 @@
 
 func TestARequestOfWhichNobodySpeaksIsNotFound(t *testing.T) {
 	_, err := read(t, "r-9")
-	var missing *NotFound
+	var missing *NotFoundError
 	assert.Assert(t, errors.As(err, &missing))
 }
 
