--- a/cli/validate.go
+++ b/cli/validate.go
@@ -58,7 +58,7 @@
 	}
 	path := f.Arg(0)
 	summary, err := c.check(path)
-	var invalid *settings.Invalid
+	var invalid *settings.ValidationError
 	if err != nil && !errors.As(err, &invalid) {
 		return fail(exitFailure, err)
 	}
@@ -70,7 +70,7 @@
 	return c.print(result, invalid)
 }
 
-func (c *validateCommand) print(result validateResult, invalid *settings.Invalid) subcommands.ExitStatus {
+func (c *validateCommand) print(result validateResult, invalid *settings.ValidationError) subcommands.ExitStatus {
 	switch {
 	case c.asJSON:
 		if err := writeJSON(os.Stdout, result); err != nil {
@@ -119,7 +119,7 @@
 	}
 	table, err := platform.ParseConfiguration(text)
 	if err != nil {
-		return "", &settings.Invalid{Problems: []settings.Problem{{File: path, Wrong: err.Error(), Right: "a document that an operator can send"}}}
+		return "", &settings.ValidationError{Problems: []settings.Problem{{File: path, Wrong: err.Error(), Right: "a document that an operator can send"}}}
 	}
 	return fmt.Sprintf("number %d with %d routes, %d services, %d organisations",
 		table.Revision, len(table.Routes), len(table.Services), len(table.Organisations)), nil
--- a/cmd/carawaystiled/forward.go
+++ b/cmd/carawaystiled/forward.go
@@ -57,7 +57,7 @@
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
-	current, replaced, err := settings.ReadForwardingToRun(c.path)
+	current, replaced, err := settings.ReadForwardingLenient(c.path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitInvalidFile
@@ -96,7 +96,7 @@
 // reload rereads the settings file. After a failure the former settings stay in
 // effect.
 func (c *forwardCommand) reload(n *node.Node, log *zap.Logger) {
-	read, replaced, err := settings.ReadForwardingToRun(c.path)
+	read, replaced, err := settings.ReadForwardingLenient(c.path)
 	if err != nil {
 		events.SettingsUnreadable.Log(log, zap.Error(err))
 		return
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -133,7 +133,7 @@
 func ParseForwarding(file string, text []byte) (*Forwarding, error) {
 	f, replaced, err := parseForwarding(file, text)
 	if err == nil && len(replaced) > 0 {
-		err = &Invalid{Problems: replaced}
+		err = &ValidationError{Problems: replaced}
 	}
 	if err != nil {
 		return nil, err
@@ -141,11 +141,11 @@
 	return f, nil
 }
 
-// ReadForwardingToRun is ReadForwarding for an instance that is to run: faults of
+// ReadForwardingLenient is ReadForwarding for an instance that is to run: faults of
 // quantities that have a default do not keep it from it. They are returned in
 // replaced, each with a default or the nearest bound in its place. The same file
 // comes to all instances, so that one odd quantity would end them all at once.
-func ReadForwardingToRun(path string) (f *Forwarding, replaced []Problem, err error) {
+func ReadForwardingLenient(path string) (f *Forwarding, replaced []Problem, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, trace.ConvertSystemError(err)
--- a/settings/forwarding_test.go
+++ b/settings/forwarding_test.go
@@ -83,7 +83,7 @@
 		"a host name":     strings.Replace(forwarding, "127.0.0.2", "control.example", 1),
 	} {
 		_, err := ParseForwarding("f.yaml", []byte(text))
-		var invalid *Invalid
+		var invalid *ValidationError
 		assert.Assert(t, errors.As(err, &invalid), "%s: %v", name, err)
 	}
 }
@@ -117,7 +117,7 @@
 	} {
 		path := filepath.Join(t.TempDir(), "f.yaml")
 		assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(forwarding, c.old, c.odd, 1)), 0o600))
-		f, replaced, err := ReadForwardingToRun(path)
+		f, replaced, err := ReadForwardingLenient(path)
 		assert.NilError(t, err, name)
 		assert.Assert(t, c.holds(f), "%s: %+v", name, f)
 		if name == "fraction of memory" {
@@ -125,7 +125,7 @@
 		}
 		assert.Equal(t, len(replaced), 1, name)
 		_, err = ReadForwarding(path)
-		var invalid *Invalid
+		var invalid *ValidationError
 		assert.Assert(t, errors.As(err, &invalid), "%s: a check before use names it: %v", name, err)
 	}
 }
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -39,13 +39,13 @@
 	return fmt.Sprintf("%s: %s. Right would be: %s.", where, p.Wrong, p.Right)
 }
 
-// Invalid is the failure of a read; it holds every problem found.
-type Invalid struct {
+// ValidationError is the failure of a read; it holds every problem found.
+type ValidationError struct {
 	Problems []Problem
 }
 
 // Error lists the problems, one a line.
-func (e *Invalid) Error() string {
+func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
 		lines[i] = p.String()
@@ -74,5 +74,5 @@
 		}
 		return a.Line < b.Line
 	})
-	return &Invalid{Problems: c.problems}
+	return &ValidationError{Problems: c.problems}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -23,7 +23,7 @@
 
 func problems(t *testing.T, err error) []Problem {
 	t.Helper()
-	var invalid *Invalid
+	var invalid *ValidationError
 	assert.Assert(t, errors.As(err, &invalid), "got %v", err)
 	return invalid.Problems
 }
