--- a/settings/check.go
+++ b/settings/check.go
@@ -9,9 +9,8 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// The checks below run once all files are read, since a declaration may refer
-// to one in another file.
-
+// checkProfile and the checks below validate references between declarations. They run
+// after all files are read, since a declaration may refer to one in another file.
 func (d *declarations) checkProfile(n node, p tables.Profile) {
 	switch {
 	case p.Model == "" && p.Service == "":
@@ -38,7 +37,7 @@
 func (d *declarations) checkModelProfile(n node, p tables.Profile) {
 	i := slices.IndexFunc(d.configuration.Models, func(m tables.Model) bool { return m.Name == p.Model })
 	if i < 0 {
-		unknown(n, "model", p.Model, d.models)
+		reportUnknownName(n, "model", p.Model, d.models)
 		return
 	}
 	model := d.configuration.Models[i]
@@ -67,7 +66,7 @@
 func (d *declarations) checkOrganisation(n node, o tables.Organisation) {
 	for _, profile := range o.Profiles {
 		if _, ok := d.profiles[profile]; !ok {
-			unknown(n, "profile", profile, d.profiles)
+			reportUnknownName(n, "profile", profile, d.profiles)
 		}
 	}
 }
@@ -81,7 +80,7 @@
 	}
 	for _, model := range e.Models {
 		if _, ok := d.models[model]; !ok {
-			unknown(n, "model", model, d.models)
+			reportUnknownName(n, "model", model, d.models)
 		}
 	}
 	for _, other := range d.configuration.Endpoints {
@@ -91,8 +90,9 @@
 	}
 }
 
-// unknown reports a name that nothing declares.
-func unknown[K ~string](n node, kind string, key K, declared map[K]place) {
+// reportUnknownName reports a reference to an undeclared name and suggests the nearest
+// declared one.
+func reportUnknownName[K ~string](n node, kind string, key K, declared map[K]declaredAt) {
 	if key == "" {
 		return
 	}
@@ -102,7 +102,7 @@
 	}
 	slices.Sort(known)
 	right := "a declared " + kind
-	if guess := nearest(string(key), known); guess != "" {
+	if guess := nearestWord(string(key), known); guess != "" {
 		right = guess
 	}
 	n.problem("no "+kind+" is called "+string(key), right)
--- a/settings/declarations.go
+++ b/settings/declarations.go
@@ -13,7 +13,7 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Bounds of what can be declared.
+// Upper bounds of declared values.
 const (
 	maxWait       = time.Hour
 	maxTimeout    = 4 * time.Hour
@@ -35,28 +35,27 @@
 	defaultWeightLoads = 2
 )
 
-// place remembers where a name was declared, for messages about it.
-type place struct {
+// declaredAt is the position of a declaration, for messages that refer to it.
+type declaredAt struct {
 	node node
 	line int
 }
 
-// declarations is a configuration while it is being read, with the places of
-// its parts.
+// declarations is a configuration under construction, with the positions of the names
+// declared so far and the cross-reference checks to run at the end.
 type declarations struct {
 	configuration tables.Configuration
-	models        map[tables.ModelName]place
-	profiles      map[tables.ProfileName]place
-	organisations map[tables.OrganisationID]place
-	endpoints     map[tables.EndpointID]place
+	models        map[tables.ModelName]declaredAt
+	profiles      map[tables.ProfileName]declaredAt
+	organisations map[tables.OrganisationID]declaredAt
+	endpoints     map[tables.EndpointID]declaredAt
 	checks        []func()
 	out           collector
 }
 
-// ReadDeclarations reads one YAML file, or every *.yaml and *.yml file of a
-// folder, as one configuration. The revision of the result is 0: only the
-// control state gives revisions. Its failure is *Invalid when the files could
-// be read but have faults.
+// ReadDeclarations reads one YAML file, or all *.yaml and *.yml files of a folder, as one
+// configuration. The revision of the result is 0: only the control state assigns revisions.
+// The error is a *ValidationError if the files are readable but invalid.
 func ReadDeclarations(path string) (*tables.Configuration, error) {
 	files, err := declarationFiles(path)
 	if err != nil {
@@ -102,15 +101,14 @@
 	return !entry.IsDir() && (extension == ".yaml" || extension == ".yml")
 }
 
-// ParseDeclarations is ReadDeclarations over texts already in memory, by file
-// name.
+// ParseDeclarations does what ReadDeclarations does, for texts in memory by file name.
 func ParseDeclarations(texts map[string][]byte) (*tables.Configuration, error) {
 	d := &declarations{
 		configuration: tables.Configuration{WeightLoads: defaultWeightLoads},
-		models:        make(map[tables.ModelName]place),
-		profiles:      make(map[tables.ProfileName]place),
-		organisations: make(map[tables.OrganisationID]place),
-		endpoints:     make(map[tables.EndpointID]place),
+		models:        make(map[tables.ModelName]declaredAt),
+		profiles:      make(map[tables.ProfileName]declaredAt),
+		organisations: make(map[tables.OrganisationID]declaredAt),
+		endpoints:     make(map[tables.EndpointID]declaredAt),
 	}
 	files := make([]string, 0, len(texts))
 	for file := range texts {
@@ -141,8 +139,8 @@
 	)
 }
 
-// declare records a name and reports a second declaration of it.
-func declare[K ~string](seen map[K]place, kind string, key K, n node) {
+// declare records the position of a name and reports a duplicate declaration.
+func declare[K ~string](seen map[K]declaredAt, kind string, key K, n node) {
 	if key == "" {
 		return
 	}
@@ -150,11 +148,11 @@
 		n.problem(kind+" "+string(key)+" is declared twice, first at "+first.String(), "one of the two, or another name")
 		return
 	}
-	seen[key] = place{node: n, line: n.Line}
+	seen[key] = declaredAt{node: n, line: n.Line}
 }
 
-// String gives the place as file:line.
-func (p place) String() string {
+// String returns the position as file:line.
+func (p declaredAt) String() string {
 	return p.node.file + ":" + itoa(p.line)
 }
 
@@ -176,7 +174,7 @@
 		field{key: "model", read: name(&p.Model)},
 		field{key: "adapter", read: name(&p.Adapter)},
 		field{key: "service", read: name(&p.Service)},
-		field{key: "can_wait", read: wait(&p.MaxWait)},
+		field{key: "can_wait", read: maxWaitTime(&p.MaxWait)},
 		field{key: "timeout", read: duration(&p.Timeout, 10*time.Millisecond, maxTimeout)},
 		field{key: "may_repeat", required: true, read: boolean(&p.Idempotent)},
 		field{key: "priority", read: choice(&p.Priority, priorityWords, priorities)},
@@ -202,8 +200,8 @@
 	}
 )
 
-// wait reads "no", or the longest time that work may be held back.
-func wait(dst *time.Duration) func(node) {
+// maxWaitTime reads "no" or the longest time that a request may be queued.
+func maxWaitTime(dst *time.Duration) func(node) {
 	return func(n node) {
 		if s, ok := n.scalar("no, or a time such as 20m"); ok && s != "no" && s != "false" {
 			duration(dst, time.Millisecond, maxWait)(n)
@@ -226,8 +224,8 @@
 	d.checks = append(d.checks, func() { d.checkOrganisation(n, o) })
 }
 
-// tokenHashes reads one to four hex SHA-256 hashes. The tokens themselves never
-// stand in a file.
+// tokenHashes reads one to four SHA-256 hashes in hexadecimal. Files never contain the
+// tokens themselves.
 func tokenHashes(dst *[]string) func(node) {
 	return func(n node) {
 		n.list(func(item node) {
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -12,8 +12,8 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Forwarding is the settings of one instance of a forwarding deployment, in
-// which routes and endpoints come from the platform and requests pass unchanged.
+// Forwarding is the settings of one instance of a forwarding deployment, in which routes
+// and endpoints come from the platform and requests are forwarded unchanged.
 type Forwarding struct {
 	Instance tables.InstanceID
 	Zone     tables.Zone
@@ -22,86 +22,86 @@
 	// Data is the folder of a control instance; an entry instance has none.
 	Data   string
 	Listen ForwardingListen
-	// Advertise holds the addresses at which others reach Listen's, where these
-	// differ: behind a forwarder or another network's edge.
+	// Advertise holds the addresses at which other instances reach those in Listen, where
+	// they differ, for example behind a port forwarder or a NAT gateway.
 	Advertise ForwardingAdvertise
-	// Source is the IP number that connections to others start from; invalid
-	// leaves the choice to the machine.
+	// Source is the local IP address of outgoing connections; if it is invalid, the
+	// operating system chooses.
 	Source netip.Addr
-	// Seeds are operator addresses of some control instances, the only others
-	// that an instance is told of. The control instances among them listen for
-	// instances at the same IP number and the ports of this instance.
+	// Seeds are operator addresses of some control instances, the only other instances
+	// that the settings name. The control instances among them listen for instances at the
+	// same IP address and the ports of this instance.
 	Seeds []netip.AddrPort
-	// New is set when the whole deployment starts for the first time, with empty
-	// disks; only then may the seeds found a control group.
+	// New is set when the whole deployment starts for the first time, with empty disks.
+	// Only then may the seeds bootstrap a control group.
 	New bool
-	// Tolerate is how many control instances may be lost at once.
+	// Tolerate is the number of control instances that may fail at the same time.
 	Tolerate int
-	// MemoryMB is what the instance may use, and LinkMbps what its link carries; 0
-	// if that is not known.
+	// MemoryMB is the memory available to the instance, and LinkMbps the bandwidth of its
+	// network link; 0 if unknown.
 	MemoryMB int
 	LinkMbps float64
-	// Processors is how many processors the instance has, which may be a part of one;
-	// 0 if that is not known.
+	// Processors is the number of processors of the instance, which may be a fraction; 0 if
+	// unknown.
 	Processors float64
-	// List serves the platform's list of endpoints.
+	// List is the address of the platform's endpoint list.
 	List    netip.AddrPort
 	Orders  ForwardingOrders
 	Retries ForwardingRetries
 	Usage   ForwardingUsage
 	Drain   Drain
-	// LogLevel is the least level that is written.
+	// LogLevel is the lowest level that is logged.
 	LogLevel zapcore.Level
 }
 
-// ForwardingListen holds the addresses an instance listens on.
+// ForwardingListen holds the addresses that an instance listens on.
 type ForwardingListen struct {
-	// Callers takes requests and Ready the balancer's checks; both are for entry
-	// instances. Operators is for control instances.
+	// Callers is for requests and Ready for the load balancer's health checks; entry
+	// instances have both. Operators is for control instances.
 	Callers   netip.AddrPort
 	Ready     netip.AddrPort
 	Operators netip.AddrPort
-	// Instances serves other instances over TCP, Membership over UDP.
+	// Instances is for other instances over TCP, Membership for failure detection over UDP.
 	Instances  netip.AddrPort
 	Membership netip.AddrPort
-	// Metrics serves counters and histograms; invalid for none.
+	// Metrics is for metric scrapers; invalid for none.
 	Metrics netip.AddrPort
 }
 
-// ForwardingAdvertise holds addresses that are told to other instances. What the
-// settings do not name is that of ForwardingListen.
+// ForwardingAdvertise holds the addresses that are announced to other instances. Those left
+// out default to the addresses in ForwardingListen.
 type ForwardingAdvertise struct {
 	Instances  netip.AddrPort
 	Membership netip.AddrPort
 }
 
-// ForwardingOrders bounds orders to engines.
+// ForwardingOrders configures orders to engines.
 type ForwardingOrders struct {
-	// Lease is the least time between two instances' orders to one engine, and
-	// bounds how long an instance gives orders without hearing from the group.
+	// Lease is the minimum time between orders of two instances to the same engine. It also
+	// bounds how long an instance gives orders without contact to the control group.
 	Lease time.Duration
-	// Fenced says that engines refuse orders with an old fencing number.
+	// Fenced states that engines check fencing tokens: they reject orders with an old one.
 	Fenced bool
-	// WeightsTimeout is how long after newer weights were named a request may
-	// begin on older ones.
+	// WeightsTimeout is how long after newer weights were requested a request may still
+	// start on older ones.
 	WeightsTimeout time.Duration
 }
 
-// ForwardingRetries bounds repeated sends to a service, over all instances.
+// ForwardingRetries is the retry budget of a service, over all instances.
 type ForwardingRetries struct {
 	Ratio float64
-	// Extra is a number of sends in a window; a share of a larger deployment's may
-	// be a fraction.
+	// Extra is a number of retries per window. It may be a fraction, as the share of a
+	// larger deployment's budget.
 	Extra  float64
 	Window time.Duration
-	// AddressReuse is for how long after an endpoint's end the platform gives its
-	// address to no other process.
+	// AddressReuse is how long the platform keeps the address of an endpoint unassigned after
+	// the endpoint has ended.
 	AddressReuse time.Duration
 }
 
-// ForwardingUsage is by how much an organisation's use may exceed its limit within a window,
-// over all instances: by Overage as a part of the limit, and by Slack beyond that, in the
-// unit of the limit.
+// ForwardingUsage is the tolerance of usage limits: how far the usage of an organisation may
+// exceed its limit within a window, over all instances. Overage is a fraction of the limit;
+// Slack is added to it, in the unit of the limit.
 type ForwardingUsage struct{ Overage, Slack float64 }
 
 // Defaults of the forwarding settings.
@@ -114,13 +114,13 @@
 	defaultRetryWindow  = 10 * time.Second
 	defaultAddressReuse = 2 * time.Second
 	defaultForwardDrain = 7 * time.Second
-	// defaultForwardAnnounce is above the time in which a balancer that asks
-	// once a second and forgives one miss stops sending callers.
+	// defaultForwardAnnounce exceeds the time in which a load balancer that checks once a
+	// second and tolerates one failed check stops sending requests.
 	defaultForwardAnnounce = 3 * time.Second
 )
 
-// ReadForwarding reads and checks a settings file. Its failure is *Invalid when
-// the file could be read but has faults.
+// ReadForwarding reads and validates a settings file. The error is a *ValidationError if
+// the file is readable but invalid.
 func ReadForwarding(path string) (*Forwarding, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return ParseForwarding(path, text)
 }
 
-// ParseForwarding is ReadForwarding over a text already in memory.
+// ParseForwarding does what ReadForwarding does, for a text in memory.
 func ParseForwarding(file string, text []byte) (*Forwarding, error) {
 	f, replaced, err := parseForwarding(file, text)
 	if err == nil && len(replaced) > 0 {
@@ -141,10 +141,10 @@
 	return f, nil
 }
 
-// ReadForwardingLenient is ReadForwarding for an instance that is to run: faults of
-// quantities that have a default do not keep it from it. They are returned in
-// replaced, each with a default or the nearest bound in its place. The same file
-// comes to all instances, so that one odd quantity would end them all at once.
+// ReadForwardingLenient does what ReadForwarding does, for an instance that must start
+// despite invalid quantities: a quantity with a default is replaced by the default or by the
+// nearest bound, and replaced reports it. All instances get the same file, so that one
+// invalid quantity would otherwise stop all of them at once.
 func ReadForwardingLenient(path string) (f *Forwarding, replaced []Problem, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -188,10 +188,10 @@
 		field{key: "source", read: f.readSource},
 		field{key: "seeds", read: f.readSeeds},
 		field{key: "new_deployment", read: boolean(&f.New)},
-		field{key: "tolerate_instances", read: whole(&f.Tolerate, 0, 4)},
-		field{key: "memory_mb", read: whole(&f.MemoryMB, 16, 1<<20)},
-		field{key: "link_mbps", read: quantity(&f.LinkMbps, 0, 1_000_000)},
-		field{key: "processors", read: quantity(&f.Processors, 0, 1024)},
+		field{key: "tolerate_instances", read: lenientInteger(&f.Tolerate, 0, 4)},
+		field{key: "memory_mb", read: lenientInteger(&f.MemoryMB, 16, 1<<20)},
+		field{key: "link_mbps", read: lenientNumber(&f.LinkMbps, 0, 1_000_000)},
+		field{key: "processors", read: lenientNumber(&f.Processors, 0, 1024)},
 		field{key: "platform_list", read: address(&f.List)},
 		field{key: "orders", read: f.Orders.read},
 		field{key: "retries", read: f.Retries.read},
@@ -255,7 +255,7 @@
 	f.Source = at
 }
 
-// complete fills in what follows from other settings.
+// complete sets the defaults that depend on other settings.
 func (f *Forwarding) complete() {
 	if !f.Advertise.Instances.IsValid() {
 		f.Advertise.Instances = f.Listen.Instances
@@ -267,36 +267,36 @@
 
 func (o *ForwardingOrders) read(n node) {
 	n.object(
-		field{key: "lease", read: period(&o.Lease, time.Second, time.Minute)},
+		field{key: "lease", read: lenientDuration(&o.Lease, time.Second, time.Minute)},
 		field{key: "fenced", read: boolean(&o.Fenced)},
-		field{key: "weights_timeout", read: period(&o.WeightsTimeout, 0, time.Hour)},
+		field{key: "weights_timeout", read: lenientDuration(&o.WeightsTimeout, 0, time.Hour)},
 	)
 }
 
 func (r *ForwardingRetries) read(n node) {
 	n.object(
-		field{key: "ratio", read: quantity(&r.Ratio, 0, 10)},
-		field{key: "extra", read: quantity(&r.Extra, 0, 1_000_000)},
-		field{key: "window", read: period(&r.Window, time.Second, time.Hour)},
-		field{key: "address_reuse", read: period(&r.AddressReuse, 0, time.Hour)},
+		field{key: "ratio", read: lenientNumber(&r.Ratio, 0, 10)},
+		field{key: "extra", read: lenientNumber(&r.Extra, 0, 1_000_000)},
+		field{key: "window", read: lenientDuration(&r.Window, time.Second, time.Hour)},
+		field{key: "address_reuse", read: lenientDuration(&r.AddressReuse, 0, time.Hour)},
 	)
 }
 
 func (u *ForwardingUsage) read(n node) {
 	n.object(
-		field{key: "overage", read: quantity(&u.Overage, 0, 1)},
-		field{key: "slack", read: quantity(&u.Slack, 0, 1_000_000_000)},
+		field{key: "overage", read: lenientNumber(&u.Overage, 0, 1)},
+		field{key: "slack", read: lenientNumber(&u.Slack, 0, 1_000_000_000)},
 	)
 }
 
 func (f *Forwarding) readDrain(n node) {
 	n.object(
-		field{key: "announce", read: period(&f.Drain.Announce, 0, 10*time.Minute)},
-		field{key: "timeout", read: period(&f.Drain.Timeout, 0, maxTimeout)},
+		field{key: "announce", read: lenientDuration(&f.Drain.Announce, 0, 10*time.Minute)},
+		field{key: "timeout", read: lenientDuration(&f.Drain.Timeout, 0, maxTimeout)},
 	)
 }
 
-// check reports settings that contradict one another.
+// check reports missing settings that the instance's roles require.
 func (f *Forwarding) check(root node) {
 	if f.Entry && (!f.Listen.Callers.IsValid() || !f.Listen.Ready.IsValid()) {
 		root.problem("an entry instance has no address for callers or for the balancer's checks", "listen: with callers: and ready:")
--- a/settings/forwarding_test.go
+++ b/settings/forwarding_test.go
@@ -48,7 +48,7 @@
 	assert.Assert(t, !f.Source.IsValid())
 }
 
-// Guards against rate limits being enforced without the tolerance that operators grant.
+// Guards against rate limits that are enforced without the tolerance that operators grant.
 func TestUsageToleranceIsRead(t *testing.T) {
 	f, err := ParseForwarding("f.yaml", []byte(forwarding+"usage:\n  overage: 0.1\n  slack: 110000\n"))
 	assert.NilError(t, err)
@@ -58,8 +58,8 @@
 	assert.Equal(t, f.Usage, ForwardingUsage{})
 }
 
-// Guards against repeats that go to addresses which the platform gives to others sooner than
-// the instance believes.
+// Guards against retries to an address that the platform has assigned to another process
+// sooner than the instance assumes.
 func TestAddressReuseIsRead(t *testing.T) {
 	text := strings.Replace(forwarding, "window: 10s", "window: 10s\n  address_reuse: 1.5s", 1)
 	f, err := ParseForwarding("f.yaml", []byte(text))
@@ -70,9 +70,9 @@
 	assert.Equal(t, f.Retries.AddressReuse, defaultAddressReuse)
 }
 
-// A settings file names no data folder for a control instance. Started, the
-// instance would forget what it has acknowledged at its next restart.
-func TestFaultsOfForwardingSettingsAreNamed(t *testing.T) {
+// Guards against instances that start with settings that cannot work. A control instance
+// without a data folder would lose acknowledged state at its next restart.
+func TestInvalidForwardingSettingsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"no data folder":  strings.Replace(forwarding, "[entry]", "[control]", 1),
 		"no seeds":        strings.Replace(forwarding, "seeds:\n  - \"127.0.0.2:8783\"\n", "", 1),
@@ -88,18 +88,18 @@
 	}
 }
 
-// TestFractionOfRetriesIsRead guards against a deployment that does not start since
-// its share of the repeated sends is no whole number.
-func TestFractionOfRetriesIsRead(t *testing.T) {
+// Guards against a deployment that does not start because its share of the retry budget is
+// not an integer.
+func TestFractionalRetriesAreRead(t *testing.T) {
 	text := strings.Replace(forwarding, "extra: 58", "extra: 33.1578947368421", 1)
 	f, err := ParseForwarding("f.yaml", []byte(text))
 	assert.NilError(t, err)
 	assert.Equal(t, f.Retries.Extra, 33.1578947368421)
 }
 
-// TestOddQuantityKeepsNoInstanceFromRunning guards against one value that all
-// instances are given and that ends all of them at once.
-func TestOddQuantityKeepsNoInstanceFromRunning(t *testing.T) {
+// Guards against one invalid value that stops all instances at once, since all of them get
+// the same settings.
+func TestInvalidQuantityFallsBackToDefault(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, odd string
 		holds    func(*Forwarding) bool
@@ -126,6 +126,6 @@
 		assert.Equal(t, len(replaced), 1, name)
 		_, err = ReadForwarding(path)
 		var invalid *ValidationError
-		assert.Assert(t, errors.As(err, &invalid), "%s: a check before use names it: %v", name, err)
+		assert.Assert(t, errors.As(err, &invalid), "%s: strict validation does not report it: %v", name, err)
 	}
 }
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -1,8 +1,7 @@
-// Package settings reads and checks the two kinds of YAML that operators write:
-// the settings of one process and the declarations of a deployment (models,
-// profiles, organisations, endpoints). A file is read to its end even when it
-// has faults, so that all of them are reported at once, each with its line,
-// what is wrong and what would be right.
+// Package settings parses and validates the two kinds of YAML files that operators write:
+// the settings of one process, and the declarations of a deployment (models, profiles,
+// organisations, endpoints). Validation does not stop at the first fault: it reports all of
+// them at once, each with its position, what is wrong and what would be accepted.
 package settings
 
 import (
@@ -11,20 +10,21 @@
 	"strings"
 )
 
-// Problem is one fault in a file.
+// Problem is one validation error in a file.
 type Problem struct {
 	File string `json:"file"`
-	// Line and Column count from 1; zero means the file as a whole.
+	// Line and Column count from 1; zero refers to the file as a whole.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Path names the place inside the document, such as profiles[2].timeout.
+	// Path is the position within the document, such as profiles[2].timeout.
 	Path string `json:"path"`
-	// Wrong says what is there, Right what would be accepted.
+	// Wrong says what the file contains, Right what would be accepted.
 	Wrong string `json:"wrong"`
 	Right string `json:"right"`
 }
 
-// String gives the problem in one line, in the form that editors can jump to.
+// String formats the problem as one line that starts with file:line:column, which editors
+// can jump to.
 func (p Problem) String() string {
 	where := p.File
 	if p.Line > 0 {
@@ -39,12 +39,12 @@
 	return fmt.Sprintf("%s: %s. Right would be: %s.", where, p.Wrong, p.Right)
 }
 
-// ValidationError is the failure of a read; it holds every problem found.
+// ValidationError holds all problems found in one read.
 type ValidationError struct {
 	Problems []Problem
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -53,16 +53,17 @@
 	return strings.Join(lines, "\n")
 }
 
-// collector gathers problems over one or several files.
+// collector accumulates problems over one or several files.
 type collector struct {
 	problems []Problem
-	// replaced are problems of values that something else stands in for.
+	// replaced are the problems of lenient quantities whose values were replaced.
 	replaced []Problem
 }
 
 func (c *collector) add(p Problem) { c.problems = append(c.problems, p) }
 
-// err returns the problems in the order of the files, or nil.
+// err returns a *ValidationError with the problems sorted by file and line, or nil if there
+// are none.
 func (c *collector) err() error {
 	if len(c.problems) == 0 {
 		return nil
--- a/settings/process.go
+++ b/settings/process.go
@@ -12,76 +12,78 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Process is the settings of one carawaystiled.
+// Process is the settings of one carawaystiled process.
 type Process struct {
 	Instance tables.InstanceID
 	Zone     tables.Zone
-	// Data is the one folder that everything durable lies under.
+	// Data is the folder of all durable state.
 	Data string
-	// Entry and Control are the roles of the instance; one or both.
+	// Entry and Control are the roles of the instance; it has at least one.
 	Entry   bool
 	Control bool
-	// Size weighs this instance against others, such as its number of cores.
+	// Size is the capacity weight of this instance relative to others, such as its number
+	// of cores.
 	Size   int
 	Listen Listen
 	// ControlInstances are the instances with the control role.
 	ControlInstances []ControlInstance
-	// Peers are membership addresses to join through; a few suffice.
+	// Peers are membership addresses of instances to join through; a few suffice.
 	Peers []netip.AddrPort
-	// PlatformList is where the platform's list of instances and endpoints is
-	// read from; invalid when there is none.
+	// PlatformList is the address of the platform's list of instances and endpoints;
+	// invalid if there is none.
 	PlatformList netip.AddrPort
 	Keys         Keys
 	Limits       Limits
 	Drain        Drain
 	LogLevel     zapcore.Level
-	// Declarations is read once, at the first start of a new deployment.
+	// Declarations is the path of the initial declarations, which are read once, at the
+	// first start of a new deployment.
 	Declarations string
 }
 
-// Listen holds the addresses a process listens on.
+// Listen holds the addresses that a process listens on.
 type Listen struct {
-	// Callers serves the callers' interface and the balancer's checks.
+	// Callers is for the callers' API and the load balancer's health checks.
 	Callers netip.AddrPort
-	// Instances serves operators and other instances.
+	// Instances is for operators and other instances.
 	Instances netip.AddrPort
-	// Membership is the UDP address of failure detection.
+	// Membership is the UDP address for failure detection.
 	Membership netip.AddrPort
 }
 
-// ControlInstance is one member of the control group at its bootstrap.
+// ControlInstance is one initial member of the control group.
 type ControlInstance struct {
 	Name    tables.InstanceID
 	Zone    tables.Zone
 	Address netip.AddrPort
 }
 
-// Keys names the files that hold shared keys. Files are read again when they
-// change, so that keys rotate without a restart.
+// Keys has the paths of the shared key files. Changed files are reloaded, so that keys can
+// be rotated without a restart.
 type Keys struct {
 	Instances string
 	Operators string
 }
 
-// Limits bounds what callers can make one instance hold.
+// Limits bounds the resources of one instance that callers can occupy.
 type Limits struct {
-	// BodyBytes bounds one request body, HeaderBytes its header.
+	// BodyBytes bounds the body of a request, HeaderBytes its header.
 	BodyBytes   int64
 	HeaderBytes int64
-	// Connections bounds open caller connections.
+	// Connections bounds the number of open caller connections.
 	Connections int
-	// Requests bounds requests in progress over all organisations, and
-	// OrganisationRequests those of one.
+	// Requests bounds the requests in progress over all organisations, OrganisationRequests
+	// those of one organisation.
 	Requests             int
 	OrganisationRequests int
 }
 
-// Drain says how a graceful shutdown goes.
+// Drain configures graceful shutdown.
 type Drain struct {
-	// Announce is how long new connections are still served after the balancer
-	// was told.
+	// Announce is how long new connections are still served after the load balancer was
+	// told of the shutdown.
 	Announce time.Duration
-	// Timeout ends the drain when requests still run.
+	// Timeout ends the drain even if requests are still running.
 	Timeout time.Duration
 }
 
@@ -96,9 +98,9 @@
 	defaultDrainTimeout         = 30 * time.Minute
 )
 
-// ReadProcess reads and checks the settings file of a process. Relative paths
-// in it are taken from the folder of the file. Its failure is *Invalid when the
-// file could be read but has faults.
+// ReadProcess reads and validates the settings file of a process. Relative paths in it are
+// resolved against the folder of the file. The error is a *ValidationError if the file is
+// readable but invalid.
 func ReadProcess(path string) (*Process, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -117,8 +119,8 @@
 	return p, nil
 }
 
-// ParseProcess is ReadProcess over a text already in memory; paths stay as
-// written.
+// ParseProcess does what ReadProcess does, for a text in memory; it leaves relative paths
+// unresolved.
 func ParseProcess(file string, text []byte) (*Process, error) {
 	var out collector
 	p := &Process{
@@ -239,7 +241,7 @@
 	)
 }
 
-// check reports settings that contradict one another.
+// check reports missing and contradictory settings.
 func (p *Process) check(root node) {
 	if p.Entry && !p.Listen.Callers.IsValid() {
 		root.problem("an entry instance has no address for callers", "listen: with callers:")
--- a/settings/quantity.go
+++ b/settings/quantity.go
@@ -7,15 +7,14 @@
 	"time"
 )
 
-// The readers below are for quantities that the users' platform fills in. A value
-// out of bounds counts as the nearest bound, and one that cannot be read leaves
-// what dst holds, the default. Both are noted as replaced.
-
-// quantity reads a number, which may be a fraction.
-func quantity(dst *float64, low, high float64) func(node) {
+// lenientNumber reads a number, which may be a fraction. The lenient readers are for
+// quantities that the users' platform fills in: a value out of bounds is clamped to the
+// nearest bound, and an unreadable one leaves the default in dst. Both are recorded as
+// replaced.
+func lenientNumber(dst *float64, low, high float64) func(node) {
 	return func(n node) {
 		right := fmt.Sprintf("a number from %g to %g", low, high)
-		s, ok := n.quantityText(right, *dst)
+		s, ok := n.lenientScalar(right, *dst)
 		if !ok {
 			return
 		}
@@ -24,24 +23,24 @@
 			n.replace(right, *dst)
 			return
 		}
-		*dst = bounded(n, right, v, low, high)
+		*dst = clamp(n, right, v, low, high)
 	}
 }
 
-// whole reads a number and rounds it down.
-func whole(dst *int, low, high int) func(node) {
+// lenientInteger reads a number and rounds it towards zero.
+func lenientInteger(dst *int, low, high int) func(node) {
 	return func(n node) {
 		v := float64(*dst)
-		quantity(&v, float64(low), float64(high))(n)
+		lenientNumber(&v, float64(low), float64(high))(n)
 		*dst = int(v)
 	}
 }
 
-// period reads a length of time with its unit.
-func period(dst *time.Duration, low, high time.Duration) func(node) {
+// lenientDuration reads a duration with its unit.
+func lenientDuration(dst *time.Duration, low, high time.Duration) func(node) {
 	return func(n node) {
 		right := fmt.Sprintf("a time from %s to %s with its unit, such as 500ms, 30s or 10m", low, high)
-		s, ok := n.quantityText(right, *dst)
+		s, ok := n.lenientScalar(right, *dst)
 		if !ok {
 			return
 		}
@@ -50,12 +49,12 @@
 			n.replace(right, *dst)
 			return
 		}
-		*dst = bounded(n, right, v, low, high)
+		*dst = clamp(n, right, v, low, high)
 	}
 }
 
-// bounded returns v or the bound that is nearest to it.
-func bounded[T cmp.Ordered](n node, right string, v, low, high T) T {
+// clamp returns v limited to the bounds, and records a replacement if that changes it.
+func clamp[T cmp.Ordered](n node, right string, v, low, high T) T {
 	near := min(max(v, low), high)
 	if near != v {
 		n.replace(right, near)
@@ -63,8 +62,8 @@
 	return near
 }
 
-// quantityText gives the text of a plain value.
-func (n node) quantityText(right string, instead any) (string, bool) {
+// lenientScalar returns the text of a scalar; for other nodes it records a replacement.
+func (n node) lenientScalar(right string, instead any) (string, bool) {
 	s, plain := n.plain()
 	if !plain {
 		n.replace(right, instead)
@@ -72,7 +71,7 @@
 	return s, plain
 }
 
-// replace notes that something else is used instead of the value at n.
+// replace records that instead is used in place of the value at n.
 func (n node) replace(right string, instead any) {
 	n.out.replaced = append(n.out.replaced, Problem{
 		File: n.file, Line: n.Line, Column: n.Column, Path: n.path,
--- a/settings/reader.go
+++ b/settings/reader.go
@@ -11,14 +11,14 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// maxFileBytes bounds one file; larger ones are refused before they are parsed.
+// maxFileBytes bounds the size of a file; larger files are rejected without parsing.
 const maxFileBytes = 64 << 20
 
-// namePattern is what names may look like: they appear in logs, metrics, URLs
-// and hash inputs, so they hold no spaces, separators or control characters.
+// namePattern is the syntax of names. Names appear in logs, metrics, URLs and hash inputs,
+// so they must not contain spaces, separators or control characters.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// node is a place in a document, with what is needed to report a problem there.
+// node is a YAML node with its position in the document, for reporting problems.
 type node struct {
 	*yaml.Node
 	file string
@@ -26,15 +26,15 @@
 	out  *collector
 }
 
-// field reads one key of a mapping.
+// field reads the value of one key of a mapping.
 type field struct {
 	key      string
 	required bool
 	read     func(node)
 }
 
-// parse reads one YAML document. The returned node is invalid (nil inside) when
-// the text is no YAML; the problem is then in out.
+// parse parses one YAML document. If the text is not valid YAML, it records a problem in out
+// and returns false with a node that must not be used (its inner node is nil).
 func parse(file string, text []byte, out *collector) (node, bool) {
 	if len(text) > maxFileBytes {
 		out.add(Problem{File: file, Wrong: "the file is larger than 64 MiB", Right: "several smaller files"})
@@ -54,7 +54,7 @@
 
 var yamlLinePattern = regexp.MustCompile(`line (\d+)`)
 
-// yamlLine digs the line out of a parser's message; 0 if it names none.
+// yamlLine extracts the line number from a YAML parser's error; 0 if it contains none.
 func yamlLine(err error) int {
 	match := yamlLinePattern.FindStringSubmatch(err.Error())
 	if match == nil {
@@ -68,7 +68,7 @@
 	n.out.add(Problem{File: n.file, Line: n.Line, Column: n.Column, Path: n.path, Wrong: wrong, Right: right})
 }
 
-// child is a place below n.
+// child returns a node below n; it resolves an alias.
 func (n node) child(inner *yaml.Node, path string) node {
 	if inner.Kind == yaml.AliasNode {
 		inner = inner.Alias
@@ -76,8 +76,8 @@
 	return node{Node: inner, file: n.file, path: path, out: n.out}
 }
 
-// object reads a mapping: every key must be known, given once, and the required
-// ones present.
+// object reads a mapping. It reports unknown and duplicate keys, and required keys that are
+// missing.
 func (n node) object(fields ...field) {
 	if n.Kind != yaml.MappingNode {
 		n.problem("this is "+n.describe(), "a mapping with the keys "+strings.Join(keys(fields), ", "))
@@ -122,7 +122,7 @@
 	return names
 }
 
-// describe names the kind of value that stands at n.
+// describe returns the kind of the value at n, or the text of a scalar, for messages.
 func (n node) describe() string {
 	switch n.Kind {
 	case yaml.MappingNode:
@@ -136,7 +136,7 @@
 	return strconv.Quote(n.Value)
 }
 
-// list reads a sequence item by item.
+// list calls read for each item of a sequence.
 func (n node) list(read func(node)) {
 	if n.Kind != yaml.SequenceNode {
 		n.problem("this is "+n.describe(), "a list")
@@ -147,7 +147,7 @@
 	}
 }
 
-// scalar gives the text of a plain value.
+// scalar returns the text of a scalar; for other nodes it reports a problem.
 func (n node) scalar(right string) (string, bool) {
 	s, plain := n.plain()
 	if !plain {
@@ -156,7 +156,7 @@
 	return s, plain
 }
 
-// plain gives the text of a plain value, if there is one.
+// plain returns the text of a scalar, and false for other nodes and null.
 func (n node) plain() (string, bool) {
 	if n.Kind != yaml.ScalarNode || n.Tag == "!!null" {
 		return "", false
@@ -186,7 +186,7 @@
 	}
 }
 
-// names reads a list of identifiers without repeats.
+// names reads a list of identifiers and reports duplicates.
 func names[T ~string](dst *[]T) func(node) {
 	return func(n node) {
 		seen := make(map[T]bool)
@@ -253,7 +253,7 @@
 	}
 }
 
-// duration reads a length of time with its unit.
+// duration reads a duration with its unit.
 func duration(dst *time.Duration, low, high time.Duration) func(node) {
 	return func(n node) {
 		right := fmt.Sprintf("a time from %s to %s with its unit, such as 500ms, 30s or 10m", low, high)
@@ -274,13 +274,13 @@
 	}
 }
 
-// sizeUnits are the units that sizes in bytes are given in.
+// sizeUnits are the accepted units of sizes.
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// size reads a number of bytes with its unit.
+// size reads a size in bytes with its unit.
 func size(dst *int64, low, high int64) func(node) {
 	return func(n node) {
 		right := fmt.Sprintf("a size from %d B to %d B with its unit, such as 512KiB or 8MiB", low, high)
@@ -304,8 +304,8 @@
 	}
 }
 
-// address reads an IP number with a port. Host names are refused because the
-// instances must work while name service does not.
+// address reads an IP address with a port. Host names are rejected because instances must
+// work without name resolution.
 func address(dst *netip.AddrPort) func(node) {
 	return func(n node) {
 		const right = "an IP number and a port, such as 10.0.1.5:8080 or [fd00::5]:8080"
@@ -327,7 +327,7 @@
 	}
 }
 
-// choice reads one of a few words.
+// choice reads one of a fixed set of words.
 func choice[T any](dst *T, words []string, values map[string]T) func(node) {
 	return func(n node) {
 		s, ok := n.scalar("one of " + strings.Join(words, ", "))
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -24,7 +24,7 @@
 func problems(t *testing.T, err error) []Problem {
 	t.Helper()
 	var invalid *ValidationError
-	assert.Assert(t, errors.As(err, &invalid), "got %v", err)
+	assert.Assert(t, errors.As(err, &invalid), "want a ValidationError, got %v", err)
 	return invalid.Problems
 }
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// An operator makes a mistake in a declaration. Without the check the mistake
-// would take effect as something else than was meant.
+// Guards against a mistake in a declaration that takes effect as something other than its
+// author intended.
 func TestDeclarationMistakes(t *testing.T) {
 	tests := []struct {
 		name, old, new string
@@ -99,8 +99,8 @@
 	assert.Equal(t, found[1].Line, 9)
 }
 
-// Two files of a folder declare the same endpoint, as happens when two people
-// add it. One of them would win silently.
+// Guards against a silent override when two files of a folder declare the same endpoint, as
+// happens when two people add it.
 func TestDuplicatesAcrossFiles(t *testing.T) {
 	_, err := ParseDeclarations(map[string][]byte{
 		"a.yaml": []byte(validDeclarations),
@@ -135,8 +135,8 @@
 	}
 }
 
-// Outside text reaches the parser through apply; whatever it is, the answer is
-// a configuration or a list of problems.
+// FuzzParseDeclarations checks that any input, which reaches the parser from outside through
+// apply, yields either a configuration or a list of problems.
 func FuzzParseDeclarations(f *testing.F) {
 	f.Add([]byte(validDeclarations))
 	f.Add([]byte("profiles: [&a {name: x}, *a]"))
--- a/settings/suggest.go
+++ b/settings/suggest.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// nearest returns the known word that is closest to word, or the empty string
-// when none is close enough to have been meant.
-func nearest(word string, known []string) string {
+// nearestWord returns the known word with the smallest edit distance to word, or the empty
+// string if none is close enough to be a plausible typo.
+func nearestWord(word string, known []string) string {
 	best, bestDistance := "", len(word)/2+1
 	for _, candidate := range known {
-		if d := distance(word, candidate); d < bestDistance {
+		if d := levenshtein(word, candidate); d < bestDistance {
 			best, bestDistance = candidate, d
 		}
 	}
 	return best
 }
 
-// distance is the Levenshtein distance of two words, in bytes.
-func distance(a, b string) int {
+// levenshtein returns the Levenshtein distance of two words, in bytes.
+func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
@@ -35,9 +35,9 @@
 	return row[len(b)]
 }
 
-// oneOf describes the accepted words, with the likely one first.
+// oneOf describes the accepted words, the suggested one first.
 func oneOf(word string, known []string) string {
-	if guess := nearest(word, known); guess != "" {
+	if guess := nearestWord(word, known); guess != "" {
 		return guess + " (known: " + strings.Join(known, ", ") + ")"
 	}
 	return "one of " + strings.Join(known, ", ")
--- a/settings/write.go
+++ b/settings/write.go
@@ -12,10 +12,10 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// Field is one line of a declaration: its key and its value as YAML writes it.
+// Field is one key of a declaration with its value in YAML syntax.
 type Field struct{ Key, Value string }
 
-// fields collects the lines of one declaration, leaving out empty values.
+// fields collects the fields of one declaration and leaves out empty values.
 type fields struct{ list []Field }
 
 func (f *fields) add(key, value string) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// ModelFields returns the lines of a model's declaration.
+// ModelFields returns the fields of a model's declaration.
 func ModelFields(m *tables.Model) []Field {
 	var f fields
 	f.add("name", nameText(m.Name))
@@ -33,7 +33,7 @@
 	return f.list
 }
 
-// ProfileFields returns the lines of a profile's declaration.
+// ProfileFields returns the fields of a profile's declaration.
 func ProfileFields(p *tables.Profile) []Field {
 	var f fields
 	f.add("name", nameText(p.Name))
@@ -53,7 +53,7 @@
 	return f.list
 }
 
-// OrganisationFields returns the lines of an organisation's declaration.
+// OrganisationFields returns the fields of an organisation's declaration.
 func OrganisationFields(o *tables.Organisation) []Field {
 	var f fields
 	f.add("name", nameText(o.ID))
@@ -69,8 +69,8 @@
 	return f.list
 }
 
-// EndpointFields returns the lines of an endpoint's declaration. Its life is not
-// declared and has none.
+// EndpointFields returns the fields of an endpoint's declaration. They don't include its
+// life, which is not declared.
 func EndpointFields(e *tables.Endpoint) []Field {
 	var f fields
 	f.add("name", nameText(e.ID))
@@ -92,9 +92,9 @@
 	return f.list
 }
 
-// WriteDeclarations returns a configuration as YAML that ParseDeclarations
-// reads as the same declarations. Revision and lives are not declared and left
-// out.
+// WriteDeclarations serialises a configuration as YAML that ParseDeclarations reads back as
+// the same declarations. It leaves out the revision and the endpoints' lives, which are not
+// declared.
 func WriteDeclarations(c *tables.Configuration) ([]byte, error) {
 	root := &yaml.Node{Kind: yaml.MappingNode}
 	writeList(root, "models", c.Models, ModelFields)
@@ -130,8 +130,8 @@
 	mapping.Content = append(mapping.Content, &yaml.Node{Kind: yaml.ScalarNode, Value: key}, value)
 }
 
-// valueNode reads a value as YAML, so that lists stay lists. A name that YAML
-// would read as a number or a truth value is still read as a name later.
+// valueNode parses a value as YAML, so that lists stay lists. A name that YAML resolves to a
+// number or a boolean is still read as a name by the parser of declarations.
 func valueNode(text string) *yaml.Node {
 	var document yaml.Node
 	if err := yaml.Unmarshal([]byte(text), &document); err != nil || len(document.Content) == 0 {
@@ -151,7 +151,7 @@
 	return "[" + strings.Join(quoteAll(texts), ", ") + "]"
 }
 
-// nameText quotes a name that YAML would read as something else than a text.
+// nameText quotes a name that YAML would not resolve to a string.
 func nameText[T ~string](name T) string {
 	if name == "" {
 		return ""
@@ -180,7 +180,7 @@
 
 func numberText(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// wordFor returns the word that stands for a value.
+// wordFor returns the word that maps to a value.
 func wordFor[T comparable](words map[string]T, value T) string {
 	for word, v := range words {
 		if v == value {
--- a/settings/write_test.go
+++ b/settings/write_test.go
@@ -13,14 +13,14 @@
 	"github.com/carawaystile/carawaystile/tables"
 )
 
-// nameGenerator gives names, among them such as YAML reads as something else.
+// nameGenerator generates names, including some that YAML resolves to other types.
 var nameGenerator = rapid.OneOf(
 	rapid.SampledFrom([]string{"no", "true", "1e3", "0x10", "null", "2026-01-01", "12"}),
 	rapid.StringMatching(`[a-z][a-z0-9._-]{0,12}`),
 )
 
-// An operator exports what is in force and applies it again. Were anything
-// written that is read differently, the export would silently change traffic.
+// Guards against an export that changes traffic when it is applied again, because something
+// is written that the parser reads differently.
 func TestWrittenDeclarationsReadTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(nameGenerator, 3, 3, rapid.ID[string]).Draw(t, "names")
