--- a/capacity/series.go
+++ b/capacity/series.go
@@ -52,15 +52,15 @@
 		Unit: "sec/op", SizeName: "blocks", TargetSize: TargetCachedBlocks,
 	},
 	{
-		Title: "Failure detection bytes", Benchmark: "Second", SizeKey: "instances",
+		Title: "Failure detection bytes", Benchmark: "SteadyState", SizeKey: "instances",
 		Unit: "bytes/s/instance", SizeName: "instances", TargetSize: TargetInstances, Limit: ControlTrafficBudgetBytesPerSecond,
 	},
 	{
-		Title: "Failure detection processor time", Benchmark: "Second", SizeKey: "instances",
+		Title: "Failure detection processor time", Benchmark: "SteadyState", SizeKey: "instances",
 		Unit: "cpu_us/s/instance", SizeName: "instances", TargetSize: TargetInstances, Limit: ControlCPUBudgetMicrosPerSecond,
 	},
 	{
-		Title: "Time until all know of a death", Benchmark: "Detection", SizeKey: "instances",
+		Title: "Time until all know of a death", Benchmark: "FailureDetection", SizeKey: "instances",
 		Unit: "virtual_s/death", SizeName: "instances", TargetSize: TargetInstances,
 	},
 	{
--- a/cli/backup.go
+++ b/cli/backup.go
@@ -80,7 +80,7 @@
 }
 
 // backupFromDataFolder rebuilds the control state from the log in the data folder
-// of a stopped instance. It fails if the folder does not exist, which OpenFolder
+// of a stopped instance. It fails if the folder does not exist, which OpenDataDir
 // would create.
 func backupFromDataFolder(data string) (*rpc.Backup, error) {
 	if _, err := os.Stat(data); err != nil {
--- a/cli/validate.go
+++ b/cli/validate.go
@@ -111,7 +111,7 @@
 }
 
 // checkDocument parses an operator's document with the parser of the control
-// instances and returns a summary. Any parse error becomes a settings.Invalid.
+// instances and returns a summary. Any parse error becomes a settings.ValidationError.
 func checkDocument(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/control/follower/follower.go
+++ b/control/follower/follower.go
@@ -53,7 +53,7 @@
 	Watch(ctx context.Context, request *rpc.WatchRequest) (*rpc.WatchAnswer, error)
 }
 
-// FileStore stores small files durably and atomically. *store.Folder implements it.
+// FileStore stores small files durably and atomically. *store.DataDir implements it.
 type FileStore interface {
 	ReadAtomic(name string) ([]byte, error)
 	WriteAtomic(name string, data []byte) error
--- a/control/server/messages.go
+++ b/control/server/messages.go
@@ -42,7 +42,7 @@
 }
 
 // decodeMessage converts a Raft message from its wire format. It fails with
-// *replog.BadEncoding.
+// *replog.DecodeError.
 func decodeMessage(in *rpc.LogMessage) (replog.Message, error) {
 	m := replog.Message{
 		Type:               replog.MessageType(in.GetType()),
